--- a/crates/entry/src/app.rs
+++ b/crates/entry/src/app.rs
@@ -10,7 +10,7 @@
 use lease::Identity;
 use once::{Epochs, Home, Witness};
 use peer::Members;
-use plan::{Fleet, Forecast, RetryBudget, RouteSettings, Router, Workspaces};
+use plan::{Fleet, Forecast, RetryBudget, RouteSettings, Router, WorkspaceLimiter};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use tick::{Clock, Timers};
@@ -52,7 +52,7 @@
     pub(crate) router: RefCell<Router>,
     pub(crate) forecast: RefCell<Forecast>,
     pub(crate) retries: RefCell<RetryBudget>,
-    pub(crate) workspaces: RefCell<Workspaces>,
+    pub(crate) workspaces: RefCell<WorkspaceLimiter>,
     pub(crate) suspects: RefCell<Suspects>,
     pub(crate) home: RefCell<Home>,
     pub(crate) witness: RefCell<Witness>,
--- a/crates/entry/src/beats.rs
+++ b/crates/entry/src/beats.rs
@@ -50,10 +50,10 @@
         prompt += beat.prompt_rate;
         output += beat.output_rate;
     }
-    let forecast = app.forecast.borrow().with_others(prompt, output);
+    let forecast = app.forecast.borrow().with_peer_rates(prompt, output);
     let mut fleet = app.fleet.borrow_mut();
     for model in &bundle.bundle().models {
-        fleet.expect(&model.name, &forecast);
+        fleet.apply_forecast(&model.name, &forecast);
     }
 }
 
@@ -102,12 +102,14 @@
 
 fn loads(app: &App, now_ms: u64) -> Vec<Load> {
     let fleet = app.fleet.borrow();
-    let busy = fleet.iter().filter(|engine| engine.own().requests() > 0.0);
+    let busy = fleet
+        .iter()
+        .filter(|engine| engine.own_load().requests() > 0.0);
     busy.map(|engine| load(now_ms, engine)).collect()
 }
 
 fn load(now_ms: u64, engine: &plan::Engine) -> Load {
-    let own = engine.own();
+    let own = engine.own_load();
     Load {
         engine: engine.name.clone(),
         at_ms: now_ms,
@@ -124,12 +126,12 @@
         let mut fleet = app.fleet.borrow_mut();
         // An engine that is not told of any more has nothing of that peer's left.
         for engine in fleet.iter_mut() {
-            engine.told(now_ms, &beat.instance, Outstanding::default());
+            engine.record_peer_load(now_ms, &beat.instance, Outstanding::default());
         }
         for load in loads {
-            if let Some(place) = fleet.place(&load.engine) {
+            if let Some(place) = fleet.index_of(&load.engine) {
                 let engine = fleet.get_mut(place);
-                engine.told(now_ms, &beat.instance, outstanding(load));
+                engine.record_peer_load(now_ms, &beat.instance, outstanding(load));
             }
         }
     }
--- a/crates/entry/src/booking.rs
+++ b/crates/entry/src/booking.rs
@@ -24,7 +24,7 @@
         let mut fleet = app.fleet.borrow_mut();
         fleet
             .get_mut(choice.engine)
-            .sent(app.now_ms(), work.rank, prompt, output);
+            .record_sent(app.now_ms(), work.rank, prompt, output);
         Self {
             app: app.clone(),
             engine: choice.engine,
@@ -39,7 +39,9 @@
     pub(crate) fn start(&mut self) {
         if !std::mem::replace(&mut self.started, true) {
             let mut fleet = self.app.fleet.borrow_mut();
-            fleet.get_mut(self.engine).started(self.rank, self.prompt);
+            fleet
+                .get_mut(self.engine)
+                .record_first_token(self.rank, self.prompt);
         }
     }
 }
@@ -49,9 +51,9 @@
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(self.engine);
         if self.started {
-            engine.ended(self.output);
+            engine.record_finished(self.output);
         } else {
-            engine.dropped(self.rank, self.prompt, self.output);
+            engine.record_dropped(self.rank, self.prompt, self.output);
         }
     }
 }
--- a/crates/entry/src/call/repeatable.rs
+++ b/crates/entry/src/call/repeatable.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use plan::AttemptBudget;
+use plan::AttemptTimeout;
 use wire::{Answer, Call};
 
 use super::send::{Failed, pick, send};
@@ -14,11 +14,11 @@
     let deadline_ms = app.now_ms() + call.deadline_ms;
     let mut tried = Vec::new();
     let mut touched = false;
-    app.retries.borrow_mut().earn();
+    app.retries.borrow_mut().deposit();
     loop {
         let (chosen, others) = pick(app, &call.service, &tried);
         let left_ms = deadline_ms.saturating_sub(app.now_ms());
-        let budget = AttemptBudget::next(left_ms, others);
+        let budget = AttemptTimeout::next(left_ms, others);
         let (Some((name, address)), Some(budget)) = (chosen, budget) else {
             let text = format!("service {}: none is left to try", call.service);
             let ended = if touched {
@@ -28,7 +28,7 @@
             };
             return Err(ended.retry_after(500));
         };
-        let reason = match send(app, call, &name, &address, budget.spend_ms).await {
+        let reason = match send(app, call, &name, &address, budget.timeout_ms).await {
             Ok(answer) => return Ok(answer),
             Err(Failed::NeverSent) => "connect",
             Err(Failed::Unknown(_)) => {
@@ -38,7 +38,7 @@
         };
         tried.push(name);
         app.metrics.retries.with_label_values(&[reason]).inc();
-        if !app.retries.borrow_mut().spend() {
+        if !app.retries.borrow_mut().try_withdraw() {
             let text = "no retry is left";
             return Err(Refusal::unknown(Code::Upstream, text).retry_after(1_000));
         }
--- a/crates/entry/src/call/send.rs
+++ b/crates/entry/src/call/send.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use plan::Verdict;
+use plan::HealthStatus;
 use wire::{Answer, Call};
 
 use crate::app::App;
@@ -35,17 +35,17 @@
         .filter(|instance| !instance.leaving && !tried.contains(&instance.name))
         .collect();
     fit.sort_by_key(|instance| {
-        let ejected = match instance.health.verdict(now_ms) {
-            Verdict::Fit => 0,
-            Verdict::Probe => 1,
-            Verdict::Ejected => 2,
+        let ejected = match instance.health.status(now_ms) {
+            HealthStatus::Healthy => 0,
+            HealthStatus::Probe => 1,
+            HealthStatus::Ejected => 2,
         };
         (ejected, instance.in_flight, !instance.near)
     });
     let others = fit.len().saturating_sub(1);
     let chosen = fit.into_iter().next().map(|instance| {
-        if instance.health.verdict(now_ms) == Verdict::Probe {
-            instance.health.probe();
+        if instance.health.status(now_ms) == HealthStatus::Probe {
+            instance.health.start_probe();
         }
         (instance.name.clone(), instance.address.clone())
     });
@@ -71,8 +71,8 @@
     if let Some(instance) = upstreams.service_mut(&call.service, name) {
         match &result {
             // Services differ in what a call takes; only failures tell their health.
-            Ok(_) => instance.health.answered(now_ms, 1.0, 1.0),
-            Err(_) => instance.health.failed(now_ms),
+            Ok(_) => instance.health.record_latency(now_ms, 1.0, 1.0),
+            Err(_) => instance.health.record_failure(now_ms),
         }
     }
     if let Err(Failed::Unknown(detail)) = &result {
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -25,7 +25,7 @@
 
 impl Place {
     pub(crate) fn take(app: &Rc<App>, workspace: &str, most: u32) -> Result<Self, Refusal> {
-        if !app.workspaces.borrow_mut().enter(workspace, most) {
+        if !app.workspaces.borrow_mut().try_acquire(workspace, most) {
             let text = format!("workspace {workspace} has {most} requests in flight");
             return Err(Refusal::new(Code::Limited, text).retry_after(500));
         }
@@ -40,7 +40,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.app.workspaces.borrow_mut().leave(&self.workspace);
+        self.app.workspaces.borrow_mut().release(&self.workspace);
         self.app.in_flight.set(self.app.in_flight.get() - 1);
         self.app.metrics.in_flight.dec();
     }
@@ -70,7 +70,7 @@
     let output = f64::from(work.max_tokens);
     app.forecast
         .borrow_mut()
-        .arrived(now_ms, work.rank, work.prompt_tokens, output);
+        .record_arrival(now_ms, work.rank, work.prompt_tokens, output);
     let (sender, receiver) = mpsc::channel(EVENTS);
     actix_rt::spawn(Pump::new(app.clone(), work.clone(), sender).run());
     let own_s = (app.clock.now_us() - begun_us) as f64 / 1e6;
--- a/crates/entry/src/control/wishes.rs
+++ b/crates/entry/src/control/wishes.rs
@@ -134,18 +134,18 @@
         let places: Vec<usize> = fleet
             .iter()
             .filter(|engine| engine.group == name)
-            .filter_map(|engine| fleet.place(&engine.name))
+            .filter_map(|engine| fleet.index_of(&engine.name))
             .collect();
         // The forecast is for the whole model; this group takes its share.
-        let all = places
-            .first()
-            .map_or(1, |&place| fleet.of_model(&fleet.get(place).model).len());
+        let all = places.first().map_or(1, |&place| {
+            fleet.indices_of_model(&fleet.get(place).model).len()
+        });
         let share = places.len() as f64 / all.max(1) as f64;
         let forecast = self
             .app
             .forecast
             .borrow()
-            .with_others(prompt, output)
+            .with_peer_rates(prompt, output)
             .scaled(share);
         let allows = |place: usize, role| bundle.allows(&fleet.get(place).name, role);
         let mut groups = self.groups.borrow_mut();
--- a/crates/entry/src/pump.rs
+++ b/crates/entry/src/pump.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use plan::{AttemptBudget, Choice, Presence, Request};
+use plan::{AttemptTimeout, Choice, Presence, Request};
 use tokio::sync::mpsc;
 use view::RequestKey;
 
@@ -88,7 +88,7 @@
 
     /// Runs to the end; the last event is `End` or `Failed`.
     pub(crate) async fn run(mut self) {
-        self.app.retries.borrow_mut().earn();
+        self.app.retries.borrow_mut().deposit();
         loop {
             let choice = match self.admit().and_then(|()| self.choose()) {
                 Ok(choice) => choice,
@@ -110,7 +110,7 @@
                 Ended::Again(reason) => {
                     self.tried.push(choice.engine);
                     self.app.metrics.retries.with_label_values(&[reason]).inc();
-                    if !self.app.retries.borrow_mut().spend() {
+                    if !self.app.retries.borrow_mut().try_withdraw() {
                         let refusal = Refusal::unknown(Code::Upstream, "no retry is left");
                         return self.fail(refusal.retry_after(1_000)).await;
                     }
@@ -157,7 +157,7 @@
         // An engine that has not loaded the version of this request cannot serve it.
         skip.extend(
             fleet
-                .of_model(&work.model)
+                .indices_of_model(&work.model)
                 .iter()
                 .copied()
                 .filter(|&place| {
@@ -179,7 +179,11 @@
                 && !self.tried.contains(place)
                 && fleet.get(**place).presence == Presence::Live
         };
-        fleet.of_model(&self.work.model).iter().filter(fit).count()
+        fleet
+            .indices_of_model(&self.work.model)
+            .iter()
+            .filter(fit)
+            .count()
     }
 
     async fn attempt(&mut self, choice: &Choice) -> Ended {
@@ -201,7 +205,8 @@
         self.attempts += 1;
         let request_id = format!("{}.{}", self.work.id, self.attempts);
         let left_ms = self.work.deadline_ms.saturating_sub(app.now_ms());
-        let Some(budget) = AttemptBudget::next(left_ms.max(SILENCE_MS), self.others(choice.engine))
+        let Some(budget) =
+            AttemptTimeout::next(left_ms.max(SILENCE_MS), self.others(choice.engine))
         else {
             return Ended::Again("deadline");
         };
--- a/crates/entry/src/pump/stream.rs
+++ b/crates/entry/src/pump/stream.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_util::StreamExt;
-use plan::{AttemptBudget, Shape};
+use plan::{AttemptTimeout, EngineProfile};
 
 use super::{Ended, Event, Pump, SILENCE_MS};
 use crate::booking::Booking;
@@ -29,7 +29,7 @@
     pub(super) sent_ms: u64,
     /// Number and time of the first token of this attempt.
     pub(super) first: Option<(u32, u64)>,
-    pub(super) budget: AttemptBudget,
+    pub(super) budget: AttemptTimeout,
 }
 
 impl Pump {
@@ -68,7 +68,7 @@
                 &attempt.request_id,
                 self.produced,
             );
-            parts = match timed(attempt.budget.spend_ms, again).await {
+            parts = match timed(attempt.budget.timeout_ms, again).await {
                 Ok(parts) => parts,
                 Err(error) => {
                     self.note_end(attempt, &error);
@@ -90,7 +90,7 @@
         };
         let open = engine::open(&self.app, &attempt.address, &ask);
         let opened = tokio::select! {
-            opened = timed(attempt.budget.spend_ms, open) => opened,
+            opened = timed(attempt.budget.timeout_ms, open) => opened,
             () = self.sender.closed() => return Err(Ended::CallerGone),
         };
         let error = match opened {
@@ -131,7 +131,7 @@
     fn blame(&self, attempt: &Attempt, reason: &'static str) -> Ended {
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(attempt.booking.engine);
-        engine.health.failed(self.app.now_ms());
+        engine.health.record_failure(self.app.now_ms());
         Ended::Again(reason)
     }
 
@@ -172,7 +172,7 @@
         let mut limit_ms = if attempt.booking.started {
             SILENCE_MS
         } else {
-            attempt.budget.spend_ms
+            attempt.budget.timeout_ms
         };
         loop {
             let limit = Duration::from_millis(limit_ms);
@@ -198,7 +198,11 @@
     /// Time for which an answer that has not started can still be in time.
     fn hope_ms(&self) -> u64 {
         let tokens = f64::from(self.work.max_tokens);
-        let until_ms = plan::give_up_ms(&Shape::default(), self.work.deadline_ms as f64, tokens);
+        let until_ms = plan::give_up_ms(
+            &EngineProfile::default(),
+            self.work.deadline_ms as f64,
+            tokens,
+        );
         (until_ms - self.app.now_ms() as f64).max(0.0) as u64
     }
 
@@ -251,7 +255,9 @@
         let pace_ms = now_ms.saturating_sub(first_ms) as f64 / f64::from(tokens);
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(attempt.booking.engine);
-        engine.health.answered(now_ms, attempt.token_ms, pace_ms);
+        engine
+            .health
+            .record_latency(now_ms, attempt.token_ms, pace_ms);
     }
 
     fn first(&self, attempt: &mut Attempt) {
@@ -259,7 +265,7 @@
         let now_ms = self.app.now_ms();
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(attempt.booking.engine);
-        engine.health.sign(now_ms);
+        engine.health.record_activity(now_ms);
         attempt.first = Some((self.produced + 1, now_ms));
         if self.produced == 0 {
             let since_ms = now_ms.saturating_sub(self.work.arrived_ms) as f64;
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -202,11 +202,11 @@
 
 impl From<plan::Refusal> for Refusal {
     fn from(refusal: plan::Refusal) -> Self {
-        let code = match refusal.limit {
-            plan::Limit::Deadline => Code::TooLate,
-            plan::Limit::Share | plan::Limit::Workspace => Code::Limited,
-            plan::Limit::NoUpstream => Code::NoUpstream,
+        let code = match refusal.reason {
+            plan::RefusalReason::Deadline => Code::TooLate,
+            plan::RefusalReason::Share | plan::RefusalReason::Workspace => Code::Limited,
+            plan::RefusalReason::NoUpstream => Code::NoUpstream,
         };
-        Self::new(code, refusal.limit.to_string()).retry_after(refusal.retry_after_ms)
+        Self::new(code, refusal.reason.to_string()).retry_after(refusal.retry_after_ms)
     }
 }
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -6,7 +6,7 @@
 
 use conf::Role;
 use lease::EngineReport;
-use plan::{Engine, Health, Presence, RANKS, Report, Shape};
+use plan::{Engine, EngineProfile, Health, LoadReport, Presence, RANKS};
 use serde::Deserialize;
 
 use crate::app::App;
@@ -133,8 +133,13 @@
     entry.address = listed.address;
     entry.group.clone_from(&group);
     entry.leaving = leaving;
-    let mut engine = Engine::new(&listed.name, &listed.serves, &group, Shape::default());
-    engine.distance_ms = if near { 0.0 } else { OTHER_ZONE_MS };
+    let mut engine = Engine::new(
+        &listed.name,
+        &listed.serves,
+        &group,
+        EngineProfile::default(),
+    );
+    engine.one_way_delay_ms = if near { 0.0 } else { OTHER_ZONE_MS };
     engine.presence = Presence::Gone;
     app.fleet.borrow_mut().add(engine);
 }
@@ -195,7 +200,7 @@
         Presence::Live
     };
     let mut fleet = app.fleet.borrow_mut();
-    if let Some(place) = fleet.place(name) {
+    if let Some(place) = fleet.index_of(name) {
         let engine = fleet.get_mut(place);
         engine.presence = presence;
         engine.role = wire.role;
@@ -203,7 +208,7 @@
         for (mine, theirs) in queued.iter_mut().zip(&wire.queued) {
             *mine = *theirs;
         }
-        engine.reported(Report {
+        engine.record_report(LoadReport {
             at_ms: app.now_ms().saturating_sub(wire.age_ms),
             queued,
             running: wire.running,
@@ -228,7 +233,7 @@
     }
     entry.report = None;
     let mut fleet = app.fleet.borrow_mut();
-    if let Some(place) = fleet.place(name) {
+    if let Some(place) = fleet.index_of(name) {
         fleet.get_mut(place).presence = Presence::Gone;
     }
 }
@@ -257,7 +262,7 @@
     }
     let upstreams = app.upstreams.borrow();
     let fleet = app.fleet.borrow();
-    let places = fleet.of_model(&model.name).iter();
+    let places = fleet.indices_of_model(&model.name).iter();
     let live = places.filter(|&&place| fleet.get(place).presence == Presence::Live);
     let loaded: Vec<&[String]> = live
         .filter_map(|&place| {
@@ -276,7 +281,7 @@
             .count()
     };
     let with_current = current.map_or(0, having);
-    if !plan::moves_over(loaded.len(), having(&wanted), with_current) {
+    if !plan::should_switch_version(loaded.len(), having(&wanted), with_current) {
         return current.cloned().unwrap_or(wanted);
     }
     serving.insert(model.name.clone(), wanted.clone());
--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -1,14 +1,14 @@
 //! A continuously batching engine, iteration by iteration.
 //!
 //! The stand-in runs it in real time and the bench in virtual time. It takes the linear cost
-//! model of `plan::Shape`, chunked prefill, strict priorities, a bound on KV cache, and a prefix
+//! model of `plan::EngineProfile`, chunked prefill, strict priorities, a bound on KV cache, and a prefix
 //! cache; it leaves out attention's growth with context, preemption of running sequences and
 //! speculative decoding.
 
 use std::collections::{BTreeMap, HashMap};
 
 use conf::Role;
-use plan::{RANKS, Shape};
+use plan::{EngineProfile, RANKS};
 
 use crate::PrefixCache;
 
@@ -63,7 +63,7 @@
 /// The engine's queue and batch.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    shape: Shape,
+    shape: EngineProfile,
     role: Role,
     waiting: BTreeMap<(usize, u64, u64), Waiting>,
     places: HashMap<u64, (usize, u64, u64)>,
@@ -75,7 +75,7 @@
 
 impl Batch {
     /// An idle engine.
-    pub fn new(shape: Shape, role: Role) -> Self {
+    pub fn new(shape: EngineProfile, role: Role) -> Self {
         let room = (shape.kv_tokens as f64 * PREFIX_SHARE) as u64;
         Self {
             shape,
@@ -182,7 +182,7 @@
     }
 
     fn read_prompts(&mut self, iteration: &mut Iteration) -> (u32, Vec<Job>) {
-        let chunk = Shape::chunk(self.role);
+        let chunk = EngineProfile::chunk_tokens(self.role);
         let mut read = 0;
         let mut ready = Vec::new();
         let places: Vec<_> = self.waiting.keys().copied().collect();
--- a/crates/perf/src/bound.rs
+++ b/crates/perf/src/bound.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use plan::Shape;
+use plan::EngineProfile;
 
 use crate::Trace;
 use crate::trace::{Event, LENGTH_MS};
@@ -43,13 +43,13 @@
 /// is left out whenever the work exceeds the time (Moore and Hodgson), which is optimal for that
 /// easier problem; the true optimum is lower.
 pub(crate) fn upper_bound(trace: &Trace) -> u64 {
-    let shape = Shape::default();
+    let shape = EngineProfile::default();
     let mut jobs: Vec<(f64, f64)> = trace
         .arrivals
         .iter()
         .map(|arrival| {
             let read = f64::from(arrival.prompt_tokens - arrival.prefix_tokens);
-            let work_ms = shape.least_work_ms(read, f64::from(arrival.output_tokens));
+            let work_ms = shape.min_work_ms(read, f64::from(arrival.output_tokens));
             (arrival.at_ms + arrival.deadline_ms, work_ms)
         })
         .collect();
--- a/crates/perf/src/engine.rs
+++ b/crates/perf/src/engine.rs
@@ -2,7 +2,7 @@
 
 use conf::Role;
 use model::{Batch, Iteration, Job};
-use plan::{Report, Shape};
+use plan::{EngineProfile, LoadReport};
 
 /// An engine that iterates while it has work.
 pub(crate) struct SimEngine {
@@ -16,7 +16,7 @@
 }
 
 impl SimEngine {
-    pub(crate) fn new(shape: Shape, role: Role) -> Self {
+    pub(crate) fn new(shape: EngineProfile, role: Role) -> Self {
         Self {
             batch: Batch::new(shape, role),
             under_way: None,
@@ -79,8 +79,8 @@
         self.changing = None;
     }
 
-    pub(crate) fn report(&self, now_ms: f64) -> Report {
-        Report {
+    pub(crate) fn report(&self, now_ms: f64) -> LoadReport {
+        LoadReport {
             at_ms: now_ms as u64,
             queued: self.batch.queued(),
             running: self.batch.running() as f64,
--- a/crates/perf/src/greedy.rs
+++ b/crates/perf/src/greedy.rs
@@ -1,14 +1,14 @@
 //! Roles that follow the mix at once: what an operator's script would do.
 
 use conf::Role;
-use plan::{Fleet, Forecast, Presence, RoleChange, Shape};
+use plan::{EngineProfile, Fleet, Forecast, Presence, RoleChange};
 
 /// Changes as many engines as it takes for the share of prefill engines to be that of prompts in
 /// the work, without regard to what a change costs or how long the mix will last.
 pub(crate) fn plan(fleet: &Fleet, engines: &[usize], forecast: &Forecast) -> Vec<RoleChange> {
-    let shape = Shape::default();
-    let prompt = forecast.prompt_rate() * shape.least_work_ms(1.0, 0.0);
-    let output = forecast.output_rate() * shape.least_work_ms(0.0, 1.0);
+    let shape = EngineProfile::default();
+    let prompt = forecast.prompt_rate() * shape.min_work_ms(1.0, 0.0);
+    let output = forecast.output_rate() * shape.min_work_ms(0.0, 1.0);
     let part = prompt / (prompt + output).max(1e-9);
     let live: Vec<usize> = engines
         .iter()
--- a/crates/perf/src/node.rs
+++ b/crates/perf/src/node.rs
@@ -2,8 +2,8 @@
 
 use model::Deployment;
 use plan::{
-    Choice, Engine, Fleet, Forecast, Limit, Prefixes, Presence, Refusal, Request, RouteSettings,
-    Router, Shape,
+    Choice, Engine, EngineProfile, Fleet, Forecast, PrefixIndex, Presence, Refusal, RefusalReason,
+    Request, RouteSettings, Router,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -17,7 +17,7 @@
 pub(crate) struct Node {
     pub(crate) fleet: Fleet,
     pub(crate) forecast: Forecast,
-    pub(crate) prefixes: Prefixes,
+    pub(crate) prefixes: PrefixIndex,
     pub(crate) rng: Pcg64,
     router: Router,
     policy: Policy,
@@ -31,8 +31,9 @@
             let zone = number % 3;
             let group = deployment.zones()[zone];
             let name = format!("engine-{number}");
-            let mut engine = Engine::new(&name, deployment.model(), group, Shape::default());
-            engine.distance_ms = if place % 3 == zone {
+            let mut engine =
+                Engine::new(&name, deployment.model(), group, EngineProfile::default());
+            engine.one_way_delay_ms = if place % 3 == zone {
                 0.0
             } else {
                 OTHER_ZONE_MS
@@ -43,16 +44,19 @@
         let route = match setting.policy {
             Policy::NoAdmission => RouteSettings {
                 refuse_late: false,
-                fair: false,
+                enforce_shares: false,
                 ..own
             },
             Policy::WithoutHarm => RouteSettings {
-                harm_weight: 0.0,
+                interference_weight: 0.0,
+                ..own
+            },
+            Policy::WithoutShares => RouteSettings {
+                enforce_shares: false,
                 ..own
             },
-            Policy::WithoutShares => RouteSettings { fair: false, ..own },
             Policy::WithoutPrefixes => RouteSettings {
-                prefixes: false,
+                use_prefixes: false,
                 ..own
             },
             _ => own,
@@ -60,7 +64,7 @@
         Self {
             fleet,
             forecast: Forecast::default(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixIndex::default(),
             rng: Pcg64::seed_from_u64(setting.seed ^ (place as u64 + 1).wrapping_mul(0x9e37_79b9)),
             router: Router::new(route),
             policy: setting.policy,
@@ -84,7 +88,7 @@
             .filter(|place| !tried.contains(place))
             .collect();
         let none = Refusal {
-            limit: Limit::NoUpstream,
+            reason: RefusalReason::NoUpstream,
             retry_after_ms: 1_000,
         };
         let engine = self.simple(arrival, &live).ok_or(none)?;
@@ -118,7 +122,7 @@
         let prefixes = &self.prefixes;
         let cached = |place: usize| match arrival.prefix {
             0 => 0.0,
-            prefix => prefixes.tokens(prefix, place),
+            prefix => prefixes.cached_tokens(prefix, place),
         };
         let now_ms = now_ms as u64;
         self.router
@@ -158,6 +162,6 @@
         let engine = self.fleet.get(place);
         let report = engine.report();
         let queued: f64 = report.queued.iter().sum();
-        queued * engine.shape.token_ms + report.running * engine.shape.base_ms
+        queued * engine.profile.token_ms + report.running * engine.profile.base_ms
     }
 }
--- a/crates/perf/src/run.rs
+++ b/crates/perf/src/run.rs
@@ -6,7 +6,9 @@
 use std::collections::HashMap;
 
 use conf::Role;
-use plan::{Presence, Report, RetryBudget, RolePlanner, RoleSettings, RouteSettings, Shape};
+use plan::{
+    EngineProfile, LoadReport, Presence, RetryBudget, RolePlanner, RoleSettings, RouteSettings,
+};
 use rand::seq::IteratorRandom;
 
 use crate::Policy;
@@ -99,7 +101,7 @@
     ReportFrom(usize),
     ReportTo {
         engine: usize,
-        report: Report,
+        report: LoadReport,
     },
     CacheEvent {
         engine: usize,
@@ -195,7 +197,7 @@
         let deployment = trace.deployment;
         let role = |number| begin_role(&setting, number);
         let engines: Vec<SimEngine> = (0..deployment.engines())
-            .map(|number| SimEngine::new(Shape::default(), role(number)))
+            .map(|number| SimEngine::new(EngineProfile::default(), role(number)))
             .collect();
         let mut nodes: Vec<Node> = (0..setting.instances)
             .map(|place| Node::new(place, deployment, &setting))
@@ -261,7 +263,7 @@
             Step::ReportFrom(engine) => self.report_from(engine),
             Step::ReportTo { engine, report } => {
                 for node in &mut self.nodes {
-                    node.fleet.get_mut(engine).reported(report);
+                    node.fleet.get_mut(engine).record_report(report);
                 }
             }
             Step::CacheEvent {
@@ -270,7 +272,7 @@
                 tokens,
             } => {
                 for node in &mut self.nodes {
-                    node.prefixes.held(prefix, engine, tokens);
+                    node.prefixes.record_holder(prefix, engine, tokens);
                 }
             }
             Step::Beat(node) => self.beat(node),
@@ -330,7 +332,7 @@
         let loads: Vec<_> = self.nodes[from]
             .fleet
             .iter()
-            .map(|engine| *engine.own())
+            .map(|engine| *engine.own_load())
             .collect();
         let busy = loads.iter().filter(|load| load.requests() > 0.0).count();
         self.bytes += BEAT_BYTES + LOAD_BYTES * busy as f64;
@@ -339,7 +341,7 @@
             self.nodes[to]
                 .fleet
                 .get_mut(engine)
-                .told(self.now_ms as u64, &name, load);
+                .record_peer_load(self.now_ms as u64, &name, load);
         }
     }
 
@@ -355,13 +357,13 @@
                 sum.1 + other.forecast.output_rate(),
             )
         });
-        self.nodes[node].forecast.with_others(prompt, output)
+        self.nodes[node].forecast.with_peer_rates(prompt, output)
     }
 
     fn expect(&mut self, node: usize) {
         let forecast = self.total_forecast(node);
         self.nodes[node]
             .fleet
-            .expect(self.trace.deployment.model(), &forecast);
+            .apply_forecast(self.trace.deployment.model(), &forecast);
     }
 }
--- a/crates/perf/src/run/control.rs
+++ b/crates/perf/src/run/control.rs
@@ -1,7 +1,7 @@
 //! What happens to engines, and their roles.
 
 use conf::Role;
-use plan::{Presence, Shape};
+use plan::{EngineProfile, Presence};
 
 use super::{NOTICE_MS, PLAN_MS, Sim, Step};
 use crate::trace::{Event, LENGTH_MS};
@@ -92,7 +92,7 @@
         };
         if self.engines[engine].is_idle() && self.change_began_ms.contains_key(&engine) {
             let began_ms = self.change_began_ms.remove(&engine).unwrap_or(self.now_ms);
-            let change_ms = Shape::default().change_ms as f64;
+            let change_ms = EngineProfile::default().change_ms as f64;
             self.counter.figures.lost_s += (self.now_ms - began_ms + change_ms) / 1_000.0;
             self.calendar
                 .add(self.now_ms + change_ms, Step::Changed { engine, role });
--- a/crates/perf/src/run/requests.rs
+++ b/crates/perf/src/run/requests.rs
@@ -1,7 +1,7 @@
 //! The way of requests: to engines, elsewhere, and to their end.
 
 use model::{Iteration, Job};
-use plan::{AttemptBudget, Shape};
+use plan::{AttemptTimeout, EngineProfile};
 use rand::Rng;
 
 use super::{
@@ -17,7 +17,7 @@
         let node = self.requests[request].node;
         self.counter
             .asked(arrival.at_ms, &arrival.kind.to_string(), arrival.member);
-        self.retries[node].earn();
+        self.retries[node].deposit();
         let (prompt, output) = (
             f64::from(arrival.prompt_tokens),
             f64::from(arrival.expected_tokens),
@@ -25,7 +25,7 @@
         let rank = rank(arrival.kind);
         self.nodes[node]
             .forecast
-            .arrived(self.now_ms as u64, rank, prompt, output);
+            .record_arrival(self.now_ms as u64, rank, prompt, output);
         self.calendar.add(
             arrival.at_ms + arrival.deadline_ms * PATIENCE,
             Step::Leave(request),
@@ -57,9 +57,9 @@
         progress.booked = Some(booked);
         let known = node.fleet.get_mut(choice.engine);
         let now_ms = self.now_ms as u64;
-        known.sent(now_ms, rank(arrival.kind), booked.prompt, booked.output);
+        known.record_sent(now_ms, rank(arrival.kind), booked.prompt, booked.output);
         let attempt = progress.attempt;
-        let distance_ms = known.distance_ms;
+        let distance_ms = known.one_way_delay_ms;
         self.calendar.add(
             self.now_ms + distance_ms,
             Step::Deliver {
@@ -71,7 +71,7 @@
         if self.setting.policy.is_routed() && self.setting.policy != Policy::CountedRetries {
             let due_ms = arrival.at_ms + arrival.deadline_ms;
             let tokens = f64::from(arrival.expected_tokens);
-            let give_up_ms = plan::give_up_ms(&Shape::default(), due_ms, tokens);
+            let give_up_ms = plan::give_up_ms(&EngineProfile::default(), due_ms, tokens);
             self.calendar
                 .add(give_up_ms, Step::GiveUp { request, attempt });
         }
@@ -88,8 +88,8 @@
             Policy::CountedRetries => Some(arrival.deadline_ms),
             policy if policy.is_routed() => {
                 let others = self.engines.len() - 1 - self.requests[request].tried.len();
-                let budget = AttemptBudget::next(left_ms.max(0.0) as u64, others);
-                budget.map(|budget| budget.spend_ms as f64)
+                let budget = AttemptTimeout::next(left_ms.max(0.0) as u64, others);
+                budget.map(|budget| budget.timeout_ms as f64)
             }
             _ => None,
         }
@@ -140,7 +140,7 @@
                     .fleet
                     .get_mut(engine)
                     .health
-                    .sign(self.now_ms as u64);
+                    .record_activity(self.now_ms as u64);
             }
             if *tokens == 1
                 && let Some(request) = self.current(*id)
@@ -191,10 +191,10 @@
             return;
         };
         let known = self.nodes[progress.node].fleet.get_mut(engine);
-        let at_ms = self.now_ms + known.distance_ms;
+        let at_ms = self.now_ms + known.one_way_delay_ms;
         progress.first_ms = Some(at_ms);
         booked.started = true;
-        known.started(rank(arrival.kind), booked.prompt);
+        known.record_first_token(rank(arrival.kind), booked.prompt);
     }
 
     /// Compares the pace of the output with what was predicted.
@@ -210,7 +210,7 @@
             let known = self.nodes[progress.node].fleet.get_mut(engine);
             known
                 .health
-                .answered(self.now_ms as u64, progress.token_ms, pace_ms);
+                .record_latency(self.now_ms as u64, progress.token_ms, pace_ms);
         }
     }
 
@@ -242,11 +242,11 @@
         };
         let known = self.nodes[progress.node].fleet.get_mut(engine);
         if booked.started {
-            known.ended(booked.output);
+            known.record_finished(booked.output);
         } else {
-            known.dropped(rank, booked.prompt, booked.output);
+            known.record_dropped(rank, booked.prompt, booked.output);
         }
-        known.distance_ms
+        known.one_way_delay_ms
     }
 
     /// An attempt failed: another engine is tried if the policy allows it.
@@ -264,11 +264,11 @@
             && self.setting.policy != Policy::WithoutEjection
         {
             let known = self.nodes[node].fleet.get_mut(engine);
-            known.health.failed(self.now_ms as u64);
+            known.health.record_failure(self.now_ms as u64);
         }
         let allowed =
             if self.setting.policy.is_routed() && self.setting.policy != Policy::CountedRetries {
-                self.retries[node].spend()
+                self.retries[node].try_withdraw()
             } else {
                 self.requests[request].attempt < COUNTED_ATTEMPTS
             };
--- a/crates/perf/src/slopes.rs
+++ b/crates/perf/src/slopes.rs
@@ -12,7 +12,7 @@
 use keys::KeyHash;
 use once::{Epochs, Home, Key, KeyPlace, Witness};
 use peer::{Known, Members};
-use plan::{Engine, Fleet, Outstanding, Request, Router, Shape};
+use plan::{Engine, EngineProfile, Fleet, Outstanding, Request, Router};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use wire::{Beat, Body, Condition, LeaseClaimed, LeaseRef, Load, Origin, Record};
@@ -187,9 +187,9 @@
             &format!("engine-{number}"),
             "model",
             "group",
-            Shape::default(),
+            EngineProfile::default(),
         );
-        engine.sent(0, 2, (number % 7) as f64 * 900.0, 40.0);
+        engine.record_sent(0, 2, (number % 7) as f64 * 900.0, 40.0);
         fleet.add(engine);
     }
     fleet
@@ -253,7 +253,7 @@
     let mut fleet = fleet(engines);
     time_us(500, |number| {
         for engine in fleet.iter_mut() {
-            engine.told(number as u64, "entry-0123", Outstanding::default());
+            engine.record_peer_load(number as u64, "entry-0123", Outstanding::default());
         }
     })
 }
--- a/crates/perf/src/trace.rs
+++ b/crates/perf/src/trace.rs
@@ -2,7 +2,7 @@
 
 use derive_more::{Display, FromStr};
 use model::{Deployment, Kind, Traffic};
-use plan::Shape;
+use plan::EngineProfile;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use serde::Serialize;
@@ -147,8 +147,8 @@
 }
 
 /// Engine time of a request at the mixed role with half a batch, by which load is counted.
-pub(crate) fn nominal_ms(shape: &Shape, prompt_tokens: f64, output_tokens: f64) -> f64 {
-    let chunk = f64::from(Shape::chunk(conf::Role::Mixed));
+pub(crate) fn nominal_ms(shape: &EngineProfile, prompt_tokens: f64, output_tokens: f64) -> f64 {
+    let chunk = f64::from(EngineProfile::chunk_tokens(conf::Role::Mixed));
     let running = f64::from(shape.max_running) / 2.0;
     prompt_tokens * (shape.token_ms + shape.base_ms / chunk)
         + output_tokens * (shape.sequence_ms + shape.base_ms / running)
@@ -231,7 +231,11 @@
 
 fn mean_work_ms(deployment: Deployment, kind: Kind) -> f64 {
     let (prompt, output) = Traffic::of(deployment).tokens(kind);
-    nominal_ms(&Shape::default(), f64::from(prompt), f64::from(output))
+    nominal_ms(
+        &EngineProfile::default(),
+        f64::from(prompt),
+        f64::from(output),
+    )
 }
 
 #[expect(
--- a/crates/plan/src/admission.rs
+++ b/crates/plan/src/admission.rs
@@ -8,7 +8,7 @@
 /// Why a request is refused before anything of it reached an upstream.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Limit {
+pub enum RefusalReason {
     /// No upstream is predicted to finish it in time.
     #[display("no upstream would finish it by its deadline")]
     Deadline,
@@ -27,20 +27,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub limit: Limit,
+    pub reason: RefusalReason,
     /// When another try may go better.
     pub retry_after_ms: u64,
 }
 
 /// Requests in flight by workspace at this instance.
 #[derive(Debug, Clone, Default)]
-pub struct Workspaces {
+pub struct WorkspaceLimiter {
     in_flight: HashMap<String, u32>,
 }
 
-impl Workspaces {
+impl WorkspaceLimiter {
     /// Takes a place for a request, if the workspace has one left.
-    pub fn enter(&mut self, workspace: &str, most: u32) -> bool {
+    pub fn try_acquire(&mut self, workspace: &str, most: u32) -> bool {
         if let Some(count) = self.in_flight.get_mut(workspace) {
             if *count >= most {
                 return false;
@@ -53,7 +53,7 @@
     }
 
     /// Gives the place back. Idle workspaces cost no memory.
-    pub fn leave(&mut self, workspace: &str) {
+    pub fn release(&mut self, workspace: &str) {
         let Some(count) = self.in_flight.get_mut(workspace) else {
             return;
         };
@@ -64,7 +64,7 @@
     }
 
     /// Workspaces with requests in flight.
-    pub fn busy(&self) -> usize {
+    pub fn active(&self) -> usize {
         self.in_flight.len()
     }
 }
--- a/crates/plan/src/deadline.rs
+++ b/crates/plan/src/deadline.rs
@@ -4,7 +4,7 @@
 //! what is left while another upstream could still answer, is from "A hundred per cent success
 //! rate and one usable answer"; docs/design/retries.md has the share measured against others.
 
-use crate::Shape;
+use crate::EngineProfile;
 
 /// Share of the remaining time that one attempt may spend while another upstream is available.
 const ATTEMPT_SHARE: f64 = 0.6;
@@ -14,12 +14,12 @@
 
 /// Time that an attempt may take to show a sign of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptBudget {
+pub struct AttemptTimeout {
     /// Time for the attempt; none left means that no further attempt is made.
-    pub spend_ms: u64,
+    pub timeout_ms: u64,
 }
 
-impl AttemptBudget {
+impl AttemptTimeout {
     /// What an attempt may spend of the time left, with `others` upstreams that could still
     /// answer instead.
     pub fn next(left_ms: u64, others: usize) -> Option<Self> {
@@ -32,7 +32,7 @@
             (left_ms as f64 * ATTEMPT_SHARE) as u64
         };
         Some(Self {
-            spend_ms: spend_ms.max(LEAST_ATTEMPT_MS),
+            timeout_ms: spend_ms.max(LEAST_ATTEMPT_MS),
         })
     }
 }
@@ -41,7 +41,7 @@
 ///
 /// Even alone on the engine its output takes this long. Cancelling it then frees the engine of
 /// work for nobody, and its caller gets its final answer while it can still act on it.
-pub fn give_up_ms(shape: &Shape, due_ms: f64, output_tokens: f64) -> f64 {
+pub fn give_up_ms(shape: &EngineProfile, due_ms: f64, output_tokens: f64) -> f64 {
     due_ms - output_tokens * shape.iteration_ms(1.0, 0.0)
 }
 
@@ -69,12 +69,12 @@
 
 impl RetryBudget {
     /// A first attempt was made.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.parts = (self.parts + 1).min(SAVED * PARTS);
     }
 
     /// Whether a retry may be made; takes it from the budget.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let left = self.parts.checked_sub(PARTS);
         self.parts = left.unwrap_or(self.parts);
         left.is_some()
--- a/crates/plan/src/ejection.rs
+++ b/crates/plan/src/ejection.rs
@@ -20,9 +20,9 @@
 
 /// Whether an upstream is fit for work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HealthStatus {
     /// It is.
-    Fit,
+    Healthy,
     /// It may be tried with one request that can be repeated.
     Probe,
     /// It is not.
@@ -67,7 +67,7 @@
     ///
     /// The pace of the output tells an engine's health better than the time to the first token,
     /// which says more of the queue than of the engine.
-    pub fn answered(&mut self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
+    pub fn record_latency(&mut self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
         let ratio = (actual_ms / predicted_ms.max(1.0)).clamp(0.25, 20.0);
         self.failures = 0;
         if self.probing {
@@ -86,7 +86,7 @@
     }
 
     /// The upstream gave a sign of life: a token of any request.
-    pub fn sign(&mut self, now_ms: u64) {
+    pub fn record_activity(&mut self, now_ms: u64) {
         self.sign_ms = self.sign_ms.max(now_ms);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// A request failed for the upstream's own sake.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         self.failures += 1;
         if self.failures >= FAILURES || self.probing {
             self.probing = false;
@@ -112,7 +112,7 @@
     ///
     /// It is left alone at once: finding out takes hundreds of ms of a request's time, and a
     /// second request would find nothing else.
-    pub fn unreachable(&mut self, now_ms: u64) {
+    pub fn record_unreachable(&mut self, now_ms: u64) {
         self.probing = false;
         self.eject(now_ms);
     }
@@ -127,18 +127,18 @@
     }
 
     /// Whether it may get work now.
-    pub fn verdict(&self, now_ms: u64) -> Verdict {
+    pub fn status(&self, now_ms: u64) -> HealthStatus {
         if self.rest_until_ms == 0 {
-            return Verdict::Fit;
+            return HealthStatus::Healthy;
         }
         if now_ms < self.rest_until_ms || self.probing {
-            return Verdict::Ejected;
+            return HealthStatus::Ejected;
         }
-        Verdict::Probe
+        HealthStatus::Probe
     }
 
     /// A probe is on its way.
-    pub fn probe(&mut self) {
+    pub fn start_probe(&mut self) {
         self.probing = true;
     }
 }
--- a/crates/plan/src/shape.rs
+++ b/crates/plan/src/engine_profile.rs
@@ -17,7 +17,7 @@
 /// each running sequence's attention, and the prompt tokens taken along. It is the usual linear
 /// model of a batched step and leaves out the growth of attention with context length.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Shape {
+pub struct EngineProfile {
     /// Fixed time of an iteration.
     pub base_ms: f64,
     /// Time that each running sequence adds to an iteration.
@@ -32,7 +32,7 @@
     pub change_ms: u64,
 }
 
-impl Default for Shape {
+impl Default for EngineProfile {
     fn default() -> Self {
         Self {
             base_ms: 8.0,
@@ -45,12 +45,12 @@
     }
 }
 
-impl Shape {
+impl EngineProfile {
     /// Prompt tokens that one iteration takes along in a role.
     ///
     /// A large chunk reads long prompts faster and makes running sequences wait longer between
     /// tokens; the role is the choice between the two.
-    pub fn chunk(role: Role) -> u32 {
+    pub fn chunk_tokens(role: Role) -> u32 {
         match role {
             Role::Mixed => 512,
             Role::Prefill => 2048,
@@ -65,13 +65,13 @@
 
     /// Time to read `tokens` of prompts with `running` sequences beside them.
     pub fn prefill_ms(&self, role: Role, running: f64, tokens: f64) -> f64 {
-        let chunk = f64::from(Self::chunk(role));
+        let chunk = f64::from(Self::chunk_tokens(role));
         tokens / chunk * self.iteration_ms(running, chunk)
     }
 
     /// Least engine time that a request can take, with the fixed part shared by full batches.
-    pub fn least_work_ms(&self, prompt_tokens: f64, output_tokens: f64) -> f64 {
-        let chunk = f64::from(Self::chunk(Role::Prefill));
+    pub fn min_work_ms(&self, prompt_tokens: f64, output_tokens: f64) -> f64 {
+        let chunk = f64::from(Self::chunk_tokens(Role::Prefill));
         let batch = f64::from(self.max_running);
         let prompt = prompt_tokens * (self.token_ms + self.base_ms / chunk);
         prompt + output_tokens * (self.sequence_ms + self.base_ms / batch)
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use conf::Role;
 
-use crate::{Forecast, Health, RANKS, Shape, Verdict};
+use crate::{EngineProfile, Forecast, Health, HealthStatus, RANKS};
 
 /// Age at which what a peer said of its own load is no longer counted.
 const PEER_STALE_MS: u64 = 3_000;
@@ -25,7 +25,7 @@
 
 /// Load as an engine last reported it, late.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// When it was true, on our clock.
     pub at_ms: u64,
     /// Prompt tokens waiting, by rank.
@@ -70,7 +70,7 @@
     }
 
     /// Prompt tokens at this rank or before it.
-    pub fn ahead(&self, rank: usize) -> f64 {
+    pub fn prompt_ahead(&self, rank: usize) -> f64 {
         self.prompt.iter().take(rank + 1).sum()
     }
 }
@@ -91,50 +91,50 @@
     /// Group whose lease orders come under.
     pub group: String,
     /// Time of one way to it.
-    pub distance_ms: f64,
+    pub one_way_delay_ms: f64,
     /// Role it plays.
     pub role: Role,
     /// Whether it can be given work.
     pub presence: Presence,
     /// What it can do.
-    pub shape: Shape,
+    pub profile: EngineProfile,
     /// How its answers compare with predictions.
     pub health: Health,
-    report: Report,
+    report: LoadReport,
     own: Outstanding,
     own_at_report: Outstanding,
     peers: HashMap<String, Told>,
     /// Share of time spent on prompts, by rank, as a moving average of what was sent.
-    pub busy: [f64; RANKS],
+    pub prefill_utilization: [f64; RANKS],
 }
 
 impl Engine {
     /// An engine of which nothing is known but its name.
-    pub fn new(name: &str, model: &str, group: &str, shape: Shape) -> Self {
+    pub fn new(name: &str, model: &str, group: &str, shape: EngineProfile) -> Self {
         Self {
             name: name.to_owned(),
             model: model.to_owned(),
             group: group.to_owned(),
-            distance_ms: 0.0,
+            one_way_delay_ms: 0.0,
             role: Role::Mixed,
             presence: Presence::Live,
-            shape,
+            profile: shape,
             health: Health::default(),
-            report: Report::default(),
+            report: LoadReport::default(),
             own: Outstanding::default(),
             own_at_report: Outstanding::default(),
             peers: HashMap::new(),
-            busy: [0.0; RANKS],
+            prefill_utilization: [0.0; RANKS],
         }
     }
 
     /// What the engine last reported.
-    pub fn report(&self) -> &Report {
+    pub fn report(&self) -> &LoadReport {
         &self.report
     }
 
     /// Takes in a report.
-    pub fn reported(&mut self, report: Report) {
+    pub fn record_report(&mut self, report: LoadReport) {
         if report.at_ms >= self.report.at_ms {
             self.report = report;
             self.own_at_report = self.own;
@@ -142,7 +142,7 @@
     }
 
     /// Takes in what a peer says that it has outstanding here.
-    pub fn told(&mut self, now_ms: u64, peer: &str, load: Outstanding) {
+    pub fn record_peer_load(&mut self, now_ms: u64, peer: &str, load: Outstanding) {
         let told = Told {
             at_ms: now_ms,
             load,
@@ -151,14 +151,20 @@
     }
 
     /// Work of our own that is not finished.
-    pub fn own(&self) -> &Outstanding {
+    pub fn own_load(&self) -> &Outstanding {
         &self.own
     }
 
     /// A request was sent; to an engine that rests it is the probe.
-    pub fn sent(&mut self, now_ms: u64, rank: usize, prompt_tokens: f64, output_tokens: f64) {
-        if self.health.verdict(now_ms) == Verdict::Probe {
-            self.health.probe();
+    pub fn record_sent(
+        &mut self,
+        now_ms: u64,
+        rank: usize,
+        prompt_tokens: f64,
+        output_tokens: f64,
+    ) {
+        if self.health.status(now_ms) == HealthStatus::Probe {
+            self.health.start_probe();
         }
         self.own.prompt[rank] += prompt_tokens;
         self.own.waiting[rank] += 1.0;
@@ -166,22 +172,22 @@
     }
 
     /// A request's first token came.
-    pub fn started(&mut self, rank: usize, prompt_tokens: f64) {
+    pub fn record_first_token(&mut self, rank: usize, prompt_tokens: f64) {
         self.own.prompt[rank] = (self.own.prompt[rank] - prompt_tokens).max(0.0);
         self.own.waiting[rank] = (self.own.waiting[rank] - 1.0).max(0.0);
         self.own.running += 1.0;
     }
 
     /// A request that had started is over.
-    pub fn ended(&mut self, output_tokens: f64) {
+    pub fn record_finished(&mut self, output_tokens: f64) {
         self.own.running = (self.own.running - 1.0).max(0.0);
         self.own.output = (self.own.output - output_tokens).max(0.0);
     }
 
     /// A request is over that never started.
-    pub fn dropped(&mut self, rank: usize, prompt_tokens: f64, output_tokens: f64) {
-        self.started(rank, prompt_tokens);
-        self.ended(output_tokens);
+    pub fn record_dropped(&mut self, rank: usize, prompt_tokens: f64, output_tokens: f64) {
+        self.record_first_token(rank, prompt_tokens);
+        self.record_finished(output_tokens);
     }
 
     /// The load as best known: our own work exactly, that of others as they last said it.
@@ -238,12 +244,12 @@
     }
 
     /// Place of an engine by name.
-    pub fn place(&self, name: &str) -> Option<usize> {
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
     /// Places of the engines that serve a model.
-    pub fn of_model(&self, model: &str) -> &[usize] {
+    pub fn indices_of_model(&self, model: &str) -> &[usize] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
@@ -259,18 +265,18 @@
 
     /// Spreads the prompts that are coming over a model's live engines, so that predictions
     /// count the work of higher rank that will arrive while a request waits.
-    pub fn expect(&mut self, model: &str, forecast: &Forecast) {
-        let places = self.of_model(model).to_vec();
+    pub fn apply_forecast(&mut self, model: &str, forecast: &Forecast) {
+        let places = self.indices_of_model(model).to_vec();
         let live = places
             .iter()
             .filter(|&&place| self.get(place).presence == Presence::Live);
         let live = live.count().max(1) as f64;
         for place in places {
             let engine = self.get_mut(place);
-            let chunk = f64::from(Shape::chunk(engine.role));
-            let pace = chunk / engine.shape.iteration_ms(engine.own.running, chunk);
-            for (rank, busy) in engine.busy.iter_mut().enumerate() {
-                *busy = forecast.prompt_rate_of(rank) / live / pace;
+            let chunk = f64::from(EngineProfile::chunk_tokens(engine.role));
+            let pace = chunk / engine.profile.iteration_ms(engine.own.running, chunk);
+            for (rank, busy) in engine.prefill_utilization.iter_mut().enumerate() {
+                *busy = forecast.prompt_rate_at(rank) / live / pace;
             }
         }
     }
--- a/crates/plan/src/forecast.rs
+++ b/crates/plan/src/forecast.rs
@@ -23,7 +23,13 @@
 
 impl Forecast {
     /// Work arrived.
-    pub fn arrived(&mut self, now_ms: u64, rank: usize, prompt_tokens: f64, output_tokens: f64) {
+    pub fn record_arrival(
+        &mut self,
+        now_ms: u64,
+        rank: usize,
+        prompt_tokens: f64,
+        output_tokens: f64,
+    ) {
         self.decay(now_ms);
         self.rate.prompt += prompt_tokens / MEMORY_MS;
         self.rate.output += output_tokens / MEMORY_MS;
@@ -48,7 +54,7 @@
 
     /// The same mix with the rates that other instances tell added.
     #[must_use]
-    pub fn with_others(&self, prompt_rate: f64, output_rate: f64) -> Self {
+    pub fn with_peer_rates(&self, prompt_rate: f64, output_rate: f64) -> Self {
         let mut all = *self;
         if self.rate.prompt > 0.0 {
             let factor = 1.0 + prompt_rate / self.rate.prompt;
@@ -77,12 +83,12 @@
     }
 
     /// Prompt tokens a ms at one rank, now.
-    pub fn prompt_rate_of(&self, rank: usize) -> f64 {
+    pub fn prompt_rate_at(&self, rank: usize) -> f64 {
         self.prompt_by_rank[rank]
     }
 
     /// Requests a ms at one rank, now.
-    pub fn count_rate_of(&self, rank: usize) -> f64 {
+    pub fn request_rate_at(&self, rank: usize) -> f64 {
         self.count_by_rank[rank]
     }
 
--- a/crates/plan/src/copying.rs
+++ b/crates/plan/src/kv_copy.rs
@@ -4,7 +4,7 @@
 //! that holds it can read the rest of in time. Reading the part at a second engine takes that one
 //! a quarter of a second, in which nothing else is read there; copying it takes some ms of a link.
 //! So a held part is read once. Whether it is worth the memory that it takes at one more engine is
-//! weighed where the engine is chosen, in `staged`.
+//! weighed where the engine is chosen, in `placement`.
 
 /// Time to set a transfer up, in ms: the users' engines are described with 4, and a round trip.
 const SET_UP_MS: f64 = 5.0;
@@ -18,14 +18,14 @@
 
 /// What a transfer between engines of one service costs.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Link {
+pub struct KvLink {
     /// Size of a token's KV cache.
     pub token_bytes: f64,
     /// Speed of an engine's link.
     pub mbps: f64,
 }
 
-impl Link {
+impl KvLink {
     /// Time to move the KV cache of some tokens.
     pub fn transfer_ms(&self, tokens: f64, is_same_zone: bool) -> f64 {
         let bits = tokens * self.token_bytes * 8.0;
@@ -41,7 +41,7 @@
 
 /// An engine that holds the start of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Holder {
+pub struct PrefixHolder {
     /// Tokens of the prompt that it is believed to hold.
     pub tokens: f64,
     /// Whether it is in the zone of the engine that would copy.
@@ -52,7 +52,7 @@
 
 /// A copy that is worth its transfer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Copied {
+pub struct KvCopy {
     /// Index of the engine to copy from.
     pub from: usize,
     /// Tokens of the prompt that are held after it.
@@ -64,10 +64,10 @@
 /// The copy with which an engine that holds `own_tokens` of a prompt has most of it to read no
 /// more; among equal ones the nearest, then the one with the least to do.
 pub fn best_copy(
-    link: &Link,
+    link: &KvLink,
     own_tokens: f64,
-    holders: impl Iterator<Item = Holder>,
-) -> Option<Copied> {
+    holders: impl Iterator<Item = PrefixHolder>,
+) -> Option<KvCopy> {
     if !link.is_known() {
         return None;
     }
@@ -80,7 +80,7 @@
             let by_load = b.requests.total_cmp(&a.requests);
             by_tokens.then(by_zone).then(by_load)
         })?;
-    Some(Copied {
+    Some(KvCopy {
         from,
         tokens: holder.tokens,
         transfer_ms: link.transfer_ms(holder.tokens - own_tokens, holder.is_same_zone),
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/latency_model.rs
@@ -31,7 +31,7 @@
 
 /// One answer as it teaches the pace.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Seen {
+pub struct PrefillSample {
     /// Work of its prompt, in tokens.
     pub own_tokens: f64,
     /// Work that stood before it, in tokens.
@@ -42,14 +42,14 @@
 
 /// What was learned of the engines of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct LatencyModel {
     token_ms: f64,
     base_ms: f64,
     beside_ms: f64,
     hand_over_ms: f64,
 }
 
-impl Default for Pace {
+impl Default for LatencyModel {
     fn default() -> Self {
         Self {
             token_ms: FIRST_GUESS_MS,
@@ -60,13 +60,13 @@
     }
 }
 
-impl Pace {
+impl LatencyModel {
     /// A prompt was read at an engine that does nothing else.
     ///
     /// The error is shared out between the fixed time and the time of a token by how much each
     /// has to do with this answer (normalised least mean squares).
-    pub fn learn(&mut self, seen: &Seen) {
-        let queued = self.unread_tokens(seen.queued_tokens);
+    pub fn record_prefill(&mut self, seen: &PrefillSample) {
+        let queued = self.pending_tokens(seen.queued_tokens);
         let tokens = seen.own_tokens + queued;
         let off_ms = seen.elapsed_ms - self.base_ms - tokens * self.token_ms;
         let length = tokens / USUAL_TOKENS;
@@ -79,13 +79,13 @@
 
     /// An engine that makes output read a prompt beside it, and was off the prediction by `off_ms`
     /// after a predicted wait of `wait_ms` and an own time of `own_ms`.
-    pub fn learn_beside(&mut self, off_ms: f64, wait_ms: f64, own_ms: f64) {
+    pub fn record_decode_prefill(&mut self, off_ms: f64, wait_ms: f64, own_ms: f64) {
         let step_ms = clearness(own_ms, wait_ms) * bounded_step(off_ms);
         self.beside_ms = (self.beside_ms + step_ms).max(0.0);
     }
 
     /// A prompt's KV cache was handed over, and was off the prediction by `off_ms`.
-    pub fn learn_hand_over(&mut self, off_ms: f64) {
+    pub fn record_kv_transfer(&mut self, off_ms: f64) {
         self.hand_over_ms = (self.hand_over_ms + bounded_step(off_ms)).max(0.0);
     }
 
@@ -95,17 +95,17 @@
     }
 
     /// Fixed time of an answer of an engine that only reads, in ms.
-    pub fn base_ms(&self) -> f64 {
+    pub fn prefill_base_ms(&self) -> f64 {
         self.base_ms
     }
 
     /// Fixed time of an answer of an engine that reads beside output, in ms.
-    pub fn beside_ms(&self) -> f64 {
+    pub fn decode_base_ms(&self) -> f64 {
         self.beside_ms
     }
 
     /// Time from a prompt that was read elsewhere to the output's start, in ms.
-    pub fn hand_over_ms(&self) -> f64 {
+    pub fn kv_transfer_ms(&self) -> f64 {
         self.hand_over_ms
     }
 
@@ -113,7 +113,7 @@
     ///
     /// A prompt counts as unread until its answer begins, which is the fixed time after it was
     /// read. So as much as an engine reads in that time is read already, and is not waited for.
-    pub fn unread_tokens(&self, queued_tokens: f64) -> f64 {
+    pub fn pending_tokens(&self, queued_tokens: f64) -> f64 {
         (queued_tokens - self.base_ms / self.token_ms).max(0.0)
     }
 }
--- a/crates/plan/src/lateness.rs
+++ b/crates/plan/src/lateness.rs
@@ -34,11 +34,11 @@
 
 /// A request that would be late.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Waiting {
+pub struct LateRequest {
     /// Objective of its start.
     pub goal_ms: f64,
     /// Time that it takes itself.
-    pub own_ms: f64,
+    pub processing_ms: f64,
     /// Time that its caller has waited before this attempt.
     pub waited_ms: f64,
     /// Time that it may still take, by its deadline.
@@ -47,14 +47,14 @@
 
 impl LatestStart {
     /// Time from now until which it must have started, or is refused now.
-    pub fn wait_ms(&self, request: &Waiting) -> f64 {
+    pub fn max_wait_ms(&self, request: &LateRequest) -> f64 {
         let objectives = if request.waited_ms >= CAME_BACK_MS {
             self.returning
         } else {
             self.new
         };
         let goal_ms = request.goal_ms;
-        let by_length_ms = request.own_ms + goal_ms * LONGEST_WAIT;
+        let by_length_ms = request.processing_ms + goal_ms * LONGEST_WAIT;
         (goal_ms * objectives)
             .max(by_length_ms)
             .min(request.left_ms)
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -4,39 +4,42 @@
 //! very same lines. See docs/design/routing.md, admission.md, retries.md and roles.md.
 
 mod admission;
-mod copying;
 mod deadline;
 mod ejection;
+mod engine_profile;
 mod fairness;
 mod fleet;
 mod forecast;
+mod kv_copy;
+mod latency_model;
 mod lateness;
-mod limits;
-mod pace;
-mod prefixes;
-mod repeats;
+mod placement;
+mod prefix_index;
+mod rate_limit;
+mod retry_budget;
 mod roles;
 mod rollout;
 mod route;
-mod shape;
 mod split;
-mod staged;
 
-pub use admission::{Limit, Refusal, Workspaces};
-pub use copying::{Copied, Holder, Link, best_copy};
-pub use deadline::{AttemptBudget, RetryBudget, give_up_ms};
-pub use ejection::{Health, Verdict};
+pub use admission::{Refusal, RefusalReason, WorkspaceLimiter};
+pub use deadline::{AttemptTimeout, RetryBudget, give_up_ms};
+pub use ejection::{Health, HealthStatus};
+pub use engine_profile::{EngineProfile, RANKS, rank_index};
 pub use fairness::Fairness;
-pub use fleet::{Engine, Fleet, Outstanding, Presence, Report};
+pub use fleet::{Engine, Fleet, LoadReport, Outstanding, Presence};
 pub use forecast::Forecast;
-pub use lateness::{LatestStart, Waiting};
-pub use limits::{Bucket, Position};
-pub use pace::{Pace, Seen};
-pub use prefixes::Prefixes;
-pub use repeats::{RepeatTerms, Repeats, Share};
-pub use roles::{Assignment, RoleChange, RolePlanner, RoleSettings};
-pub use rollout::moves_over;
+pub use kv_copy::{KvCopy, KvLink, PrefixHolder, best_copy};
+pub use latency_model::{LatencyModel, PrefillSample};
+pub use lateness::{LateRequest, LatestStart};
+pub use placement::{DecodeRequest, EngineView, Prediction, cheapest, work_tokens};
+pub use prefix_index::PrefixIndex;
+pub use rate_limit::{InstancePosition, TokenBucket};
+pub use retry_budget::{BudgetShare, FleetRetryBudget, RetryBudgetSettings};
+pub use roles::{RoleChange, RoleCounts, RolePlanner, RoleSettings};
+pub use rollout::should_switch_version;
 pub use route::{Choice, Request, RouteSettings, Router};
-pub use shape::{RANKS, Shape, rank_index};
-pub use split::{Demand, Peak, Rate, Split, SplitPlan, Turn, readers_wanted, turns_at_once};
-pub use staged::{Ask, EngineView, Predicted, least, work_tokens};
+pub use split::{
+    Demand, MovingRate, PeakDemand, RoleSplit, SplitChange, SplitPlanner, max_changes_at_once,
+    wanted_prefill_engines,
+};
--- a/crates/plan/src/staged.rs
+++ b/crates/plan/src/placement.rs
@@ -8,7 +8,7 @@
 //! the instances tell each other; a part that nobody holds has a home that each derives from its
 //! id alone. See docs/design/platform.md.
 
-use crate::Pace;
+use crate::LatencyModel;
 
 /// Tokens whose reading costs as much as attending a million pairs of tokens. Attention grows
 /// with the square of the prompt; for two fleets of different engines the ratio was 32 and 41.
@@ -58,7 +58,7 @@
     /// Work sent there that it has still to read, in tokens.
     pub queued_tokens: f64,
     /// Work there of later ranks; what of it is being read by now is not put back.
-    pub later_tokens: f64,
+    pub lower_priority_tokens: f64,
     /// Tokens of this prompt that it is believed to hold.
     pub cached_tokens: f64,
     /// Time to copy those of them that it does not hold yet from another engine.
@@ -72,7 +72,7 @@
     /// Requests that it runs at once.
     pub slots: f64,
     /// Time of one way to it.
-    pub distance_ms: f64,
+    pub one_way_delay_ms: f64,
     /// How much slower than predicted it has been.
     pub slowness: f64,
 }
@@ -96,17 +96,17 @@
 
     /// What is expected to be left of a prompt of a later rank that is being read.
     fn being_read_tokens(&self) -> f64 {
-        self.later_tokens.min(LATE_TOKENS) * UNREAD_SHARE
+        self.lower_priority_tokens.min(LATE_TOKENS) * UNREAD_SHARE
     }
 }
 
 /// What an engine for output is asked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct DecodeRequest {
     /// Length of the prompt.
     pub prompt_tokens: f64,
     /// Time that a place in a full batch takes to come free.
-    pub place_ms: f64,
+    pub slot_turnover_ms: f64,
     /// Longest pause between two events that is on time.
     pub gap_goal_ms: f64,
     /// Tokens that come with one event.
@@ -115,24 +115,24 @@
 
 /// A prediction, split by what causes it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Predicted {
+pub struct Prediction {
     /// Time behind other requests.
     pub wait_ms: f64,
     /// Time for the request itself.
-    pub own_ms: f64,
+    pub processing_ms: f64,
     /// Time that it takes from the other requests of the engine, weighed.
-    pub harm_ms: f64,
+    pub interference_ms: f64,
 }
 
-impl Predicted {
+impl Prediction {
     /// Time until the request is served.
     pub fn total_ms(&self) -> f64 {
-        self.wait_ms + self.own_ms
+        self.wait_ms + self.processing_ms
     }
 
     /// What placements are compared by.
     pub fn cost_ms(&self) -> f64 {
-        self.total_ms() + self.harm_ms
+        self.total_ms() + self.interference_ms
     }
 }
 
@@ -143,38 +143,41 @@
     own + pairs / 1e6 * TOKENS_A_MILLION_PAIRS
 }
 
-impl Pace {
+impl LatencyModel {
     /// Time until an engine that only reads prompts has read this one.
-    pub fn prefill_ms(&self, view: &EngineView, prompt_tokens: f64) -> Predicted {
+    pub fn predict_prefill(&self, view: &EngineView, prompt_tokens: f64) -> Prediction {
         let own = work_tokens(prompt_tokens, view.cached_tokens);
         let token_ms = self.token_ms() * view.slowness.max(1.0);
-        Predicted {
-            wait_ms: self.unread_tokens(view.queued_tokens + view.being_read_tokens()) * token_ms,
-            own_ms: 2.0 * view.distance_ms + view.copy_ms + self.base_ms() + own * token_ms,
-            harm_ms: view.displacing_ms(),
+        Prediction {
+            wait_ms: self.pending_tokens(view.queued_tokens + view.being_read_tokens()) * token_ms,
+            processing_ms: 2.0 * view.one_way_delay_ms
+                + view.copy_ms
+                + self.prefill_base_ms()
+                + own * token_ms,
+            interference_ms: view.displacing_ms(),
         }
     }
 
     /// Time until a decoding engine has read a prompt itself and waited for a place.
-    pub fn decode_ms(&self, view: &EngineView, ask: &Ask) -> Predicted {
+    pub fn predict_decode(&self, view: &EngineView, ask: &DecodeRequest) -> Prediction {
         let own = work_tokens(ask.prompt_tokens, view.cached_tokens);
         let token_ms = self.token_beside_ms(view);
         let read_ms = own * token_ms;
         let fixed_ms = if own > 0.0 {
-            self.beside_ms()
+            self.decode_base_ms()
         } else {
-            self.hand_over_ms()
+            self.kv_transfer_ms()
         };
-        Predicted {
-            wait_ms: self.unread_beside_ms(view, token_ms) + view.place_ms(ask.place_ms),
-            own_ms: 2.0 * view.distance_ms + view.copy_ms + fixed_ms + read_ms,
-            harm_ms: self.pausing_ms(view, ask, read_ms) + view.displacing_ms(),
+        Prediction {
+            wait_ms: self.unread_beside_ms(view, token_ms) + view.place_ms(ask.slot_turnover_ms),
+            processing_ms: 2.0 * view.one_way_delay_ms + view.copy_ms + fixed_ms + read_ms,
+            interference_ms: self.pausing_ms(view, ask, read_ms) + view.displacing_ms(),
         }
     }
 
     /// Time to read what is really still to be read at an engine that makes output.
     fn unread_beside_ms(&self, view: &EngineView, token_ms: f64) -> f64 {
-        (view.queued_tokens * token_ms - self.beside_ms()).max(0.0)
+        (view.queued_tokens * token_ms - self.decode_base_ms()).max(0.0)
     }
 
     /// Time of one token of work that is read beside output.
@@ -189,7 +192,7 @@
     /// there counts with this one. Where the pause gets too long, all who make output there lose as
     /// much as the read takes, and once more for each further pause of a long one. With the usual
     /// pause, steps without a read are counted already.
-    fn pausing_ms(&self, view: &EngineView, ask: &Ask, read_ms: f64) -> f64 {
+    fn pausing_ms(&self, view: &EngineView, ask: &DecodeRequest, read_ms: f64) -> f64 {
         let before = ask.prompt_tokens.max(PIECE_TOKENS) - PIECE_TOKENS;
         let piece = work_tokens(before + PIECE_TOKENS, before);
         let token_ms = self.token_beside_ms(view);
@@ -213,7 +216,7 @@
 }
 
 /// Index of the least time, and what is predicted there.
-pub fn least(predicted: impl Iterator<Item = Predicted>) -> Option<(usize, Predicted)> {
+pub fn cheapest(predicted: impl Iterator<Item = Prediction>) -> Option<(usize, Prediction)> {
     predicted
         .enumerate()
         .min_by(|a, b| a.1.cost_ms().total_cmp(&b.1.cost_ms()))
--- a/crates/plan/src/prefixes.rs
+++ b/crates/plan/src/prefix_index.rs
@@ -13,14 +13,14 @@
 /// Events come late and with gaps, so this is a hint: the engine's own word on what it reused
 /// corrects it, and a wrong hint costs a slower prompt, never a wrong answer.
 #[derive(Debug, Clone, Default)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     holders: HashMap<u64, Vec<(usize, f64)>>,
     order: VecDeque<u64>,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// An engine is believed to hold a prefix of so many tokens.
-    pub fn held(&mut self, prefix: u64, engine: usize, tokens: f64) {
+    pub fn record_holder(&mut self, prefix: u64, engine: usize, tokens: f64) {
         if !self.holders.contains_key(&prefix) {
             self.order.push_back(prefix);
             if self.order.len() > REMEMBERED
@@ -38,7 +38,7 @@
     }
 
     /// Tokens of a prefix that an engine is believed to hold.
-    pub fn tokens(&self, prefix: u64, engine: usize) -> f64 {
+    pub fn cached_tokens(&self, prefix: u64, engine: usize) -> f64 {
         let holders = self.holders.get(&prefix);
         let holder = holders.and_then(|holders| holders.iter().find(|holder| holder.0 == engine));
         holder.map_or(0.0, |holder| holder.1)
--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/rate_limit.rs
@@ -14,18 +14,18 @@
 
 /// An instance's place among those that serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Position {
+pub struct InstancePosition {
     /// Instances before it in the order that all know; as many as there are, if it is not among them.
     pub rank: usize,
     /// Instances that serve.
     pub instances: usize,
 }
 
-impl Position {
+impl InstancePosition {
     /// This instance's part of the limit of an upstream, in requests a second.
     ///
     /// Who has a part differs from upstream to upstream, so that no instance has a part of each.
-    pub fn part_per_s(&self, limit_per_s: f64, upstream: u64) -> f64 {
+    pub fn share_per_s(&self, limit_per_s: f64, upstream: u64) -> f64 {
         if self.rank >= self.instances {
             return 0.0;
         }
@@ -45,22 +45,22 @@
 /// One that came into use full would let each new user of a limit send at once, while what the users before it have
 /// sent still counts.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     per_s: f64,
     at_ms: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Whether a request may go now, at a rate of `per_s`.
-    pub fn has_one(&mut self, now_ms: u64, per_s: f64) -> bool {
+    pub fn has_token(&mut self, now_ms: u64, per_s: f64) -> bool {
         self.fill(now_ms, per_s);
         self.tokens >= 1.0
     }
 
     /// Takes one request, if it may go now.
-    pub fn take(&mut self, now_ms: u64, per_s: f64) -> bool {
-        let may = self.has_one(now_ms, per_s);
+    pub fn try_take(&mut self, now_ms: u64, per_s: f64) -> bool {
+        let may = self.has_token(now_ms, per_s);
         if may {
             self.tokens -= 1.0;
         }
--- a/crates/plan/src/repeats.rs
+++ b/crates/plan/src/retry_budget.rs
@@ -21,7 +21,7 @@
 
 /// Terms of the bound.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatTerms {
+pub struct RetryBudgetSettings {
     /// Repeats for each first send.
     pub ratio: f64,
     /// Window, in ms.
@@ -30,7 +30,7 @@
     pub slack: f64,
 }
 
-impl Default for RepeatTerms {
+impl Default for RetryBudgetSettings {
     fn default() -> Self {
         Self {
             ratio: 0.1,
@@ -42,19 +42,19 @@
 
 /// How an instance has a share in the fixed allowance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Share {
+pub struct BudgetShare {
     /// Instances among which it is split.
     pub instances: usize,
     /// Time for which the process has been running.
     pub age_ms: u64,
 }
 
-impl Share {
+impl BudgetShare {
     /// Its part of the allowance.
     ///
     /// A process does not know what the one before it sent, which still counts for a window. Were each to begin with
     /// a whole part, an instance that is killed some times in a window would use as many.
-    fn part(&self, terms: &RepeatTerms) -> f64 {
+    fn part(&self, terms: &RetryBudgetSettings) -> f64 {
         if self.age_ms < terms.window_ms {
             return 0.0;
         }
@@ -72,18 +72,23 @@
 /// First and repeated sends of one instance to one service, in two sliding windows: the requests of one window may
 /// pay for repeats in the next.
 #[derive(Debug, Clone, Default)]
-pub struct Repeats {
+pub struct FleetRetryBudget {
     slots: VecDeque<Slot>,
 }
 
-impl Repeats {
+impl FleetRetryBudget {
     /// A request was sent for the first time.
-    pub fn first(&mut self, now_ms: u64, terms: &RepeatTerms) {
+    pub fn record_first_send(&mut self, now_ms: u64, terms: &RetryBudgetSettings) {
         self.slot(now_ms, terms).first += 1;
     }
 
     /// Repeats that are left of this instance's part: the least that any window has left which one now would be in.
-    pub fn left(&mut self, now_ms: u64, terms: &RepeatTerms, share: &Share) -> f64 {
+    pub fn remaining(
+        &mut self,
+        now_ms: u64,
+        terms: &RetryBudgetSettings,
+        share: &BudgetShare,
+    ) -> f64 {
         let now = self.slot(now_ms, terms).number;
         let part = share.part(terms);
         let left = |start: u64| {
@@ -115,8 +120,13 @@
     }
 
     /// Whether one more repeat is within this instance's part, and counts it if so.
-    pub fn take(&mut self, now_ms: u64, terms: &RepeatTerms, share: &Share) -> bool {
-        if self.left(now_ms, terms, share) < 1.0 {
+    pub fn try_retry(
+        &mut self,
+        now_ms: u64,
+        terms: &RetryBudgetSettings,
+        share: &BudgetShare,
+    ) -> bool {
+        if self.remaining(now_ms, terms, share) < 1.0 {
             return false;
         }
         self.slot(now_ms, terms).again += 1;
@@ -124,14 +134,14 @@
     }
 
     /// First and repeated sends in the window.
-    pub fn counts(&mut self, now_ms: u64, terms: &RepeatTerms) -> (u32, u32) {
+    pub fn counts(&mut self, now_ms: u64, terms: &RetryBudgetSettings) -> (u32, u32) {
         let now = self.slot(now_ms, terms).number;
         let window = (now + 1).saturating_sub(SLOTS)..=now;
         let first = self.sum(window.clone(), |slot| slot.first);
         (first as u32, self.sum(window, |slot| slot.again) as u32)
     }
 
-    fn slot(&mut self, now_ms: u64, terms: &RepeatTerms) -> &mut Slot {
+    fn slot(&mut self, now_ms: u64, terms: &RetryBudgetSettings) -> &mut Slot {
         let number = now_ms * SLOTS / terms.window_ms.max(SLOTS);
         while self
             .slots
--- a/crates/plan/src/roles.rs
+++ b/crates/plan/src/roles.rs
@@ -2,7 +2,7 @@
 
 use conf::Role;
 
-use crate::{Fleet, Forecast, Presence, RANKS, Shape};
+use crate::{EngineProfile, Fleet, Forecast, Presence, RANKS};
 
 /// Longest pause between two tokens that callers of short answers bear.
 const LONGEST_PAUSE_MS: f64 = 48.0;
@@ -23,9 +23,9 @@
     /// 0 changes for any gain in goodput, 1 almost never; from the bundle.
     pub change_weight: f64,
     /// Least time that an engine keeps a role.
-    pub stay_ms: u64,
+    pub min_role_ms: u64,
     /// Engines in change at once, as a share of those that serve the model.
-    pub at_once_share: f64,
+    pub max_changing_share: f64,
     /// Time for which a mix is expected to last.
     pub horizon_ms: f64,
     /// Time for which a change must have looked worth it.
@@ -36,8 +36,8 @@
     fn default() -> Self {
         Self {
             change_weight: 0.3,
-            stay_ms: 30_000,
-            at_once_share: 0.12,
+            min_role_ms: 30_000,
+            max_changing_share: 0.12,
             horizon_ms: 60_000.0,
             settle_ms: 4_000,
         }
@@ -46,7 +46,7 @@
 
 /// How many engines play each role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Assignment {
+pub struct RoleCounts {
     /// Engines set up for long prompts.
     pub prefill: usize,
     /// Engines set up for output.
@@ -69,7 +69,7 @@
 pub struct RolePlanner {
     settings: RoleSettings,
     since_ms: std::collections::HashMap<usize, u64>,
-    wanted_since_ms: Option<(Assignment, u64)>,
+    wanted_since_ms: Option<(RoleCounts, u64)>,
 }
 
 impl RolePlanner {
@@ -100,11 +100,11 @@
             .iter()
             .filter(|&&place| fleet.get(place).presence == Presence::Changing)
             .count();
-        let at_once = ((engines.len() as f64 * self.settings.at_once_share) as usize).max(1);
+        let at_once = ((engines.len() as f64 * self.settings.max_changing_share) as usize).max(1);
         if live.len() < 2 || changing >= at_once {
             return Vec::new();
         }
-        let shape = fleet.get(live[0]).shape;
+        let shape = fleet.get(live[0]).profile;
         let current = count(fleet, &live);
         let Some(target) = self.target(&shape, current, forecast) else {
             self.wanted_since_ms = None;
@@ -129,10 +129,10 @@
     /// The neighbouring assignment whose gain over the horizon is worth the engine time it costs.
     fn target(
         &self,
-        shape: &Shape,
-        current: Assignment,
+        shape: &EngineProfile,
+        current: RoleCounts,
         forecast: &Forecast,
-    ) -> Option<Assignment> {
+    ) -> Option<RoleCounts> {
         let now = completed(shape, current, forecast);
         let best = neighbours(current)
             .into_iter()
@@ -152,14 +152,14 @@
         now_ms: u64,
         fleet: &Fleet,
         live: &[usize],
-        current: Assignment,
-        target: Assignment,
+        current: RoleCounts,
+        target: RoleCounts,
         allows: impl Fn(usize, Role) -> bool,
     ) -> Vec<RoleChange> {
         let (from, to) = step(current, target);
         let stayed = |place: &usize| {
             let since_ms = self.since_ms.get(place);
-            since_ms.is_none_or(|since_ms| now_ms >= since_ms + self.settings.stay_ms)
+            since_ms.is_none_or(|since_ms| now_ms >= since_ms + self.settings.min_role_ms)
         };
         let mut candidates: Vec<usize> = live
             .iter()
@@ -180,8 +180,8 @@
     }
 }
 
-fn count(fleet: &Fleet, live: &[usize]) -> Assignment {
-    let mut current = Assignment::default();
+fn count(fleet: &Fleet, live: &[usize]) -> RoleCounts {
+    let mut current = RoleCounts::default();
     for &place in live {
         match fleet.get(place).role {
             Role::Prefill => current.prefill += 1,
@@ -192,7 +192,7 @@
     current
 }
 
-fn neighbours(current: Assignment) -> Vec<Assignment> {
+fn neighbours(current: RoleCounts) -> Vec<RoleCounts> {
     let mut all = Vec::with_capacity(6);
     for (from, to) in [
         (Role::Mixed, Role::Prefill),
@@ -213,7 +213,7 @@
     all
 }
 
-fn slot(assignment: &mut Assignment, role: Role) -> &mut usize {
+fn slot(assignment: &mut RoleCounts, role: Role) -> &mut usize {
     match role {
         Role::Prefill => &mut assignment.prefill,
         Role::Decode => &mut assignment.decode,
@@ -221,7 +221,7 @@
     }
 }
 
-fn step(current: Assignment, target: Assignment) -> (Role, Role) {
+fn step(current: RoleCounts, target: RoleCounts) -> (Role, Role) {
     let (mut current, mut target) = (current, target);
     let mut from = Role::Mixed;
     let mut to = Role::Mixed;
@@ -243,10 +243,10 @@
 /// evenly. An engine that produces `o` tokens a ms beside prompts in chunks of `k` iterates in
 /// `t = (base + token * k) / (1 - sequence * o)` with `o * t` sequences running, and reads
 /// `k / t` prompt tokens a ms.
-fn completed(shape: &Shape, assignment: Assignment, forecast: &Forecast) -> f64 {
+fn completed(shape: &EngineProfile, assignment: RoleCounts, forecast: &Forecast) -> f64 {
     let last = RANKS - 1;
-    let early_prompt: f64 = (0..last).map(|rank| forecast.prompt_rate_of(rank)).sum();
-    let early_count: f64 = (0..last).map(|rank| forecast.count_rate_of(rank)).sum();
+    let early_prompt: f64 = (0..last).map(|rank| forecast.prompt_rate_at(rank)).sum();
+    let early_count: f64 = (0..last).map(|rank| forecast.request_rate_at(rank)).sum();
     let general = (assignment.mixed + assignment.decode).max(1) as f64;
     let output_each = forecast.output_rate() / general;
     let prompt_each = early_prompt / forecast.output_rate().max(1e-9);
@@ -271,8 +271,8 @@
     };
     let early = part(output, forecast.output_rate()).min(part(prompt, early_prompt));
     let left = apart + (prompt - early * early_prompt).max(0.0);
-    let late = part(left, forecast.prompt_rate_of(last));
-    early * early_count + late * forecast.count_rate_of(last)
+    let late = part(left, forecast.prompt_rate_at(last));
+    early * early_count + late * forecast.request_rate_at(last)
 }
 
 /// Output and prompt tokens a ms of one engine that is asked for `output` tokens a ms, each of
@@ -280,7 +280,7 @@
 ///
 /// Admission leaves prompts out where they would slow the output down too much, so only as much
 /// of a chunk is counted as keeps the iteration short enough.
-fn capacity(shape: &Shape, role: Role, output: f64, prompt: f64) -> (f64, f64) {
+fn capacity(shape: &EngineProfile, role: Role, output: f64, prompt: f64) -> (f64, f64) {
     let most = f64::from(shape.max_running);
     let each_ms = shape.sequence_ms + shape.token_ms * prompt;
     let taken = output.min(EVEN_SHARE * most / (shape.base_ms + most * each_ms));
@@ -292,7 +292,7 @@
     };
     let longest_ms = paced_ms.min(EVEN_SHARE * most / taken.max(1e-9));
     let room = (longest_ms * spare - shape.base_ms) / shape.token_ms;
-    let chunk = room.clamp(0.0, f64::from(Shape::chunk(role)));
+    let chunk = room.clamp(0.0, f64::from(EngineProfile::chunk_tokens(role)));
     let iteration_ms = shape.iteration_ms(0.0, chunk) / spare;
     (taken, chunk / iteration_ms)
 }
--- a/crates/plan/src/route.rs
+++ b/crates/plan/src/route.rs
@@ -3,7 +3,9 @@
 use conf::Role;
 use rand::Rng;
 
-use crate::{Engine, Fairness, Fleet, Limit, Outstanding, Presence, RANKS, Refusal, Verdict};
+use crate::{
+    Engine, Fairness, Fleet, HealthStatus, Outstanding, Presence, RANKS, Refusal, RefusalReason,
+};
 
 /// Engines up to which all are looked at. Above it a decision looks at a sample of this size, so
 /// that its cost does not grow with the fleet.
@@ -61,29 +63,29 @@
     /// Refuse what would not finish in time.
     pub refuse_late: bool,
     /// Weight of the delay that a request causes to others.
-    pub harm_weight: f64,
+    pub interference_weight: f64,
     /// Hold members to their shares under pressure.
-    pub fair: bool,
+    pub enforce_shares: bool,
     /// Share of the deadline that a prediction may use up.
     pub deadline_share: f64,
     /// Count cached prefixes.
-    pub prefixes: bool,
+    pub use_prefixes: bool,
     /// Share of the deadline at which the fleet counts as under pressure.
     pub pressure_share: f64,
     /// Choices within this factor of the best are drawn from at random.
-    pub spread: f64,
+    pub near_best_factor: f64,
 }
 
 impl Default for RouteSettings {
     fn default() -> Self {
         Self {
             refuse_late: true,
-            harm_weight: 0.5,
-            fair: true,
+            interference_weight: 0.5,
+            enforce_shares: true,
             deadline_share: 0.9,
-            prefixes: true,
+            use_prefixes: true,
             pressure_share: 0.8,
-            spread: 1.03,
+            near_best_factor: 1.03,
         }
     }
 }
@@ -92,7 +94,7 @@
 struct Scored {
     choice: Choice,
     score: f64,
-    verdict: Verdict,
+    verdict: HealthStatus,
 }
 
 /// Routing and admission of one instance.
@@ -124,13 +126,13 @@
         skip: &[usize],
         rng: &mut impl Rng,
     ) -> Result<Choice, Refusal> {
-        let places = sample(fleet.of_model(request.model), rng);
+        let places = sample(fleet.indices_of_model(request.model), rng);
         let mut scored = Vec::with_capacity(places.len());
         for place in places {
             if skip.contains(&place) {
                 continue;
             }
-            let cached = if self.settings.prefixes {
+            let cached = if self.settings.use_prefixes {
                 cached(place)
             } else {
                 0.0
@@ -139,14 +141,14 @@
         }
         let Some(best) = self.pick(request, &scored, rng) else {
             return Err(Refusal {
-                limit: Limit::NoUpstream,
+                reason: RefusalReason::NoUpstream,
                 retry_after_ms: 1_000,
             });
         };
         let work_ms = fleet
             .get(best.choice.engine)
-            .shape
-            .least_work_ms(best.choice.uncached_tokens, request.output_tokens);
+            .profile
+            .min_work_ms(best.choice.uncached_tokens, request.output_tokens);
         let verdict = self.admit(now_ms, request, &best, work_ms);
         let admitted = verdict.is_ok();
         self.fairness
@@ -164,16 +166,16 @@
         let finish_ms = best.choice.finish_ms;
         let late_ms = finish_ms - request.left_ms * self.settings.deadline_share;
         if self.settings.refuse_late && late_ms > 0.0 {
-            return Err(refusal(Limit::Deadline, late_ms));
+            return Err(refusal(RefusalReason::Deadline, late_ms));
         }
         let pressed = finish_ms > request.left_ms * self.settings.pressure_share;
         let urgent = request.rank == 0;
-        if self.settings.fair
+        if self.settings.enforce_shares
             && pressed
             && !urgent
             && !self.fairness.allows(now_ms, request.member, work_ms)
         {
-            return Err(refusal(Limit::Share, work_ms));
+            return Err(refusal(RefusalReason::Share, work_ms));
         }
         Ok(())
     }
@@ -189,14 +191,14 @@
         if engine.presence != Presence::Live {
             return None;
         }
-        let verdict = engine.health.verdict(now_ms);
+        let verdict = engine.health.status(now_ms);
         let load = engine.load(now_ms);
         let uncached_tokens = (request.prompt_tokens - cached).max(1.0);
         let choice = predict(engine, place, &load, request, uncached_tokens);
         let harm_ms = harm(engine, &load, request, uncached_tokens);
         Some(Scored {
             choice,
-            score: choice.finish_ms + self.settings.harm_weight * harm_ms,
+            score: choice.finish_ms + self.settings.interference_weight * harm_ms,
             verdict,
         })
     }
@@ -209,30 +211,35 @@
     /// than none.
     fn pick(&self, request: &Request, scored: &[Scored], rng: &mut impl Rng) -> Option<Scored> {
         let in_time = request.left_ms * self.settings.deadline_share;
-        let due =
-            |each: &&Scored| each.verdict == Verdict::Probe && each.choice.finish_ms <= in_time;
+        let due = |each: &&Scored| {
+            each.verdict == HealthStatus::Probe && each.choice.finish_ms <= in_time
+        };
         if request.rank > 0
             && let Some(probe) = scored.iter().find(due)
         {
             return Some(*probe);
         }
-        let fit = || scored.iter().filter(|each| each.verdict == Verdict::Fit);
+        let fit = || {
+            scored
+                .iter()
+                .filter(|each| each.verdict == HealthStatus::Healthy)
+        };
         let pool: Vec<&Scored> = if fit().count() > 0 {
             fit().collect()
         } else {
             scored.iter().collect()
         };
         let best = pool.iter().map(|each| each.score).min_by(f64::total_cmp)?;
-        let near = |each: &&&Scored| each.score <= best * self.settings.spread;
+        let near = |each: &&&Scored| each.score <= best * self.settings.near_best_factor;
         let near: Vec<&&Scored> = pool.iter().filter(near).collect();
         near.get(rng.random_range(0..near.len().max(1)))
             .map(|each| ***each)
     }
 }
 
-fn refusal(limit: Limit, wait_ms: f64) -> Refusal {
+fn refusal(limit: RefusalReason, wait_ms: f64) -> Refusal {
     Refusal {
-        limit,
+        reason: limit,
         retry_after_ms: wait_ms.clamp(SHORTEST_RETRY_MS, LONGEST_RETRY_MS) as u64,
     }
 }
@@ -259,17 +266,17 @@
     request: &Request,
     uncached_tokens: f64,
 ) -> Choice {
-    let shape = &engine.shape;
-    let chunk = f64::from(crate::Shape::chunk(engine.role));
-    let overtaken: f64 = engine.busy.iter().take(request.rank).sum();
+    let shape = &engine.profile;
+    let chunk = f64::from(crate::EngineProfile::chunk_tokens(engine.role));
+    let overtaken: f64 = engine.prefill_utilization.iter().take(request.rank).sum();
     let unhindered = 1.0 - overtaken.min(MOST_OVERTAKEN);
-    let ahead = load.ahead(request.rank) + uncached_tokens;
+    let ahead = load.prompt_ahead(request.rank) + uncached_tokens;
     let prefill_ms = shape.prefill_ms(engine.role, load.running, ahead) / unhindered;
-    let queue_ms = shape.iteration_ms(load.running, chunk.min(load.ahead(RANKS - 1))) / 2.0;
+    let queue_ms = shape.iteration_ms(load.running, chunk.min(load.prompt_ahead(RANKS - 1))) / 2.0;
     let token_ms = pace(engine, load, request);
     let slot_ms = slot_wait(engine, load, request, token_ms);
-    let first_token_ms =
-        2.0 * engine.distance_ms + (queue_ms + prefill_ms.max(slot_ms)) * engine.health.slowness();
+    let first_token_ms = 2.0 * engine.one_way_delay_ms
+        + (queue_ms + prefill_ms.max(slot_ms)) * engine.health.slowness();
     let token_ms = token_ms * engine.health.slowness();
     Choice {
         engine: place,
@@ -285,8 +292,8 @@
 /// Prompts of a later rank are begun only while the batch has places that no earlier rank wants,
 /// so a full batch runs at its own pace however long the queue of long prompts is.
 fn pace(engine: &Engine, load: &Outstanding, request: &Request) -> f64 {
-    let shape = &engine.shape;
-    let chunk = f64::from(crate::Shape::chunk(engine.role));
+    let shape = &engine.profile;
+    let chunk = f64::from(crate::EngineProfile::chunk_tokens(engine.role));
     let most = f64::from(shape.max_running);
     let sequences = load.running + load.waiting_ahead(request.rank) + 1.0;
     let running = sequences.min(most);
@@ -295,17 +302,17 @@
         let read_ms = shape.prefill_ms(engine.role, running, tokens);
         (read_ms / plain_ms.max(1.0) + busy).min(1.0)
     };
-    let (early, late) = engine.busy.split_at(request.rank + 1);
+    let (early, late) = engine.prefill_utilization.split_at(request.rank + 1);
     let room = ((most - sequences) / PLACES_FOR_LATER).clamp(0.0, 1.0);
-    let behind = load.ahead(RANKS - 1) - load.ahead(request.rank);
-    let beside =
-        part(load.ahead(request.rank), early.iter().sum()) + room * part(behind, late.iter().sum());
+    let behind = load.prompt_ahead(RANKS - 1) - load.prompt_ahead(request.rank);
+    let beside = part(load.prompt_ahead(request.rank), early.iter().sum())
+        + room * part(behind, late.iter().sum());
     shape.iteration_ms(running, chunk * beside.min(1.0))
 }
 
 /// Time until a sequence ends that leaves its place in the batch to the request.
 fn slot_wait(engine: &Engine, load: &Outstanding, request: &Request, token_ms: f64) -> f64 {
-    let most = f64::from(engine.shape.max_running);
+    let most = f64::from(engine.profile.max_running);
     let short = load.running + load.waiting_ahead(request.rank) + 1.0 - most;
     if short <= 0.0 {
         return 0.0;
@@ -317,7 +324,7 @@
 
 /// Delay that the request causes to the others on the engine, for each of them on average.
 fn harm(engine: &Engine, load: &Outstanding, request: &Request, uncached_tokens: f64) -> f64 {
-    let shape = &engine.shape;
+    let shape = &engine.profile;
     let streams = load.requests();
     let delay_ms = shape.token_ms * uncached_tokens + shape.sequence_ms * request.output_tokens;
     let spare = match engine.role {
--- a/crates/plan/src/split.rs
+++ b/crates/plan/src/split.rs
@@ -47,13 +47,13 @@
 
 /// Average of what is asked in a ms, over the last seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Rate {
+pub struct MovingRate {
     sum: f64,
     at_ms: u64,
     since_ms: Option<u64>,
 }
 
-impl Rate {
+impl MovingRate {
     /// An amount was asked for.
     pub fn add(&mut self, now_ms: u64, amount: f64) {
         let since_ms = *self.since_ms.get_or_insert(now_ms);
@@ -67,7 +67,7 @@
     }
 
     /// Amount a ms; what was before the first one does not count as idle time.
-    pub fn a_ms(&self, now_ms: u64) -> f64 {
+    pub fn per_ms(&self, now_ms: u64) -> f64 {
         let Some(since_ms) = self.since_ms else {
             return 0.0;
         };
@@ -77,7 +77,7 @@
     }
 
     /// Time since the first amount.
-    pub fn seen_ms(&self, now_ms: u64) -> u64 {
+    pub fn observed_ms(&self, now_ms: u64) -> u64 {
         self.since_ms
             .map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
     }
@@ -87,9 +87,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
     /// Engines that would read without a pause.
-    pub reading: f64,
+    pub prefill: f64,
     /// Engines whose places would all be taken.
-    pub making: f64,
+    pub decode: f64,
 }
 
 /// The most that was asked lately, of each kind.
@@ -97,19 +97,19 @@
 /// Rushes of one kind come again within seconds, and a change takes as long. So the split is made for
 /// the rushes of the last half minute and not for the lull between two of them.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Peak {
+pub struct PeakDemand {
     demand: Demand,
     at_ms: u64,
 }
 
-impl Peak {
+impl PeakDemand {
     /// Takes in what is asked now; gives the most of late.
-    pub fn note(&mut self, now_ms: u64, now: &Demand) -> Demand {
+    pub fn record(&mut self, now_ms: u64, now: &Demand) -> Demand {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let left = (-age_ms / PEAK_MS).exp();
         self.demand = Demand {
-            reading: now.reading.max(self.demand.reading * left),
-            making: now.making.max(self.demand.making * left),
+            prefill: now.prefill.max(self.demand.prefill * left),
+            decode: now.decode.max(self.demand.decode * left),
         };
         self.at_ms = now_ms;
         self.demand
@@ -118,29 +118,29 @@
 
 /// The engines of a service by what they do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Split {
+pub struct RoleSplit {
     /// Those that read.
-    pub readers: usize,
+    pub prefill: usize,
     /// Those that make output.
-    pub makers: usize,
+    pub decode: usize,
     /// Those that are away for a change; they count where they go to.
-    pub away: usize,
+    pub changing: usize,
 }
 
 /// One engine's change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum SplitChange {
     /// One that makes output is to read.
-    ToReading,
+    ToPrefill,
     /// One that reads is to make output.
-    ToMaking,
+    ToDecode,
 }
 
 impl Demand {
     /// How hard the side is pressed that is pressed most; 1 is as much as it should bear.
     fn pressure(&self, readers: usize, makers: usize) -> f64 {
-        let reading = self.reading / readers.max(1) as f64 / READING_SHARE;
-        let making = self.making / makers.max(1) as f64 / MAKING_SHARE;
+        let reading = self.prefill / readers.max(1) as f64 / READING_SHARE;
+        let making = self.decode / makers.max(1) as f64 / MAKING_SHARE;
         reading.max(making)
     }
 }
@@ -152,7 +152,7 @@
 }
 
 /// Engines that should read: the split at which the side that is pressed most is pressed least.
-pub fn readers_wanted(demand: &Demand, engines: usize) -> usize {
+pub fn wanted_prefill_engines(demand: &Demand, engines: usize) -> usize {
     let pressure = |readers: &usize| demand.pressure(*readers, engines - readers);
     let all = 1..=most_readers(engines);
     all.min_by(|a, b| pressure(a).total_cmp(&pressure(b)))
@@ -161,15 +161,20 @@
 
 /// Decides on changes of one service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct SplitPlan {
-    wish: Option<(Turn, u64)>,
-    last: Option<(Turn, u64)>,
+pub struct SplitPlanner {
+    wish: Option<(SplitChange, u64)>,
+    last: Option<(SplitChange, u64)>,
 }
 
-impl SplitPlan {
+impl SplitPlanner {
     /// The change that is worth its price now.
-    pub fn next(&mut self, now_ms: u64, demand: &Demand, split: &Split) -> Option<Turn> {
-        let engines = split.readers + split.makers;
+    pub fn next_change(
+        &mut self,
+        now_ms: u64,
+        demand: &Demand,
+        split: &RoleSplit,
+    ) -> Option<SplitChange> {
+        let engines = split.prefill + split.decode;
         let turn = wished(demand, split);
         let since_ms = match (turn, self.wish) {
             (Some(turn), Some((same, since_ms))) if same == turn => since_ms,
@@ -181,12 +186,12 @@
             Some((last, at_ms)) if last != turn && now_ms < at_ms + RETURN_MS => RETURN_MS,
             _ => SETTLE_MS,
         };
-        let may = now_ms >= since_ms + settle_ms && split.away < most_away(engines);
+        let may = now_ms >= since_ms + settle_ms && split.changing < most_away(engines);
         may.then_some(turn)
     }
 
     /// A change was ordered.
-    pub fn ordered(&mut self, now_ms: u64, turn: Turn) {
+    pub fn record_order(&mut self, now_ms: u64, turn: SplitChange) {
         self.last = Some((turn, now_ms));
     }
 }
@@ -196,15 +201,15 @@
 ///
 /// Load pattern: a third of two hundred engines read and half should. One change after the other takes
 /// a minute, and the rush is over.
-pub fn turns_at_once(turn: Turn, demand: &Demand, split: &Split) -> usize {
-    let engines = split.readers + split.makers;
-    let wanted = readers_wanted(demand, engines);
+pub fn max_changes_at_once(turn: SplitChange, demand: &Demand, split: &RoleSplit) -> usize {
+    let engines = split.prefill + split.decode;
+    let wanted = wanted_prefill_engines(demand, engines);
     let off_by = match turn {
-        Turn::ToReading => wanted.saturating_sub(split.readers),
-        Turn::ToMaking => split.readers.saturating_sub(wanted),
+        SplitChange::ToPrefill => wanted.saturating_sub(split.prefill),
+        SplitChange::ToDecode => split.prefill.saturating_sub(wanted),
     };
     off_by
-        .min(most_away(engines).saturating_sub(split.away))
+        .min(most_away(engines).saturating_sub(split.changing))
         .max(1)
 }
 
@@ -215,25 +220,25 @@
 
 /// The change that would better the split, however long it has been wrong; the last engine of a
 /// kind stays what it is.
-fn wished(demand: &Demand, split: &Split) -> Option<Turn> {
-    let engines = split.readers + split.makers;
+fn wished(demand: &Demand, split: &RoleSplit) -> Option<SplitChange> {
+    let engines = split.prefill + split.decode;
     if engines < 3 {
         return None;
     }
-    if split.readers > most_readers(engines) {
-        return Some(Turn::ToMaking);
+    if split.prefill > most_readers(engines) {
+        return Some(SplitChange::ToDecode);
     }
-    let pressure = demand.pressure(split.readers, split.makers);
+    let pressure = demand.pressure(split.prefill, split.decode);
     if pressure < PRESSED {
         return None;
     }
     let off_by = if pressure < 1.0 { OFF_BY } else { 1 };
-    let wanted = readers_wanted(demand, engines);
-    if wanted >= split.readers + off_by && split.makers > 1 {
-        return Some(Turn::ToReading);
+    let wanted = wanted_prefill_engines(demand, engines);
+    if wanted >= split.prefill + off_by && split.decode > 1 {
+        return Some(SplitChange::ToPrefill);
     }
-    if wanted + OFF_BY <= split.readers && split.readers > 1 {
-        return Some(Turn::ToMaking);
+    if wanted + OFF_BY <= split.prefill && split.prefill > 1 {
+        return Some(SplitChange::ToDecode);
     }
     None
 }
--- a/crates/plan/tests/decisions.rs
+++ b/crates/plan/tests/decisions.rs
@@ -2,13 +2,14 @@
 
 use conf::Role;
 use plan::{
-    AttemptBudget, Engine, Fairness, Fleet, Forecast, Health, Limit, Prefixes, Presence, Request,
-    RetryBudget, RolePlanner, RoleSettings, RouteSettings, Router, Shape, Verdict, moves_over,
+    AttemptTimeout, Engine, EngineProfile, Fairness, Fleet, Forecast, Health, HealthStatus,
+    PrefixIndex, Presence, RefusalReason, Request, RetryBudget, RolePlanner, RoleSettings,
+    RouteSettings, Router, should_switch_version,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-fn fleet(engines: usize, shape: Shape) -> Fleet {
+fn fleet(engines: usize, shape: EngineProfile) -> Fleet {
     let mut fleet = Fleet::default();
     for number in 0..engines {
         fleet.add(Engine::new(
@@ -37,20 +38,20 @@
 fn reads() -> Forecast {
     let mut forecast = Forecast::default();
     for second in 0..60 {
-        forecast.arrived(second * 1_000, 2, 40_000.0, 100.0);
+        forecast.record_arrival(second * 1_000, 2, 40_000.0, 100.0);
     }
     forecast
 }
 
 /// An engine whose fixed time per iteration makes small chunks dear.
-fn heavy() -> Shape {
-    Shape {
+fn heavy() -> EngineProfile {
+    EngineProfile {
         base_ms: 38.0,
-        ..Shape::default()
+        ..EngineProfile::default()
     }
 }
 
-fn changes(weight: f64, shape: Shape) -> usize {
+fn changes(weight: f64, shape: EngineProfile) -> usize {
     let fleet = fleet(6, shape);
     let places: Vec<usize> = (0..6).collect();
     let mut planner = RolePlanner::new(RoleSettings {
@@ -95,7 +96,7 @@
 
 #[test]
 fn what_would_be_late_is_refused_at_once_and_what_would_not_is_routed() {
-    let fleet = fleet(3, Shape::default());
+    let fleet = fleet(3, EngineProfile::default());
     let mut router = Router::default();
     let mut rng = Pcg64::seed_from_u64(1);
     let mut route = |left_ms| {
@@ -108,13 +109,16 @@
             &mut rng,
         )
     };
-    assert_eq!(route(100.0).expect_err("too late").limit, Limit::Deadline);
+    assert_eq!(
+        route(100.0).expect_err("too late").reason,
+        RefusalReason::Deadline
+    );
     assert!(route(10_000.0).is_ok());
 }
 
 #[test]
 fn engines_that_leave_or_were_tried_get_nothing() {
-    let mut fleet = fleet(3, Shape::default());
+    let mut fleet = fleet(3, EngineProfile::default());
     fleet.get_mut(0).presence = Presence::Leaving;
     let mut router = Router::default();
     let mut rng = Pcg64::seed_from_u64(1);
@@ -137,17 +141,20 @@
         &[1, 2],
         &mut rng,
     );
-    assert_eq!(none.expect_err("none is left").limit, Limit::NoUpstream);
+    assert_eq!(
+        none.expect_err("none is left").reason,
+        RefusalReason::NoUpstream
+    );
 }
 
 #[test]
 fn a_cached_prefix_draws_its_request() {
-    let fleet = fleet(4, Shape::default());
-    let mut prefixes = Prefixes::default();
-    prefixes.held(7, 2, 5_000.0);
+    let fleet = fleet(4, EngineProfile::default());
+    let mut prefixes = PrefixIndex::default();
+    prefixes.record_holder(7, 2, 5_000.0);
     let mut router = Router::new(RouteSettings::default());
     let mut rng = Pcg64::seed_from_u64(1);
-    let cached = |engine| prefixes.tokens(7, engine);
+    let cached = |engine| prefixes.cached_tokens(7, engine);
     let choice = router.route(
         0,
         &fleet,
@@ -179,45 +186,45 @@
 fn a_slow_engine_is_left_alone_and_tried_again() {
     let mut health = Health::default();
     for answer in 0..40 {
-        health.answered(answer * 10, 10.0, 60.0);
+        health.record_latency(answer * 10, 10.0, 60.0);
     }
-    assert_eq!(health.verdict(400), Verdict::Ejected);
-    assert_eq!(health.verdict(30_000), Verdict::Probe);
-    health.probe();
-    assert_eq!(health.verdict(30_000), Verdict::Ejected);
-    health.answered(30_100, 10.0, 10.0);
-    assert_eq!(health.verdict(30_100), Verdict::Fit);
+    assert_eq!(health.status(400), HealthStatus::Ejected);
+    assert_eq!(health.status(30_000), HealthStatus::Probe);
+    health.start_probe();
+    assert_eq!(health.status(30_000), HealthStatus::Ejected);
+    health.record_latency(30_100, 10.0, 10.0);
+    assert_eq!(health.status(30_100), HealthStatus::Healthy);
 }
 
 #[test]
 fn an_attempt_leaves_time_for_another_upstream_and_none_is_made_too_late() {
     assert_eq!(
-        AttemptBudget::next(1_000, 1).map(|budget| budget.spend_ms),
+        AttemptTimeout::next(1_000, 1).map(|budget| budget.timeout_ms),
         Some(600)
     );
     assert_eq!(
-        AttemptBudget::next(1_000, 0).map(|budget| budget.spend_ms),
+        AttemptTimeout::next(1_000, 0).map(|budget| budget.timeout_ms),
         Some(1_000)
     );
-    assert_eq!(AttemptBudget::next(5, 3), None);
+    assert_eq!(AttemptTimeout::next(5, 3), None);
 }
 
 #[test]
 fn a_retry_storm_runs_out_of_budget() {
     let mut budget = RetryBudget::default();
-    let allowed = (0..1_000).filter(|_| budget.spend()).count();
+    let allowed = (0..1_000).filter(|_| budget.try_withdraw()).count();
     assert!(allowed <= 20, "{allowed}");
     for _ in 0..100 {
-        budget.earn();
+        budget.deposit();
     }
-    assert_eq!((0..1_000).filter(|_| budget.spend()).count(), 10);
+    assert_eq!((0..1_000).filter(|_| budget.try_withdraw()).count(), 10);
 }
 
 #[test]
 fn new_requests_move_over_when_half_have_the_new_version() {
-    assert!(!moves_over(4, 1, 4));
-    assert!(moves_over(4, 2, 4));
-    assert!(moves_over(4, 0, 0));
+    assert!(!should_switch_version(4, 1, 4));
+    assert!(should_switch_version(4, 2, 4));
+    assert!(should_switch_version(4, 0, 0));
 }
 
 #[test]
@@ -225,10 +232,10 @@
     // One engine of two became slow and rests. When its rest is over, the next request that is
     // not urgent goes there, and only that one. Were both ejected, requests would still go to
     // one of them rather than be refused.
-    let mut fleet = fleet(2, Shape::default());
+    let mut fleet = fleet(2, EngineProfile::default());
     let eject = |fleet: &mut Fleet, place: usize| {
         for _ in 0..40 {
-            fleet.get_mut(place).health.answered(0, 10.0, 100.0);
+            fleet.get_mut(place).health.record_latency(0, 10.0, 100.0);
         }
     };
     eject(&mut fleet, 0);
@@ -243,7 +250,7 @@
     assert_eq!(route(&fleet, 1, 100), Ok(1));
     assert_eq!(route(&fleet, 0, 60_000), Ok(1));
     assert_eq!(route(&fleet, 1, 60_000), Ok(0));
-    fleet.get_mut(0).sent(60_000, 1, 100.0, 20.0);
+    fleet.get_mut(0).record_sent(60_000, 1, 100.0, 20.0);
     assert_eq!(route(&fleet, 1, 60_000), Ok(1));
     eject(&mut fleet, 1);
     assert!(route(&fleet, 0, 100).is_ok());
--- a/crates/plan/tests/lateness.rs
+++ b/crates/plan/tests/lateness.rs
@@ -1,6 +1,6 @@
 //! Rushes beyond what an engine reads, and who is refused.
 
-use plan::{LatestStart, Waiting};
+use plan::{LateRequest, LatestStart};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -51,13 +51,13 @@
             continue;
         }
         let behind_ms = first_ms + late.len() as f64 * OWN_MS;
-        let request = Waiting {
+        let request = LateRequest {
             goal_ms: GOAL_MS,
-            own_ms: OWN_MS,
+            processing_ms: OWN_MS,
             waited_ms: 0.0,
             left_ms: DEADLINE_MS,
         };
-        if behind_ms <= latest.wait_ms(&request) {
+        if behind_ms <= latest.max_wait_ms(&request) {
             late.push(now_ms);
         } else {
             outcome.refused += 1;
@@ -99,31 +99,31 @@
 #[test]
 fn the_bounds_of_a_start() {
     let latest = LatestStart::default();
-    let request = Waiting {
+    let request = LateRequest {
         goal_ms: 300.0,
-        own_ms: 50.0,
+        processing_ms: 50.0,
         waited_ms: 0.0,
         left_ms: 5_000.0,
     };
-    let wait_ms = |request: Waiting| latest.wait_ms(&request).round() as u64;
+    let wait_ms = |request: LateRequest| latest.max_wait_ms(&request).round() as u64;
     assert_eq!(wait_ms(request), 900);
     assert_eq!(
-        wait_ms(Waiting {
+        wait_ms(LateRequest {
             waited_ms: 100.0,
             ..request
         }),
         1_200
     );
     assert_eq!(
-        wait_ms(Waiting {
+        wait_ms(LateRequest {
             left_ms: 400.0,
             ..request
         }),
         400
     );
     assert_eq!(
-        wait_ms(Waiting {
-            own_ms: 2_000.0,
+        wait_ms(LateRequest {
+            processing_ms: 2_000.0,
             ..request
         }),
         2_150
--- a/crates/plan/tests/staged.rs
+++ b/crates/plan/tests/placement.rs
@@ -1,20 +1,21 @@
 //! Loads that the decisions on reading, repeating and leaving alone answer.
 
 use plan::{
-    Ask, EngineView, Health, Pace, RepeatTerms, Repeats, Seen, Share, Verdict, least, work_tokens,
+    BudgetShare, DecodeRequest, EngineView, FleetRetryBudget, Health, HealthStatus, LatencyModel,
+    PrefillSample, RetryBudgetSettings, cheapest, work_tokens,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const TERMS: RepeatTerms = RepeatTerms {
+const TERMS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     window_ms: 10_000,
     slack: 52.0,
 };
 
 /// The share of one of so many instances that have been running for long.
-fn among(instances: usize) -> Share {
-    Share {
+fn among(instances: usize) -> BudgetShare {
+    BudgetShare {
         instances,
         age_ms: 60_000,
     }
@@ -24,13 +25,13 @@
 /// instance. Six instances that know nothing of each other stay within the bound of all.
 #[test]
 fn six_instances_keep_one_bound_on_repeats() {
-    let mut all: Vec<Repeats> = (0..6).map(|_| Repeats::default()).collect();
+    let mut all: Vec<FleetRetryBudget> = (0..6).map(|_| FleetRetryBudget::default()).collect();
     let mut log: Vec<(u64, u32, u32)> = Vec::new();
     for now_ms in (0..60_000).step_by(50) {
         let mut again = 0;
         for repeats in &mut all {
-            repeats.first(now_ms, &TERMS);
-            again += u32::from(repeats.take(now_ms, &TERMS, &among(6)));
+            repeats.record_first_send(now_ms, &TERMS);
+            again += u32::from(repeats.try_retry(now_ms, &TERMS, &among(6)));
         }
         log.push((now_ms, 6, again));
     }
@@ -46,8 +47,8 @@
 }
 
 /// An answer to a prompt before which nothing stood.
-fn alone(own_tokens: f64, elapsed_ms: f64) -> Seen {
-    Seen {
+fn alone(own_tokens: f64, elapsed_ms: f64) -> PrefillSample {
+    PrefillSample {
         own_tokens,
         queued_tokens: 0.0,
         elapsed_ms,
@@ -63,13 +64,13 @@
     /// Whatever comes, one instance alone keeps the bound in every window.
     #[test]
     fn one_instance_keeps_the_bound(gaps_ms in prop::collection::vec(0_u64..400, 1..400)) {
-        let mut repeats = Repeats::default();
+        let mut repeats = FleetRetryBudget::default();
         let mut now_ms = 0;
         let mut log = Vec::new();
         for gap_ms in gaps_ms {
             now_ms += gap_ms;
-            repeats.first(now_ms, &TERMS);
-            log.push((now_ms, repeats.take(now_ms, &TERMS, &among(1))));
+            repeats.record_first_send(now_ms, &TERMS);
+            log.push((now_ms, repeats.try_retry(now_ms, &TERMS, &among(1))));
         }
         for start in 0..log.len() {
             let window = log[start..].iter().take_while(|each| each.0 < log[start].0 + 10_000);
@@ -82,12 +83,12 @@
     /// The learned pace stays within its bounds whatever times are seen.
     #[test]
     fn the_pace_stays_sane(seen in prop::collection::vec((0.0_f64..200_000.0, 0.0_f64..20_000.0), 0..200)) {
-        let mut pace = Pace::default();
+        let mut pace = LatencyModel::default();
         for (tokens, elapsed_ms) in seen {
-            pace.learn(&alone(tokens, elapsed_ms));
+            pace.record_prefill(&alone(tokens, elapsed_ms));
         }
         prop_assert!((0.002..=0.2).contains(&pace.token_ms()));
-        prop_assert!(pace.base_ms() >= 0.0);
+        prop_assert!(pace.prefill_base_ms() >= 0.0);
     }
 }
 
@@ -95,17 +96,17 @@
 /// a hundred prompts of mixed lengths the prediction is within a tenth.
 #[test]
 fn the_pace_is_learned_from_answers() {
-    let mut pace = Pace::default();
+    let mut pace = LatencyModel::default();
     for each in 0..300_u32 {
         let own = 500.0 + f64::from(each * 7_919 % 12_000);
         let work = work_tokens(13_000.0 + own, 13_000.0);
-        pace.learn(&alone(work, 90.0 + work / 61.0));
+        pace.record_prefill(&alone(work, 90.0 + work / 61.0));
     }
     let view = EngineView {
         cached_tokens: 13_000.0,
         ..EngineView::default()
     };
-    let predicted = pace.prefill_ms(&view, 17_000.0).total_ms();
+    let predicted = pace.predict_prefill(&view, 17_000.0).total_ms();
     let actual = 90.0 + work_tokens(17_000.0, 13_000.0) / 61.0;
     assert!(
         (predicted / actual - 1.0).abs() < 0.1,
@@ -117,7 +118,7 @@
 /// queue costs less than reading the part again, and go elsewhere beyond that.
 #[test]
 fn a_hot_part_spills_when_its_queue_costs_more_than_reading_it_again() {
-    let pace = Pace::default();
+    let pace = LatencyModel::default();
     let chosen = |queued_tokens: f64| {
         let home = EngineView {
             queued_tokens,
@@ -125,10 +126,10 @@
             ..EngineView::default()
         };
         let other = EngineView::default();
-        least(
+        cheapest(
             [home, other]
                 .iter()
-                .map(|view| pace.prefill_ms(view, 17_000.0)),
+                .map(|view| pace.predict_prefill(view, 17_000.0)),
         )
         .unwrap()
         .0
@@ -142,7 +143,7 @@
 /// engine at which others make output than its own time, since all of them wait meanwhile.
 #[test]
 fn a_long_read_is_kept_from_engines_at_work() {
-    let pace = Pace::default();
+    let pace = LatencyModel::default();
     let idle = EngineView {
         slots: 12.0,
         queued_tokens: 3_000.0,
@@ -154,14 +155,14 @@
         context_tokens: 100_000.0,
         ..EngineView::default()
     };
-    let ask = Ask {
+    let ask = DecodeRequest {
         prompt_tokens: 17_000.0,
-        place_ms: 250.0,
+        slot_turnover_ms: 250.0,
         gap_goal_ms: 150.0,
         event_tokens: 11.0,
     };
-    let costs = [busy, idle].map(|view| pace.decode_ms(&view, &ask));
-    assert_eq!(least(costs.into_iter()).unwrap().0, 1);
+    let costs = [busy, idle].map(|view| pace.predict_decode(&view, &ask));
+    assert_eq!(cheapest(costs.into_iter()).unwrap().0, 1);
 }
 
 /// A machine has gone dark: opening a connection takes a third of a second and fails. The next
@@ -169,9 +170,9 @@
 #[test]
 fn an_unreachable_upstream_rests_at_once() {
     let mut health = Health::default();
-    health.unreachable(1_000);
-    assert_eq!(health.verdict(1_001), Verdict::Ejected);
-    assert_eq!(health.verdict(4_000), Verdict::Probe);
+    health.record_unreachable(1_000);
+    assert_eq!(health.status(1_001), HealthStatus::Ejected);
+    assert_eq!(health.status(4_000), HealthStatus::Probe);
 }
 
 /// The sheets of two fleets: at one, seven tokens come with an event that may take 300 ms, at the
@@ -179,7 +180,7 @@
 /// pauses get too long, while at the second everyone's answer is late.
 #[test]
 fn a_read_in_pieces_harms_only_where_pauses_get_too_long() {
-    let pace = Pace::default();
+    let pace = LatencyModel::default();
     let busy = EngineView {
         slots: 12.0,
         requests: 6.0,
@@ -188,13 +189,13 @@
         ..EngineView::default()
     };
     let harm_ms = |gap_goal_ms: f64, event_tokens: f64| {
-        let ask = Ask {
+        let ask = DecodeRequest {
             prompt_tokens: 17_000.0,
-            place_ms: 250.0,
+            slot_turnover_ms: 250.0,
             gap_goal_ms,
             event_tokens,
         };
-        pace.decode_ms(&busy, &ask).harm_ms
+        pace.predict_decode(&busy, &ask).interference_ms
     };
     let (low, high) = (harm_ms(300.0, 7.0), harm_ms(150.0, 11.0));
     assert!(low * 3.0 < high, "{low} {high}");
@@ -204,20 +205,20 @@
 /// put back, so the new one waits for about half of it; an engine without it is chosen.
 #[test]
 fn a_late_prompt_that_is_being_read_is_waited_for() {
-    let pace = Pace::default();
+    let pace = LatencyModel::default();
     let reading = EngineView {
-        later_tokens: 20_000.0,
+        lower_priority_tokens: 20_000.0,
         ..EngineView::default()
     };
     let queued = EngineView {
         queued_tokens: 5_000.0,
         ..EngineView::default()
     };
-    let wait_ms = |view: &EngineView| pace.prefill_ms(view, 4_000.0).wait_ms;
+    let wait_ms = |view: &EngineView| pace.predict_prefill(view, 4_000.0).wait_ms;
     assert!(wait_ms(&reading) > wait_ms(&queued));
     let both = [reading, queued];
-    let predicted = both.iter().map(|view| pace.prefill_ms(view, 4_000.0));
-    assert_eq!(least(predicted).unwrap().0, 1);
+    let predicted = both.iter().map(|view| pace.predict_prefill(view, 4_000.0));
+    assert_eq!(cheapest(predicted).unwrap().0, 1);
 }
 
 /// In a rush two answers in five wait behind work that nobody could see. The learned pace must
@@ -225,13 +226,15 @@
 /// time, and would be put behind all others.
 #[test]
 fn unseen_waits_do_not_make_engines_seem_slow() {
-    let mut pace = Pace::default();
+    let mut pace = LatencyModel::default();
     for each in 0..600_u32 {
         let work = 2_000.0 + f64::from(each * 7_919 % 8_000);
         let unseen_ms = if each % 5 < 2 { 400.0 } else { 0.0 };
-        pace.learn(&alone(work, 90.0 + work / 61.0 + unseen_ms));
+        pace.record_prefill(&alone(work, 90.0 + work / 61.0 + unseen_ms));
     }
-    let predicted_ms = pace.prefill_ms(&EngineView::default(), 5_000.0).total_ms();
+    let predicted_ms = pace
+        .predict_prefill(&EngineView::default(), 5_000.0)
+        .total_ms();
     let actual_ms = 90.0 + work_tokens(5_000.0, 0.0) / 61.0;
     assert!(
         predicted_ms < actual_ms * 1.35,
@@ -244,21 +247,21 @@
 /// these were refused by an engine with room.
 #[test]
 fn what_was_read_and_not_yet_answered_is_not_waited_for() {
-    let mut pace = Pace::default();
+    let mut pace = LatencyModel::default();
     for each in 0..400_u32 {
         let work = 300.0 + f64::from(each * 7_919 % 12_000);
-        pace.learn(&alone(work, 90.0 + work / 61.0));
+        pace.record_prefill(&alone(work, 90.0 + work / 61.0));
     }
     let unanswered = EngineView {
         queued_tokens: 10.0 * 380.0,
         ..EngineView::default()
     };
-    assert!(pace.prefill_ms(&unanswered, 380.0).wait_ms < 1.0);
+    assert!(pace.predict_prefill(&unanswered, 380.0).wait_ms < 1.0);
     let queue = EngineView {
         queued_tokens: 40.0 * 380.0,
         ..EngineView::default()
     };
-    let wait_ms = pace.prefill_ms(&queue, 380.0).wait_ms;
+    let wait_ms = pace.predict_prefill(&queue, 380.0).wait_ms;
     let true_ms = 40.0 * 380.0 / 61.0 - 90.0;
     assert!(
         (wait_ms / true_ms - 1.0).abs() < 0.25,
@@ -271,20 +274,22 @@
 /// longer, and what could be on time was refused.
 #[test]
 fn known_waits_teach_little() {
-    let mut pace = Pace::default();
+    let mut pace = LatencyModel::default();
     for each in 0..600_u32 {
         let own_tokens = 500.0 + f64::from(each * 7_919 % 6_000);
         let queued_tokens = f64::from(each * 104_729 % 24_000);
         // What stood before takes up to half as long again as its tokens tell.
         let late = 1.0 + f64::from(each % 5) * 0.1;
         let elapsed_ms = 15.0 + (own_tokens + queued_tokens * late) / 61.0;
-        pace.learn(&Seen {
+        pace.record_prefill(&PrefillSample {
             own_tokens,
             queued_tokens,
             elapsed_ms,
         });
     }
-    let predicted_ms = pace.prefill_ms(&EngineView::default(), 1_000.0).own_ms;
+    let predicted_ms = pace
+        .predict_prefill(&EngineView::default(), 1_000.0)
+        .processing_ms;
     let actual_ms = 15.0 + work_tokens(1_000.0, 0.0) / 61.0;
     assert!(
         (predicted_ms - actual_ms).abs() < 20.0,
@@ -296,9 +301,9 @@
 /// the other 90. Each is learned from its own answers, and so is the time of a hand-over.
 #[test]
 fn fixed_times_beside_output_and_of_a_hand_over_are_their_own() {
-    let ask = Ask {
+    let ask = DecodeRequest {
         prompt_tokens: 800.0,
-        place_ms: 250.0,
+        slot_turnover_ms: 250.0,
         gap_goal_ms: 150.0,
         event_tokens: 11.0,
     };
@@ -311,25 +316,25 @@
         ..idle
     };
     for fixed_ms in [10.0, 90.0] {
-        let mut pace = Pace::default();
+        let mut pace = LatencyModel::default();
         for _ in 0..200 {
-            let first = pace.decode_ms(&idle, &ask);
-            let read_ms = first.own_ms - pace.beside_ms();
-            pace.learn_beside(
+            let first = pace.predict_decode(&idle, &ask);
+            let read_ms = first.processing_ms - pace.decode_base_ms();
+            pace.record_decode_prefill(
                 read_ms + fixed_ms - first.total_ms(),
                 first.wait_ms,
-                first.own_ms,
+                first.processing_ms,
             );
-            let first = pace.decode_ms(&handed, &ask);
-            pace.learn_hand_over(fixed_ms / 2.0 - first.total_ms());
+            let first = pace.predict_decode(&handed, &ask);
+            pace.record_kv_transfer(fixed_ms / 2.0 - first.total_ms());
         }
-        assert!((pace.beside_ms() - fixed_ms).abs() < 5.0, "{pace:?}");
+        assert!((pace.decode_base_ms() - fixed_ms).abs() < 5.0, "{pace:?}");
         assert!(
-            (pace.hand_over_ms() - fixed_ms / 2.0).abs() < 5.0,
+            (pace.kv_transfer_ms() - fixed_ms / 2.0).abs() < 5.0,
             "{pace:?}"
         );
         assert!(
-            pace.base_ms() > 30.0,
+            pace.prefill_base_ms() > 30.0,
             "that of engines that only read is left: {pace:?}"
         );
     }
@@ -340,26 +345,26 @@
 /// them that is too long, so it goes to an engine that reads nothing, though that one is further away.
 #[test]
 fn reads_are_not_piled_into_one_long_pause() {
-    let pace = Pace::default();
-    let ask = Ask {
+    let pace = LatencyModel::default();
+    let ask = DecodeRequest {
         prompt_tokens: 900.0,
-        place_ms: 250.0,
+        slot_turnover_ms: 250.0,
         gap_goal_ms: 150.0,
         event_tokens: 11.0,
     };
     let quiet = EngineView {
         requests: 20.0,
         slots: 64.0,
-        distance_ms: 1.4,
+        one_way_delay_ms: 1.4,
         ..EngineView::default()
     };
     let reading = EngineView {
         queued_tokens: 1_800.0,
-        distance_ms: 0.2,
+        one_way_delay_ms: 0.2,
         ..quiet
     };
-    let costs = [reading, quiet].map(|view| pace.decode_ms(&view, &ask));
-    assert!(costs[1].harm_ms < 1.0, "{costs:?}");
-    assert!(costs[0].harm_ms > 500.0, "{costs:?}");
-    assert_eq!(least(costs.into_iter()).unwrap().0, 1);
+    let costs = [reading, quiet].map(|view| pace.predict_decode(&view, &ask));
+    assert!(costs[1].interference_ms < 1.0, "{costs:?}");
+    assert!(costs[0].interference_ms > 500.0, "{costs:?}");
+    assert_eq!(cheapest(costs.into_iter()).unwrap().0, 1);
 }
--- a/crates/plan/tests/limits.rs
+++ b/crates/plan/tests/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use plan::{Bucket, Position};
+use plan::{InstancePosition, TokenBucket};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -36,7 +36,7 @@
 /// Lets each instance send whatever it may, and gives the most that any window has beyond one and a half
 /// times the limit and five.
 fn most_beyond(spells: &[Spell], most: usize) -> f64 {
-    let mut buckets = vec![Bucket::default(); most];
+    let mut buckets = vec![TokenBucket::default(); most];
     let mut sent: VecDeque<(u64, f64, u32)> = VecDeque::new();
     let mut worst = f64::MIN;
     let mut now_ms = 0;
@@ -50,12 +50,12 @@
                 // Half of the instances learn late.
                 let is_late = rank % 2 == 1 && now_ms < begun_ms + LEARNS_WITHIN_MS;
                 let seen = if is_late { &before } else { spell };
-                let position = Position {
+                let position = InstancePosition {
                     rank,
                     instances: seen.instances,
                 };
-                let part = position.part_per_s(seen.limit_per_s, 7_919);
-                while rank < spell.instances && bucket.take(now_ms, part) {
+                let part = position.share_per_s(seen.limit_per_s, 7_919);
+                while rank < spell.instances && bucket.try_take(now_ms, part) {
                     count += 1;
                 }
             }
@@ -95,12 +95,12 @@
 #[test]
 fn a_limit_is_used() {
     for instances in [1, 6, 90, 300] {
-        let mut buckets = vec![Bucket::default(); instances];
+        let mut buckets = vec![TokenBucket::default(); instances];
         let mut sent = 0;
         for now_ms in (0..60_000).step_by(STEP_MS as usize) {
             for (rank, bucket) in buckets.iter_mut().enumerate() {
-                let part = Position { rank, instances }.part_per_s(5.0, 11);
-                sent += u32::from(bucket.take(now_ms, part));
+                let part = InstancePosition { rank, instances }.share_per_s(5.0, 11);
+                sent += u32::from(bucket.try_take(now_ms, part));
             }
         }
         assert!((270..=300).contains(&sent), "{sent} of 300 at {instances}");
@@ -110,12 +110,12 @@
 /// Guards against an instance that has saved up requests for the time in which it had no part.
 #[test]
 fn a_new_user_of_a_limit_begins_with_nothing() {
-    let mut bucket = Bucket::default();
-    assert!(!bucket.take(60_000, 2.0));
-    assert!(bucket.take(60_500, 2.0));
-    assert!(!bucket.take(60_600, 0.0));
-    assert!(!bucket.take(90_000, 2.0));
-    assert!(bucket.take(90_500, 2.0));
+    let mut bucket = TokenBucket::default();
+    assert!(!bucket.try_take(60_000, 2.0));
+    assert!(bucket.try_take(60_500, 2.0));
+    assert!(!bucket.try_take(60_600, 0.0));
+    assert!(!bucket.try_take(90_000, 2.0));
+    assert!(bucket.try_take(90_500, 2.0));
 }
 
 proptest! {
--- a/crates/plan/tests/repeats.rs
+++ b/crates/plan/tests/retry_budget.rs
@@ -1,17 +1,17 @@
 //! The bound on repeats as whoever counts arrivals sees it: in windows that slide, and some time after they were allowed.
 
-use plan::{RepeatTerms, Repeats, Share};
+use plan::{BudgetShare, FleetRetryBudget, RetryBudgetSettings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const TERMS: RepeatTerms = RepeatTerms {
+const TERMS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     window_ms: 10_000,
     slack: 50.0,
 };
 
 /// One instance that has the whole allowance.
-const ALONE: Share = Share {
+const ALONE: BudgetShare = BudgetShare {
     instances: 1,
     age_ms: TERMS.window_ms,
 };
@@ -53,10 +53,10 @@
 /// Guards against an allowance that is there twice in a window, as its first use is forgotten early.
 #[test]
 fn a_burst_of_repeats_is_remembered_for_a_whole_window() {
-    let mut repeats = Repeats::default();
+    let mut repeats = FleetRetryBudget::default();
     let mut sent = Sent::default();
     for now_ms in [999, 10_000] {
-        while repeats.take(now_ms, &TERMS, &ALONE) {
+        while repeats.try_retry(now_ms, &TERMS, &ALONE) {
             sent.again.push(now_ms);
         }
     }
@@ -76,17 +76,17 @@
     fn no_window_has_more_than_allowed(
         bursts in prop::collection::vec((0_u64..3_000, 0_usize..60, 0_usize..60, 0..LAG_MS), 1..40),
     ) {
-        let mut repeats = Repeats::default();
+        let mut repeats = FleetRetryBudget::default();
         let mut sent = Sent::default();
         let mut now_ms = 0;
         for (gap_ms, first, again, lag_ms) in bursts {
             now_ms += gap_ms;
             for _ in 0..first {
-                repeats.first(now_ms, &TERMS);
+                repeats.record_first_send(now_ms, &TERMS);
                 sent.first.push(now_ms);
             }
             for _ in 0..again {
-                if repeats.take(now_ms, &TERMS, &ALONE) {
+                if repeats.try_retry(now_ms, &TERMS, &ALONE) {
                     sent.again.push(now_ms + lag_ms);
                 }
             }
--- a/crates/plan/tests/rush.rs
+++ b/crates/plan/tests/rush.rs
@@ -4,7 +4,9 @@
 //! to an engine for output, and drop the parts used least recently, as those of the users do.
 //! Arrivals and parts are drawn from fixed seeds.
 
-use plan::{EngineView, Holder, Link, Pace, Seen, best_copy, least, work_tokens};
+use plan::{
+    EngineView, KvLink, LatencyModel, PrefillSample, PrefixHolder, best_copy, cheapest, work_tokens,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -17,7 +19,7 @@
 const ANSWER_MS: f64 = 90.0;
 const OBJECTIVE_MS: f64 = 800.0;
 const ROOM_TOKENS: f64 = 300_000.0;
-const LINK: Link = Link {
+const LINK: KvLink = KvLink {
     token_bytes: 35_000.0,
     mbps: 300_000.0,
 };
@@ -71,10 +73,10 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut engines: Vec<Engine> = (0..READERS + MAKERS).map(|_| Engine::default()).collect();
     // The engines' true pace, so that only the placing differs.
-    let mut pace = Pace::default();
+    let mut pace = LatencyModel::default();
     for each in 0..400_u32 {
         let work = 500.0 + f64::from(each * 7_919 % 12_000);
-        pace.learn(&Seen {
+        pace.record_prefill(&PrefillSample {
             own_tokens: work,
             queued_tokens: 0.0,
             elapsed_ms: ANSWER_MS + work / TOKENS_A_MS,
@@ -98,9 +100,9 @@
                 new_tokens: if is_new { SHARED_TOKENS } else { 0.0 },
                 ..EngineView::default()
             };
-            pace.prefill_ms(&view, SHARED_TOKENS + OWN_TOKENS)
+            pace.predict_prefill(&view, SHARED_TOKENS + OWN_TOKENS)
         });
-        let (at, _) = least(predicted).expect("an engine");
+        let (at, _) = cheapest(predicted).expect("an engine");
         let work = work_tokens(SHARED_TOKENS + OWN_TOKENS, starts[at].0);
         let engine = &mut engines[at];
         let begins_ms = engine.free_at_ms.max(now_ms) + starts[at].1;
@@ -124,7 +126,7 @@
     let own = engines[at].holds(part).map_or(0.0, |held| held.tokens);
     let holders = engines.iter().map(|engine| {
         let read = engine.holds(part).filter(|held| held.read_at_ms <= now_ms);
-        Holder {
+        PrefixHolder {
             tokens: read.map_or(0.0, |held| held.tokens),
             is_same_zone: false,
             requests: 0.0,
@@ -184,7 +186,7 @@
 /// A few tokens more are not worth a transfer, nor is any copy where engines have no links.
 #[test]
 fn the_copy_is_taken_from_the_nearest_engine_that_holds_most() {
-    let holder = |tokens, is_same_zone, requests| Holder {
+    let holder = |tokens, is_same_zone, requests| PrefixHolder {
         tokens,
         is_same_zone,
         requests,
@@ -193,14 +195,14 @@
     let busy = holder(13_000.0, true, 9.0);
     let near = holder(13_000.0, true, 1.0);
     let little = holder(300.0, true, 0.0);
-    let chosen = |own, holders: &[Holder]| best_copy(&LINK, own, holders.iter().copied());
+    let chosen = |own, holders: &[PrefixHolder]| best_copy(&LINK, own, holders.iter().copied());
     assert_eq!(
         chosen(0.0, &[far, busy, near]).map(|copy| copy.from),
         Some(2)
     );
     assert_eq!(chosen(0.0, &[little]), None);
     assert_eq!(chosen(12_900.0, &[near]), None);
-    let unlinked = best_copy(&Link::default(), 0.0, [near].into_iter());
+    let unlinked = best_copy(&KvLink::default(), 0.0, [near].into_iter());
     assert_eq!(unlinked, None);
     let ms = |holder| chosen(0.0, &[holder]).map_or(0.0, |copy| copy.transfer_ms);
     assert!(
--- a/crates/plan/tests/split.rs
+++ b/crates/plan/tests/split.rs
@@ -1,6 +1,8 @@
 //! Mixes that swing, stand and fail, and the split of engines that answers them.
 
-use plan::{Demand, Peak, Rate, Split, SplitPlan, Turn, readers_wanted};
+use plan::{
+    Demand, MovingRate, PeakDemand, RoleSplit, SplitChange, SplitPlanner, wanted_prefill_engines,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -12,22 +14,22 @@
 
 /// A fleet whose engines change as the plan says.
 struct Fleet {
-    plan: SplitPlan,
-    peak: Peak,
-    split: Split,
+    plan: SplitPlanner,
+    peak: PeakDemand,
+    split: RoleSplit,
     back_ms: Vec<u64>,
-    turns: Vec<(u64, Turn)>,
+    turns: Vec<(u64, SplitChange)>,
 }
 
 impl Fleet {
     fn new(readers: usize, makers: usize) -> Self {
         Self {
-            plan: SplitPlan::default(),
-            peak: Peak::default(),
-            split: Split {
-                readers,
-                makers,
-                away: 0,
+            plan: SplitPlanner::default(),
+            peak: PeakDemand::default(),
+            split: RoleSplit {
+                prefill: readers,
+                decode: makers,
+                changing: 0,
             },
             back_ms: Vec::new(),
             turns: Vec::new(),
@@ -36,20 +38,20 @@
 
     fn look(&mut self, now_ms: u64, demand: &Demand) {
         self.back_ms.retain(|at_ms| *at_ms > now_ms);
-        self.split.away = self.back_ms.len();
-        let demand = self.peak.note(now_ms, demand);
-        let Some(turn) = self.plan.next(now_ms, &demand, &self.split) else {
+        self.split.changing = self.back_ms.len();
+        let demand = self.peak.record(now_ms, demand);
+        let Some(turn) = self.plan.next_change(now_ms, &demand, &self.split) else {
             return;
         };
-        self.plan.ordered(now_ms, turn);
+        self.plan.record_order(now_ms, turn);
         match turn {
-            Turn::ToReading => {
-                self.split.makers -= 1;
-                self.split.readers += 1;
+            SplitChange::ToPrefill => {
+                self.split.decode -= 1;
+                self.split.prefill += 1;
             }
-            Turn::ToMaking => {
-                self.split.readers -= 1;
-                self.split.makers += 1;
+            SplitChange::ToDecode => {
+                self.split.prefill -= 1;
+                self.split.decode += 1;
             }
         }
         self.back_ms.push(now_ms + AWAY_MS);
@@ -64,7 +66,10 @@
 }
 
 fn demand(reading: f64, making: f64) -> Demand {
-    Demand { reading, making }
+    Demand {
+        prefill: reading,
+        decode: making,
+    }
 }
 
 /// A third of eighteen engines read and the mix asks for half of them, from the first second and for
@@ -73,12 +78,12 @@
 fn a_split_that_is_wrong_from_the_start_is_mended_once() {
     let mut fleet = Fleet::new(6, 12);
     fleet.play(1_500, 60_000, |_| demand(7.0, 3.0));
-    assert!((9..=11).contains(&fleet.split.readers), "{:?}", fleet.split);
+    assert!((9..=11).contains(&fleet.split.prefill), "{:?}", fleet.split);
     assert!(
         fleet
             .turns
             .iter()
-            .all(|(at_ms, turn)| *at_ms < 15_000 && *turn == Turn::ToReading)
+            .all(|(at_ms, turn)| *at_ms < 15_000 && *turn == SplitChange::ToPrefill)
     );
     assert!(fleet.turns.len() <= 5, "{:?}", fleet.turns);
 }
@@ -97,7 +102,10 @@
     });
     assert!(fleet.turns.len() <= 6, "{:?}", fleet.turns);
     assert!(
-        fleet.turns.iter().all(|(_, turn)| *turn == Turn::ToReading),
+        fleet
+            .turns
+            .iter()
+            .all(|(_, turn)| *turn == SplitChange::ToPrefill),
         "{:?}",
         fleet.turns
     );
@@ -109,14 +117,17 @@
 fn a_mix_that_turns_over_is_followed() {
     let mut fleet = Fleet::new(9, 9);
     fleet.play(1_500, 60_000, |_| demand(6.5, 2.0));
-    let readers = fleet.split.readers;
+    let readers = fleet.split.prefill;
     fleet.play(60_000, 180_000, |_| demand(1.0, 6.0));
     assert!(
-        fleet.split.readers + 3 <= readers,
+        fleet.split.prefill + 3 <= readers,
         "{readers} {:?}",
         fleet.split
     );
-    let back = fleet.turns.iter().find(|(_, turn)| *turn == Turn::ToMaking);
+    let back = fleet
+        .turns
+        .iter()
+        .find(|(_, turn)| *turn == SplitChange::ToDecode);
     assert!(
         back.is_some_and(|(at_ms, _)| *at_ms > 62_000),
         "{:?}",
@@ -132,9 +143,9 @@
     fleet.play(30_000, 40_000, |_| demand(4.7, 0.5));
     assert_eq!(
         fleet.turns.first().map(|(_, turn)| *turn),
-        Some(Turn::ToMaking)
+        Some(SplitChange::ToDecode)
     );
-    assert_eq!(fleet.split.makers, 3);
+    assert_eq!(fleet.split.decode, 3);
 }
 
 /// Nobody waits at night. However uneven the split is, no engine is taken away.
@@ -148,12 +159,12 @@
 /// Traffic began two seconds ago. The rate is that of these seconds and not of the minute before.
 #[test]
 fn a_rate_is_right_from_its_first_seconds() {
-    let mut rate = Rate::default();
+    let mut rate = MovingRate::default();
     for at_ms in (60_000..62_000).step_by(10) {
         rate.add(at_ms, 5.0);
     }
-    assert!((rate.a_ms(62_000) - 0.5).abs() < 0.05, "{rate:?}");
-    assert!(rate.a_ms(90_000) < 0.01, "{rate:?}");
+    assert!((rate.per_ms(62_000) - 0.5).abs() < 0.05, "{rate:?}");
+    assert!(rate.per_ms(90_000) < 0.01, "{rate:?}");
 }
 
 proptest! {
@@ -176,7 +187,7 @@
         for (second, (reading, making)) in asked.into_iter().enumerate() {
             let from_ms = 1_500 + second as u64 * 1_000;
             fleet.play(from_ms, from_ms + 1_000, |_| demand(reading, making));
-            prop_assert!(fleet.split.readers >= 1 && fleet.split.makers >= 1);
+            prop_assert!(fleet.split.prefill >= 1 && fleet.split.decode >= 1);
             prop_assert!(fleet.back_ms.len() <= (engines / 6).max(1), "{:?}", fleet.back_ms);
         }
         for pair in fleet.turns.windows(2) {
@@ -189,7 +200,7 @@
     fn more_reading_wants_no_fewer_readers(
         engines in 2_usize..200, reading in 0.0_f64..100.0, more in 0.0_f64..50.0, making in 0.0_f64..100.0,
     ) {
-        let less = readers_wanted(&demand(reading, making), engines);
-        prop_assert!(readers_wanted(&demand(reading + more, making), engines) >= less);
+        let less = wanted_prefill_engines(&demand(reading, making), engines);
+        prop_assert!(wanted_prefill_engines(&demand(reading + more, making), engines) >= less);
     }
 }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -5,7 +5,7 @@
 
 use http::{Response, header};
 use http_body_util::BodyExt;
-use plan::AttemptBudget;
+use plan::AttemptTimeout;
 
 use crate::again::{Facts, Next, Outcome, next, truthful};
 use crate::answer::{AnswerBody, Reason, Refused};
@@ -138,15 +138,15 @@
 ) -> Sent {
     let left_ms = call.left_ms(relay.now_ms());
     let has_other = call.route.is_repeatable() && call.attempts.get() + 1 < call.route.max_attempts;
-    let budget = AttemptBudget::next(left_ms, 1).filter(|_| has_other);
+    let budget = AttemptTimeout::next(left_ms, 1).filter(|_| has_other);
     let Some(budget) = budget else {
         return send(relay, call, upstream, sending).await;
     };
-    let wait = Duration::from_millis(budget.spend_ms);
+    let wait = Duration::from_millis(budget.timeout_ms);
     let sent = actix_rt::time::timeout(wait, send(relay, call, upstream, sending)).await;
     sent.unwrap_or_else(|_| {
         upstream.failed(relay.now_ms());
-        Sent::Lost(format!("nothing within {} ms", budget.spend_ms))
+        Sent::Lost(format!("nothing within {} ms", budget.timeout_ms))
     })
 }
 
--- a/crates/relay/src/learned.rs
+++ b/crates/relay/src/learned.rs
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-use plan::{Pace, Predicted, Seen};
+use plan::{LatencyModel, Prediction, PrefillSample};
 
 use crate::patience::Patience;
 use crate::urgency::UsualLength;
@@ -14,37 +14,37 @@
 /// What was learned, by service or by route.
 #[derive(Debug, Default)]
 pub struct Learned {
-    paces: RefCell<HashMap<String, Pace>>,
+    paces: RefCell<HashMap<String, LatencyModel>>,
     patience: RefCell<HashMap<String, Patience>>,
     lengths: RefCell<HashMap<String, UsualLength>>,
 }
 
 impl Learned {
     /// How fast a service's engines read.
-    pub fn pace(&self, service: &str) -> Pace {
+    pub fn pace(&self, service: &str) -> LatencyModel {
         let paces = self.paces.borrow();
         paces.get(service).copied().unwrap_or_default()
     }
 
     /// An engine of a service that does nothing else has read a prompt.
-    pub fn read(&self, service: &str, seen: &Seen) {
-        self.adjust(service, |pace| pace.learn(seen));
+    pub fn read(&self, service: &str, seen: &PrefillSample) {
+        self.adjust(service, |pace| pace.record_prefill(seen));
     }
 
     /// An engine of a service began output after `took_ms` where `first` was predicted, having read
     /// the prompt itself or got it from another one.
-    pub fn began(&self, service: &str, first: &Predicted, is_handed: bool, took_ms: f64) {
+    pub fn began(&self, service: &str, first: &Prediction, is_handed: bool, took_ms: f64) {
         let off_ms = took_ms - first.total_ms();
         self.adjust(service, |pace| {
             if is_handed {
-                pace.learn_hand_over(off_ms);
+                pace.record_kv_transfer(off_ms);
             } else {
-                pace.learn_beside(off_ms, first.wait_ms, first.own_ms);
+                pace.record_decode_prefill(off_ms, first.wait_ms, first.processing_ms);
             }
         });
     }
 
-    fn adjust(&self, service: &str, learn: impl FnOnce(&mut Pace)) {
+    fn adjust(&self, service: &str, learn: impl FnOnce(&mut LatencyModel)) {
         let mut paces = self.paces.borrow_mut();
         learn(paces.entry(service.to_owned()).or_default());
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -37,6 +37,6 @@
 pub mod upstreams;
 pub mod urgency;
 
-pub use plan::RepeatTerms;
+pub use plan::RetryBudgetSettings;
 pub use relay::{Origin, Phase, Relay, Settings};
 pub use view::{cadence, followed, members};
--- a/crates/relay/src/orders.rs
+++ b/crates/relay/src/orders.rs
@@ -12,7 +12,10 @@
 use std::rc::Rc;
 
 use lease::{TurnTimes, Turns};
-use plan::{Demand, Peak, Rate, Split, SplitPlan, Turn, Verdict, turns_at_once};
+use plan::{
+    Demand, HealthStatus, MovingRate, PeakDemand, RoleSplit, SplitChange, SplitPlanner,
+    max_changes_at_once,
+};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use view::cadence::Duty;
@@ -82,19 +85,19 @@
     /// What it is to do.
     pub stage: Stage,
     service: String,
-    turn: Turn,
+    turn: SplitChange,
     demand: Demand,
-    split: Split,
+    split: RoleSplit,
 }
 
 /// What is asked of one service, as this instance sees it.
 #[derive(Default)]
 struct Asked {
-    reading: Rate,
-    making: Rate,
-    requests: Rate,
-    peak: Peak,
-    plan: SplitPlan,
+    reading: MovingRate,
+    making: MovingRate,
+    requests: MovingRate,
+    peak: PeakDemand,
+    plan: SplitPlanner,
 }
 
 /// Orders of one instance.
@@ -133,9 +136,9 @@
         let all = self.asked.borrow();
         let told = all.iter().map(|(service, asked)| ServiceDemand {
             service: service.clone(),
-            reading: asked.reading.a_ms(now_ms) as f32,
-            making: asked.making.a_ms(now_ms) as f32,
-            requests_a_s: (asked.requests.a_ms(now_ms) * 1_000.0) as f32,
+            reading: asked.reading.per_ms(now_ms) as f32,
+            making: asked.making.per_ms(now_ms) as f32,
+            requests_a_s: (asked.requests.per_ms(now_ms) * 1_000.0) as f32,
         });
         told.collect()
     }
@@ -220,15 +223,15 @@
     /// The most that all instances were asked of late; nothing while too little is seen.
     fn demand(&mut self, now_ms: u64, others: Option<&ServiceDemand>) -> Option<Demand> {
         let others = others.cloned().unwrap_or_default();
-        let requests_a_s = self.requests.a_ms(now_ms) * 1_000.0 + f64::from(others.requests_a_s);
-        if self.requests.seen_ms(now_ms) < SEEN_MS || requests_a_s < LEAST_REQUESTS_A_S {
+        let requests_a_s = self.requests.per_ms(now_ms) * 1_000.0 + f64::from(others.requests_a_s);
+        if self.requests.observed_ms(now_ms) < SEEN_MS || requests_a_s < LEAST_REQUESTS_A_S {
             return None;
         }
         let now = Demand {
-            reading: self.reading.a_ms(now_ms) + f64::from(others.reading),
-            making: self.making.a_ms(now_ms) + f64::from(others.making),
+            prefill: self.reading.per_ms(now_ms) + f64::from(others.reading),
+            decode: self.making.per_ms(now_ms) + f64::from(others.making),
         };
-        Some(self.peak.note(now_ms, &now))
+        Some(self.peak.record(now_ms, &now))
     }
 }
 
@@ -251,20 +254,20 @@
     let now_ms = relay.now_ms();
     let away = |each: &&Rc<Upstream>| each.is_turning(now_ms);
     let reads = |each: &&Rc<Upstream>| each.stage_wanted(now_ms) == Stage::Prefill;
-    let split = Split {
-        readers: engines.iter().filter(reads).count(),
-        makers: engines.iter().filter(|each| !reads(each)).count(),
-        away: engines.iter().filter(away).count(),
+    let split = RoleSplit {
+        prefill: engines.iter().filter(reads).count(),
+        decode: engines.iter().filter(|each| !reads(each)).count(),
+        changing: engines.iter().filter(away).count(),
     };
-    let Some(turn) = asked.plan.next(now_ms, demand, &split) else {
+    let Some(turn) = asked.plan.next_change(now_ms, demand, &split) else {
         return Vec::new();
     };
     let stage = match turn {
-        Turn::ToReading => Stage::Prefill,
-        Turn::ToMaking => Stage::Decode,
+        SplitChange::ToPrefill => Stage::Prefill,
+        SplitChange::ToDecode => Stage::Decode,
     };
     let most = engines.len().div_ceil(ENGINES_AN_ORDER);
-    let count = most.min(turns_at_once(turn, demand, &split));
+    let count = most.min(max_changes_at_once(turn, demand, &split));
     let chosen = chosen(relay, engines, stage, count);
     let wish = |engine| {
         Rc::new(Wish {
@@ -301,7 +304,9 @@
     let mut free: Vec<&Rc<Upstream>> = engines
         .iter()
         .filter(|each| each.stage() != stage && !each.is_turning(now_ms) && !rests(each))
-        .filter(|each| each.verdict(now_ms) == Verdict::Fit && each.age_ms(now_ms) >= SETTLED_MS)
+        .filter(|each| {
+            each.verdict(now_ms) == HealthStatus::Healthy && each.age_ms(now_ms) >= SETTLED_MS
+        })
         .collect();
     let mut chosen = Vec::new();
     while chosen.len() < count {
--- a/crates/relay/src/orders/giving.rs
+++ b/crates/relay/src/orders/giving.rs
@@ -37,7 +37,7 @@
         .borrow_mut()
         .insert(engine.id.clone(), now_ms);
     if let Some(asked) = relay.orders.asked.borrow_mut().get_mut(&wish.service) {
-        asked.plan.ordered(now_ms, wish.turn);
+        asked.plan.record_order(now_ms, wish.turn);
     }
     // Told to the others before the engine is: what they send there in ignorance is rejected unrun.
     engine.turns_to(now_ms, wish.stage, TURNING_MS, true);
@@ -71,8 +71,8 @@
     };
     log::info!(
         engine = engine.id, stage:? = wish.stage, fence = ticket.fence, result,
-        reading = wish.demand.reading, making = wish.demand.making,
-        readers = wish.split.readers, makers = wish.split.makers, away = wish.split.away;
+        reading = wish.demand.prefill, making = wish.demand.decode,
+        readers = wish.split.prefill, makers = wish.split.decode, away = wish.split.changing;
         "role ordered"
     );
 }
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/place.rs
@@ -4,7 +4,9 @@
 
 use std::rc::Rc;
 
-use plan::{Ask, LatestStart, Predicted, Verdict, Waiting, least, work_tokens};
+use plan::{
+    DecodeRequest, HealthStatus, LateRequest, LatestStart, Prediction, cheapest, work_tokens,
+};
 use view::InstanceKey;
 
 use crate::answer::{Reason, Refused};
@@ -72,7 +74,7 @@
     /// Work of reading the rest there, in tokens.
     pub tokens: f64,
     /// Predicted time until it is read.
-    pub read: Predicted,
+    pub read: Prediction,
     /// Whether it can be on time.
     pub urgency: Urgency,
 }
@@ -89,7 +91,7 @@
     /// Work of reading what it then lacks of the prompt, in tokens.
     pub tokens: f64,
     /// Predicted time to the first event.
-    pub first: Predicted,
+    pub first: Prediction,
     /// Whether it can be on time.
     pub urgency: Urgency,
 }
@@ -113,9 +115,9 @@
     // A probe may meet a failing upstream, so only what can be repeated is spent on it.
     let may_probe = call.route.is_repeatable();
     let fit = |each: &&Rc<Upstream>| match each.verdict(now_ms) {
-        Verdict::Fit => true,
-        Verdict::Probe => may_probe,
-        Verdict::Ejected => false,
+        HealthStatus::Healthy => true,
+        HealthStatus::Probe => may_probe,
+        HealthStatus::Ejected => false,
     };
     let fit: Vec<Rc<Upstream>> = all.iter().filter(fit).cloned().collect();
     // A slow answer is better than none: with nobody fit, all are tried.
@@ -134,13 +136,13 @@
         };
         let load = (each.load(now_ms) + 1.0) / f64::from(each.slots);
         let queue = (load - 1.0).max(0.0) + FILLING * load;
-        Predicted {
+        Prediction {
             wait_ms: answer_ms * queue,
-            own_ms: 2.0 * each.distance_ms + answer_ms,
-            harm_ms: 0.0,
+            processing_ms: 2.0 * each.distance_ms + answer_ms,
+            interference_ms: 0.0,
         }
     };
-    let Some((at, time)) = least(all.iter().map(predicted)) else {
+    let Some((at, time)) = cheapest(all.iter().map(predicted)) else {
         return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_MS));
     };
     let left_ms = call.left_ms(now_ms) as f64;
@@ -178,16 +180,16 @@
         return Ok(placement);
     }
     let (placement, first) = best(relay, call, prompt, tried, Urgency::Late)?;
-    let latest_ms = LatestStart::default().wait_ms(&Waiting {
+    let latest_ms = LatestStart::default().max_wait_ms(&LateRequest {
         goal_ms,
-        own_ms: first.own_ms,
+        processing_ms: first.processing_ms,
         waited_ms,
         left_ms: call.left_ms(relay.now_ms()) as f64 * LEFT_SHARE,
     });
     if first.total_ms() > latest_ms {
         if relay.failed_lines.take(relay.now_ms()) {
             log::info!(
-                request = call.id(), wait_ms = first.wait_ms, own_ms = first.own_ms, latest_ms,
+                request = call.id(), wait_ms = first.wait_ms, own_ms = first.processing_ms, latest_ms,
                 prompt_tokens = prompt.input_tokens, token_ms = relay.learned.pace(&call.service).token_ms();
                 "would start too late"
             );
@@ -214,7 +216,7 @@
 }
 
 /// Counts where a prompt is read, what is held of it there, and the wait that is expected.
-fn note(relay: &Relay, call: &Call, placement: &Placement, first: &Predicted) {
+fn note(relay: &Relay, call: &Call, placement: &Placement, first: &Prediction) {
     let (read, copies, held_tokens) = match placement {
         Placement::Apart(reader) => ("apart", reader.copy_from.is_some(), reader.held_tokens),
         Placement::Whole(maker) => ("whole", maker.copy_from.is_some(), maker.held_tokens),
@@ -240,7 +242,7 @@
     prompt: &Prompt,
     tried: &[String],
     urgency: Urgency,
-) -> Result<(Placement, Predicted), Refused> {
+) -> Result<(Placement, Prediction), Refused> {
     let whole = maker(relay, call, prompt, tried, false, urgency)?;
     let tokens = f64::from(prompt.input_tokens);
     let apart = (tokens >= READ_APART_TOKENS)
@@ -249,10 +251,10 @@
     let after = maker(relay, call, prompt, tried, true, urgency)?.first;
     // What a part displaces at the engine that reads apart decides among such engines only. Counted
     // here it would send more reads beside output, where they make short answers late.
-    let first_of = |reader: &Reader| Predicted {
+    let first_of = |reader: &Reader| Prediction {
         wait_ms: reader.read.wait_ms + after.wait_ms,
-        own_ms: reader.read.own_ms + after.own_ms,
-        harm_ms: after.harm_ms,
+        processing_ms: reader.read.processing_ms + after.processing_ms,
+        interference_ms: after.interference_ms,
     };
     let apart = apart.map(|reader| (first_of(&reader), reader));
     Ok(match apart {
@@ -285,9 +287,9 @@
         relay,
         &candidates(relay, call, tried, &[Stage::Decode, Stage::Whole]),
     );
-    let ask = Ask {
+    let ask = DecodeRequest {
         prompt_tokens: tokens,
-        place_ms: PLACE_MS,
+        slot_turnover_ms: PLACE_MS,
         gap_goal_ms: call.route.gap_goal_ms as f64,
         event_tokens: f64::from(relay.engine_limits(&call.service).event_tokens.max(1)),
     };
@@ -301,11 +303,11 @@
         }
     };
     let predicted = |each: &Rc<Upstream>| {
-        let mut first = pace.decode_ms(&start(each).view(each, now_ms, rank), &ask);
-        first.harm_ms += connecting_ms(each);
+        let mut first = pace.predict_decode(&start(each).view(each, now_ms, rank), &ask);
+        first.interference_ms += connecting_ms(each);
         first
     };
-    let Some((at, first)) = least(makers.iter().map(predicted)) else {
+    let Some((at, first)) = cheapest(makers.iter().map(predicted)) else {
         return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_MS));
     };
     let engine = Rc::clone(&makers[at]);
@@ -353,14 +355,14 @@
     let all = readers;
     let predicted = |each: &Rc<Upstream>| {
         let start = holders.start_at(each, prompt);
-        let mut read = pace.prefill_ms(&start.view(each, now_ms, rank), tokens);
-        read.harm_ms += connecting_ms(each);
+        let mut read = pace.predict_prefill(&start.view(each, now_ms, rank), tokens);
+        read.interference_ms += connecting_ms(each);
         if start.tokens == 0.0 && Some(&each.id) != home.as_ref() {
-            read.harm_ms += read.own_ms * AWAY;
+            read.interference_ms += read.processing_ms * AWAY;
         }
         read
     };
-    let (at, read) = least(all.iter().map(predicted))?;
+    let (at, read) = cheapest(all.iter().map(predicted))?;
     let engine = Rc::clone(&all[at]);
     let start = holders.start_at(&engine, prompt);
     Some(Reader {
--- a/crates/relay/src/prefix.rs
+++ b/crates/relay/src/prefix.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use plan::{EngineView, Holder, Link, Verdict, best_copy};
+use plan::{EngineView, HealthStatus, KvLink, PrefixHolder, best_copy};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::call::Call;
@@ -49,7 +49,7 @@
 
 /// The engines that hold something of one prompt's start.
 pub struct Holders {
-    link: Link,
+    link: KvLink,
     now_ms: u64,
     all: Vec<(Rc<Upstream>, f64)>,
 }
@@ -59,7 +59,7 @@
     pub fn of(relay: &Relay, call: &Call, prompt: &Prompt) -> Self {
         let now_ms = relay.now_ms();
         let engine = relay.engine_limits(&call.service);
-        let link = Link {
+        let link = KvLink {
             token_bytes: engine.token_bytes as f64,
             mbps: engine.link_mbps as f64,
         };
@@ -73,7 +73,7 @@
         let upstreams = relay.upstreams.borrow();
         let all = upstreams
             .ready(&call.service, now_ms)
-            .filter(|each| each.verdict(now_ms) == Verdict::Fit)
+            .filter(|each| each.verdict(now_ms) == HealthStatus::Healthy)
             .map(|each| (Rc::clone(each), held_tokens(prompt, |id| each.copyable(id))))
             .filter(|(_, tokens)| *tokens > 0.0)
             .collect();
@@ -83,7 +83,7 @@
     /// What an engine need not read: what it holds, or more if a copy is worth it.
     pub fn start_at(&self, engine: &Rc<Upstream>, prompt: &Prompt) -> Start {
         let own_tokens = held_tokens(prompt, |id| engine.kept(id));
-        let holders = self.all.iter().map(|(holder, tokens)| Holder {
+        let holders = self.all.iter().map(|(holder, tokens)| PrefixHolder {
             tokens: *tokens,
             is_same_zone: holder.zone == engine.zone,
             requests: holder.load(self.now_ms),
--- a/crates/relay/src/reading.rs
+++ b/crates/relay/src/reading.rs
@@ -7,7 +7,7 @@
 use http::{Response, StatusCode, header};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use plan::Seen;
+use plan::PrefillSample;
 
 use crate::blame::note_lost;
 use crate::call::Call;
@@ -105,7 +105,7 @@
         },
     );
     let read_ms = reader.read.total_ms();
-    let own_ms = reader.read.own_ms;
+    let own_ms = reader.read.processing_ms;
     let copy_from = reader.copy_from.clone();
     let held_tokens = reader.held_tokens;
     let own_tokens = reader.tokens;
@@ -161,7 +161,7 @@
                 "prompt read"
             );
         }
-        let seen = Seen {
+        let seen = PrefillSample {
             own_tokens,
             queued_tokens: (before - own_tokens).max(0.0),
             elapsed_ms: took_ms,
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use plan::{RepeatTerms, Repeats};
+use plan::{FleetRetryBudget, RetryBudgetSettings};
 use tick::{Clock, since_boot_ms};
 use view::hubs::Ranks;
 use view::shared::Shared;
@@ -50,7 +50,7 @@
     /// Where some instances can be asked before any is known.
     pub seeds: Vec<std::net::SocketAddr>,
     /// Bound on repeated sends.
-    pub repeats: RepeatTerms,
+    pub repeats: RetryBudgetSettings,
     /// Longest time that callers may keep an answer of the directory, in ms.
     pub addresses_ttl_ms: u64,
     /// Time by which orders of two instances to one engine must be apart, in ms.
@@ -104,7 +104,7 @@
     phase: Cell<Phase>,
     beat: Cell<u64>,
     config: RefCell<Option<Rc<Config>>>,
-    repeats: RefCell<HashMap<String, Repeats>>,
+    repeats: RefCell<HashMap<String, FleetRetryBudget>>,
     /// What answers and requests have taught.
     pub learned: Learned,
     suspects: RefCell<Suspects>,
@@ -232,7 +232,7 @@
         let terms = self.settings.borrow().repeats;
         let share = self.share();
         for (service, repeats) in self.repeats.borrow_mut().iter_mut() {
-            let left = repeats.left(now_ms, &terms, &share);
+            let left = repeats.remaining(now_ms, &terms, &share);
             metrics
                 .repeats_left
                 .with_label_values(&[service])
--- a/crates/relay/src/relay/limits.rs
+++ b/crates/relay/src/relay/limits.rs
@@ -1,6 +1,6 @@
 //! Limits that upstreams name for all instances together, and this instance's part of them.
 
-use plan::Position;
+use plan::InstancePosition;
 use view::{LimitTold, Told};
 
 use super::Relay;
@@ -70,13 +70,13 @@
     /// This instance's part of an upstream's limit, if that names one.
     fn part_per_s(&self, now_ms: u64, upstream: &Upstream) -> Option<f64> {
         let per_s = upstream.limit().per_s(now_ms)?;
-        Some(self.position().part_per_s(per_s, upstream.key.0.into()))
+        Some(self.position().share_per_s(per_s, upstream.key.0.into()))
     }
 
-    fn position(&self) -> Position {
+    fn position(&self) -> InstancePosition {
         self.look_at_ranks();
         let ranks = self.ranks.borrow();
-        Position {
+        InstancePosition {
             rank: ranks.rank,
             instances: ranks.instances,
         }
--- a/crates/relay/src/relay/repeats.rs
+++ b/crates/relay/src/relay/repeats.rs
@@ -1,6 +1,6 @@
 //! The bound on requests that reach a service more than once, as this instance keeps its part of it.
 
-use plan::Share;
+use plan::BudgetShare;
 
 use super::Relay;
 use crate::call::Call;
@@ -11,7 +11,7 @@
         let terms = self.settings.borrow().repeats;
         let mut all = self.repeats.borrow_mut();
         let repeats = all.entry(service.to_owned()).or_default();
-        repeats.first(self.now_ms(), &terms);
+        repeats.record_first_send(self.now_ms(), &terms);
     }
 
     /// Takes one repeat from the budget of a service.
@@ -25,15 +25,15 @@
         let share = self.share();
         let mut all = self.repeats.borrow_mut();
         let repeats = all.entry(service.to_owned()).or_default();
-        let may = repeats.take(self.now_ms(), &terms, &share);
+        let may = repeats.try_retry(self.now_ms(), &terms, &share);
         let labels = [outcome_of(may)];
         self.metrics.repeats.with_label_values(&labels).inc();
         may
     }
 
     /// Its share in the fixed allowance.
-    pub(super) fn share(&self) -> Share {
-        Share {
+    pub(super) fn share(&self) -> BudgetShare {
+        BudgetShare {
             instances: self.members.borrow().sharing(),
             age_ms: self.now_ms(),
         }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plan::{EngineView, Health, Verdict};
+use plan::{EngineView, Health, HealthStatus};
 use tick::Clock;
 
 use crate::dialect::ToldLoad;
@@ -324,11 +324,11 @@
     }
 
     /// Whether it is fit for work.
-    pub fn verdict(&self, now_ms: u64) -> Verdict {
+    pub fn verdict(&self, now_ms: u64) -> HealthStatus {
         if self.is_silent(now_ms) || now_ms < self.rejecting_until_ms.get() {
-            return Verdict::Ejected;
+            return HealthStatus::Ejected;
         }
-        self.health.borrow().verdict(now_ms)
+        self.health.borrow().status(now_ms)
     }
 
     /// Whether it has requests and has answered none of them for too long.
@@ -352,7 +352,7 @@
 
     /// No connection to it could be opened.
     pub fn unreachable(&self, now_ms: u64) {
-        self.health.borrow_mut().unreachable(now_ms);
+        self.health.borrow_mut().record_unreachable(now_ms);
     }
 
     /// How much slower it is than predicted.
@@ -364,7 +364,7 @@
     pub fn answered(&self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
         self.health
             .borrow_mut()
-            .answered(now_ms, predicted_ms, actual_ms);
+            .record_latency(now_ms, predicted_ms, actual_ms);
         let seen = self.answer_ms.get();
         let next = if seen == 0.0 {
             actual_ms
@@ -376,7 +376,7 @@
 
     /// It failed a request for its own sake.
     pub fn failed(&self, now_ms: u64) {
-        self.health.borrow_mut().failed(now_ms);
+        self.health.borrow_mut().record_failure(now_ms);
     }
 
     /// Moving average of its answers' times.
@@ -412,14 +412,14 @@
         let queue = self.queue.borrow().and(&others.queue);
         EngineView {
             queued_tokens: queue.before(rank),
-            later_tokens: queue.after(rank),
+            lower_priority_tokens: queue.after(rank),
             context_tokens: self.context_tokens.get() + f64::from(others.context),
             cached_tokens,
             copy_ms: 0.0,
             new_tokens: 0.0,
             requests: self.load(now_ms),
             slots: f64::from(self.slots),
-            distance_ms: self.distance_ms,
+            one_way_delay_ms: self.distance_ms,
             slowness: self.slowness(),
         }
     }
--- a/crates/relay/src/upstream/limit.rs
+++ b/crates/relay/src/upstream/limit.rs
@@ -1,6 +1,6 @@
 //! How many requests an upstream takes from all instances together, as it names it in its answers.
 
-use plan::Bucket;
+use plan::TokenBucket;
 
 /// Time for which a limit holds after it was last named, whatever other answers say, in ms: an answer that names none may
 /// have been begun before it was named.
@@ -23,7 +23,7 @@
     told_ms: u64,
     /// Time of day of the word that counts.
     word_ms: u64,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 /// What an answer changed.
@@ -80,11 +80,11 @@
 
     /// Whether a request may go there now, where this instance's part is `part_per_s`.
     pub fn has_room(&mut self, now_ms: u64, part_per_s: f64) -> bool {
-        self.bucket.has_one(now_ms, part_per_s)
+        self.bucket.has_token(now_ms, part_per_s)
     }
 
     /// Takes the place of one request, if it may go there now.
     pub fn take(&mut self, now_ms: u64, part_per_s: f64) -> bool {
-        self.bucket.take(now_ms, part_per_s)
+        self.bucket.try_take(now_ms, part_per_s)
     }
 }
--- a/crates/relay/src/upstream/work.rs
+++ b/crates/relay/src/upstream/work.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use plan::Verdict;
+use plan::HealthStatus;
 
 use super::Upstream;
 
@@ -32,8 +32,8 @@
 impl InFlight {
     /// A request that brings this work is about to be sent.
     pub fn enter(upstream: &Rc<Upstream>, now_ms: u64, work: Work) -> Self {
-        if upstream.verdict(now_ms) == Verdict::Probe {
-            upstream.health.borrow_mut().probe();
+        if upstream.verdict(now_ms) == HealthStatus::Probe {
+            upstream.health.borrow_mut().start_probe();
         }
         upstream.in_flight.set(upstream.in_flight.get() + 1);
         if upstream.unanswered.get() == 0 {
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use http::{Method, Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use plan::RepeatTerms;
+use plan::RetryBudgetSettings;
 use relay::config::{Config, EngineLimits, Kind, Limits, Route, Service, Target};
 use relay::front::{Duty, bind, serve};
 use relay::pool::{Fault, Pool, exchange};
@@ -105,7 +105,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
         peer: None,
         seeds: Vec::new(),
-        repeats: RepeatTerms {
+        repeats: RetryBudgetSettings {
             ratio: 0.2,
             window_ms: 10_000,
             slack: 50.0,
--- a/crates/relay/tests/repeats.rs
+++ b/crates/relay/tests/repeats.rs
@@ -10,14 +10,14 @@
 use common::{AGE, Act, Bed, Seen, StandIn, Wire, request, settings};
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
-use plan::RepeatTerms;
+use plan::RetryBudgetSettings;
 use relay::Relay;
 use relay::upstream::Stage;
 use tick::Clock;
 use view::{InstanceKey, Member};
 
 /// Bound on repeats of these tests: a fifth of the requests and five.
-const TERMS: RepeatTerms = RepeatTerms {
+const TERMS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     window_ms: 10_000,
     slack: 5.0,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use conf::Role;
-use plan::Shape;
+use plan::EngineProfile;
 use serde::{Deserialize, Serialize};
 use tick::Clock;
 use tokio::sync::Notify;
@@ -75,7 +75,7 @@
     /// Name of the instance.
     pub name: String,
     /// Its cost model.
-    pub shape: Shape,
+    pub shape: EngineProfile,
     /// Role it begins with.
     pub role: Role,
     /// `model@version` of what it has loaded.
@@ -93,7 +93,7 @@
     pub fn new(name: &str, loaded: &str) -> Self {
         Self {
             name: name.to_owned(),
-            shape: Shape::default(),
+            shape: EngineProfile::default(),
             role: Role::Mixed,
             loaded: vec![loaded.to_owned()],
             checks_orders: true,
