--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -4,7 +4,7 @@
 
 use crate::answer::Reason;
 use crate::config::{Access, Config, Route, Workspace};
-use crate::dialect::Presented;
+use crate::dialect::PresentedKey;
 
 /// A request that may be served.
 #[derive(Debug)]
@@ -29,7 +29,12 @@
 /// On a public route a caller needs no key, and a key that is nobody's is no harm there: its request is served for no
 /// workspace. Several keys in one request are refused elsewhere, since upstreams, proxies and this instance could each
 /// take another one for the one that counts.
-pub fn admit(config: &Config, host: &str, path: &str, key: Presented) -> Result<Admitted, Denied> {
+pub fn admit(
+    config: &Config,
+    host: &str,
+    path: &str,
+    key: PresentedKey,
+) -> Result<Admitted, Denied> {
     let Some(route) = config.route(host, path) else {
         return Err(Denied {
             reason: Reason::NoRoute,
@@ -40,8 +45,8 @@
         Access::Open => None,
         Access::Keyed { ring, .. } => {
             let workspace = match key {
-                Presented::Key(hash) => ring.owner(&hash).cloned(),
-                Presented::Nothing | Presented::Several => None,
+                PresentedKey::Key(hash) => ring.owner(&hash).cloned(),
+                PresentedKey::Nothing | PresentedKey::Several => None,
             };
             if workspace.is_none() && !route.is_public {
                 return Err(Denied {
--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -15,12 +15,12 @@
 /// An answer that ends early. Its connection is closed, so that it does not look whole.
 #[derive(Debug, Display, Error)]
 #[display("the answer broke off: {why}")]
-pub struct BrokenOff {
+pub struct TruncatedAnswer {
     /// What happened.
     pub why: String,
 }
 
-type Frames = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>;
+type Frames = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedAnswer>>>>;
 
 enum Content {
     Whole(Bytes),
@@ -43,7 +43,7 @@
     }
 
     /// Passes on what a stream gives.
-    pub fn stream(frames: impl Stream<Item = Result<Bytes, BrokenOff>> + 'static) -> Self {
+    pub fn stream(frames: impl Stream<Item = Result<Bytes, TruncatedAnswer>> + 'static) -> Self {
         Self {
             content: Content::Streamed(Box::pin(frames)),
             busy: None,
@@ -82,12 +82,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match &mut self.content {
             Content::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Content::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
@@ -142,7 +142,7 @@
     Rejected,
     /// Upstreams end under it.
     #[display("upstreams end under this request")]
-    Poisonous,
+    PoisonRequest,
     /// It was sent and no whole answer came.
     #[display("the upstream's answer was lost")]
     Lost,
@@ -170,7 +170,7 @@
             Self::NoUpstream => "no_upstream",
             Self::TooLate => "too_late",
             Self::Rejected => "rejected",
-            Self::Poisonous => "poisonous",
+            Self::PoisonRequest => "poisonous",
             Self::Lost => "lost",
             Self::TimedOut => "timed_out",
         }
@@ -191,7 +191,7 @@
             | Self::NoUpstream
             | Self::TooLate
             | Self::Rejected
-            | Self::Poisonous => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::PoisonRequest => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey => StatusCode::UNAUTHORIZED,
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -205,16 +205,16 @@
 
 /// A refusal, or an error of our own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Why.
     pub reason: Reason,
     /// When to come back, where that may help.
     pub retry_after_ms: Option<u64>,
 }
 
-impl Refused {
+impl Refusal {
     /// A refusal that coming back does not help.
-    pub fn plain(reason: Reason) -> Self {
+    pub fn new(reason: Reason) -> Self {
         Self {
             reason,
             retry_after_ms: None,
@@ -222,7 +222,7 @@
     }
 
     /// A refusal with the time after which another try may go better.
-    pub fn later(reason: Reason, retry_after_ms: u64) -> Self {
+    pub fn with_retry_after(reason: Reason, retry_after_ms: u64) -> Self {
         Self {
             reason,
             retry_after_ms: Some(retry_after_ms),
--- a/crates/relay/src/blame.rs
+++ b/crates/relay/src/attribution.rs
@@ -10,9 +10,9 @@
 
 use view::Fate;
 
-use crate::answer::Refused;
+use crate::answer::Refusal;
 use crate::call::Call;
-use crate::pool::Fault;
+use crate::pool::ExchangeError;
 use crate::relay::Relay;
 use crate::send::{most_connections, note_unsent};
 use crate::upstream::Upstream;
@@ -25,7 +25,7 @@
 /// Asked before each send, since a prompt may wait for seconds between two of them, in which other instances learn
 /// what it is. A request whose second upstream broke off just now waits until it is known whether that one has
 /// ended, a round trip as a rule; it would take a third one along in that time.
-pub async fn admitted(relay: &Relay, call: &Call) -> Result<(), Refused> {
+pub async fn ensure_not_poison(relay: &Relay, call: &Call) -> Result<(), Refusal> {
     while relay.is_deciding(call) {
         actix_rt::time::sleep(Duration::from_millis(GLANCE_MS)).await;
     }
@@ -33,20 +33,20 @@
 }
 
 /// An upstream's connection ended under a request, without a whole answer.
-pub fn note_lost(relay: &Rc<Relay>, call: &Call, upstream: &Rc<Upstream>) {
+pub fn note_lost_answer(relay: &Rc<Relay>, call: &Call, upstream: &Rc<Upstream>) {
     relay.saw(Fate::Lost {
         request: call.key,
         upstream: upstream.key,
     });
     // An engine ends with dozens of answers; one look is enough for all.
-    if !upstream.begin_look() {
+    if !upstream.begin_health_check() {
         return;
     }
     let most = most_connections(relay, &call.service);
     let (relay, upstream) = (Rc::clone(relay), Rc::clone(upstream));
     actix_rt::spawn(async move {
         look(&relay, &upstream, most).await;
-        upstream.end_look();
+        upstream.end_health_check();
     });
 }
 
@@ -55,7 +55,7 @@
         return;
     };
     note_unsent(relay, upstream, &fault);
-    if let Fault::Connect { .. } = fault {
+    if let ExchangeError::Connect { .. } = fault {
         log::info!(upstream = upstream.id, fault:%; "upstream has ended");
         relay.saw(Fate::Ended(upstream.key));
     }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -13,7 +13,7 @@
 
 use crate::access::Admitted;
 use crate::config::{Route, Workspace};
-use crate::dialect::{Asked, Dialect, Sending};
+use crate::dialect::{Dialect, RequestHead, SendOptions};
 use crate::relay::Relay;
 use crate::urgency::Urgency;
 
@@ -37,37 +37,37 @@
     /// Service that is to run it.
     pub service: String,
     /// What its head says.
-    pub asked: Asked,
+    pub head: RequestHead,
     /// What it asks, the same for all attempts of one request.
     pub key: RequestKey,
     /// Number drawn from its id, the same wherever the attempt is seen.
-    pub draw: u64,
+    pub id_hash: u64,
     /// When its head had come, on the instance's clock.
     pub arrived_ms: u64,
     /// Whether it lets longer prompts of its route go first.
-    pub yields: bool,
+    pub yields_to_longer: bool,
     /// How long its caller had waited before this attempt, as its deadline tells.
-    pub waited_ms: u64,
+    pub prior_wait_ms: u64,
     /// When its answer must be complete.
-    pub due_ms: u64,
+    pub deadline_at_ms: u64,
     /// Sends of it that may have run.
-    pub sends: Cell<u32>,
+    pub possible_runs: Cell<u32>,
     /// Upstreams that it was sent to, those that rejected it included.
     pub attempts: Cell<u32>,
     /// Reads of its prompt apart that reached an engine, but for the first that was accepted.
     reads: Cell<u32>,
     /// Whether a read of its prompt apart has been accepted.
-    pub(crate) has_read: Cell<bool>,
+    pub(crate) prefill_accepted: Cell<bool>,
     /// Arrivals of it at its service that the bound on repeats allows; the first always is.
-    pub(crate) covered: Cell<u32>,
+    pub(crate) allowed_arrivals: Cell<u32>,
     /// Whether an upstream has begun with it, as far as is known.
-    pub has_begun: Cell<bool>,
+    pub has_started: Cell<bool>,
     /// Whether its answer has ended, well or not.
-    pub is_over: Cell<bool>,
+    pub is_finished: Cell<bool>,
     /// Whether it has been sent to an upstream, run there or not.
     pub is_sent: Cell<bool>,
     /// Upstream that has it.
-    pub at: RefCell<String>,
+    pub current_upstream: RefCell<String>,
     relay: Rc<Relay>,
     method: Method,
     target: PathAndQuery,
@@ -80,21 +80,21 @@
     pub fn new(
         relay: &Rc<Relay>,
         admitted: Admitted,
-        asked: Asked,
+        head: RequestHead,
         arrived_ms: u64,
         parts: Parts,
         body: Bytes,
     ) -> Option<Self> {
         let Admitted { route, workspace } = admitted;
         let dialect = &*relay.dialect;
-        let draw = asked
+        let id_hash = head
             .attempt
             .as_ref()
             .map_or(arrived_ms, |id| xxh3_64(id.as_bytes()));
-        let service = route.service(draw)?.to_owned();
-        let wait_ms = asked.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-        let waited_ms = relay.learned.waited_ms(&route.name, asked.deadline_ms);
-        let yields = asked.prompt.as_ref().is_some_and(|prompt| {
+        let service = route.service(id_hash)?.to_owned();
+        let wait_ms = head.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+        let prior_wait_ms = relay.learned.prior_wait_ms(&route.name, head.deadline_ms);
+        let yields_to_longer = head.prompt.as_ref().is_some_and(|prompt| {
             relay
                 .learned
                 .yields_to_longer(&route.name, f64::from(prompt.input_tokens))
@@ -105,30 +105,30 @@
         strip_hop_by_hop(&mut headers, |name| dialect.is_end_to_end(name));
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
-        dialect.strip(&mut headers);
+        dialect.strip_reserved_headers(&mut headers);
         if let Some(workspace) = &workspace {
-            dialect.send_workspace(&mut headers, &workspace.name);
+            dialect.write_workspace(&mut headers, &workspace.name);
         }
         Some(Self {
             route,
             workspace,
             service,
-            asked,
+            head,
             key,
-            draw,
+            id_hash,
             arrived_ms,
-            yields,
-            waited_ms,
-            due_ms: arrived_ms.saturating_add(wait_ms),
-            sends: Cell::default(),
+            yields_to_longer,
+            prior_wait_ms,
+            deadline_at_ms: arrived_ms.saturating_add(wait_ms),
+            possible_runs: Cell::default(),
             attempts: Cell::default(),
             reads: Cell::default(),
-            has_read: Cell::default(),
-            covered: Cell::new(1),
-            has_begun: Cell::default(),
-            is_over: Cell::default(),
+            prefill_accepted: Cell::default(),
+            allowed_arrivals: Cell::new(1),
+            has_started: Cell::default(),
+            is_finished: Cell::default(),
             is_sent: Cell::default(),
-            at: RefCell::default(),
+            current_upstream: RefCell::default(),
             relay: Rc::clone(relay),
             method: parts.method,
             target,
@@ -139,7 +139,7 @@
 
     /// Time left.
     pub fn left_ms(&self, now_ms: u64) -> u64 {
-        self.due_ms.saturating_sub(now_ms)
+        self.deadline_at_ms.saturating_sub(now_ms)
     }
 
     /// Times that it has reached its service, as the bound on repeats counts them: rejected or not, but for
@@ -160,14 +160,14 @@
 
     /// That read was accepted.
     pub(crate) fn read_is_accepted(&self) {
-        if !self.has_read.replace(true) {
+        if !self.prefill_accepted.replace(true) {
             self.reads.set(self.reads.get() - 1);
         }
     }
 
     /// Rank at an engine, 0 first.
     pub fn rank(&self, urgency: Urgency) -> u8 {
-        urgency.rank(self.priority(), self.yields)
+        urgency.rank(self.priority(), self.yields_to_longer)
     }
 
     /// Its priority, 0 first: its workspace's goes before its route's.
@@ -186,17 +186,17 @@
 
     /// The caller's id for the attempt, for logs.
     pub fn id(&self) -> &str {
-        let attempt = self.asked.attempt.as_ref();
+        let attempt = self.head.attempt.as_ref();
         attempt.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
     /// The request as it is sent to an upstream.
-    pub fn request(&self, dialect: &dyn Dialect, sending: &Sending) -> Request<Full<Bytes>> {
+    pub fn request(&self, dialect: &dyn Dialect, sending: &SendOptions) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         let mut headers = self.headers.clone();
-        dialect.send(&mut headers, sending);
+        dialect.write_send_options(&mut headers, sending);
         *request.headers_mut() = headers;
         request
     }
@@ -206,7 +206,7 @@
     fn drop(&mut self) {
         let terms = self.relay.settings.borrow().duties;
         self.relay.duties.ended_unanswered(terms, self);
-        if self.is_over.get() {
+        if self.is_finished.get() {
             return;
         }
         // The caller closed its connection, and all work on the request was dropped with it.
@@ -216,8 +216,8 @@
         if self.relay.failed_lines.take(now_ms) {
             log::info!(
                 request = self.id(), route = self.route.name, workspace = self.workspace_name(),
-                upstream = self.at.borrow().as_str(),
-                took_ms = now_ms - self.arrived_ms, sends = self.sends.get();
+                upstream = self.current_upstream.borrow().as_str(),
+                took_ms = now_ms - self.arrived_ms, sends = self.possible_runs.get();
                 "caller left"
             );
         }
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -11,7 +11,7 @@
 
 /// A part of a prompt that requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Identity of its text.
     pub id: u64,
     /// Its length.
@@ -28,12 +28,12 @@
     /// The caller's estimate of the output; right at the median and often far off.
     pub output_hint_tokens: Option<u32>,
     /// The prompt's parts in order; the last is the request's own.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// What the relay reads in a request's head.
 #[derive(Debug, Clone, Default)]
-pub struct Asked {
+pub struct RequestHead {
     /// Id of the attempt, as the caller wrote it.
     pub attempt: Option<HeaderValue>,
     /// How long the caller waits, in ms.
@@ -43,12 +43,12 @@
     /// Last event that the caller has of a stream that it resumes.
     pub last_event: Option<u64>,
     /// The key that it presents.
-    pub key: Presented,
+    pub key: PresentedKey,
 }
 
 /// The key that a caller presents, of which only the hash is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Presented {
+pub enum PresentedKey {
     /// None.
     #[default]
     Nothing,
@@ -79,7 +79,7 @@
 
 /// What the relay sets on a request that it sends to an upstream.
 #[derive(Debug, Clone, Default)]
-pub struct Sending<'a> {
+pub struct SendOptions<'a> {
     /// Incarnation that is to run it; any other rejects it.
     pub instance: &'a str,
     /// Time left, in ms.
@@ -98,7 +98,7 @@
 
 /// Load as an upstream told it with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -107,7 +107,7 @@
 
 /// What the relay reads in an answer's head.
 #[derive(Debug, Clone, Default)]
-pub struct Answered {
+pub struct ResponseHead {
     /// Id of the attempt that it answers.
     pub attempt: Option<HeaderValue>,
     /// Whether it bears the upstream's signature.
@@ -117,7 +117,7 @@
     /// The incarnation that answers, where it says so.
     pub instance: Option<String>,
     /// The upstream's load.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// Requests a second that the upstream takes from all instances together, if it names a limit.
     pub limit_per_s: Option<f64>,
 }
@@ -136,37 +136,37 @@
 /// Reads and writes one deployment's headers, paths and small bodies.
 pub trait Dialect {
     /// Reads a request's head.
-    fn asked(&self, headers: &HeaderMap) -> Asked;
+    fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
     /// Takes out what a caller may not set, and leaves all else.
-    fn strip(&self, headers: &mut HeaderMap);
+    fn strip_reserved_headers(&self, headers: &mut HeaderMap);
     /// Whether a header belongs to the request even if the caller names it in `Connection`.
     fn is_end_to_end(&self, name: &HeaderName) -> bool;
     /// Writes what the relay sets.
-    fn send(&self, headers: &mut HeaderMap, sending: &Sending);
+    fn write_send_options(&self, headers: &mut HeaderMap, sending: &SendOptions);
     /// Names the workspace that a request is for.
-    fn send_workspace(&self, headers: &mut HeaderMap, name: &str);
+    fn write_workspace(&self, headers: &mut HeaderMap, name: &str);
     /// Reads an answer's head.
-    fn answered(&self, headers: &HeaderMap) -> Answered;
+    fn parse_response_head(&self, headers: &HeaderMap) -> ResponseHead;
     /// Reads the name that an engine gave to the KV cache of a prompt that it read.
-    fn prefilled(&self, body: &[u8]) -> Option<String>;
+    fn parse_prefill_response(&self, body: &[u8]) -> Option<String>;
     /// The call that frees a KV cache which nobody will take.
-    fn free(&self, handle: &KvHandle) -> (Method, String);
+    fn free_kv_request(&self, handle: &KvHandle) -> (Method, String);
     /// Path at which an engine reports on itself.
     fn report_path(&self) -> &str;
     /// Reads an engine's report.
-    fn reported(&self, body: &[u8]) -> Option<EngineReport>;
+    fn parse_engine_report(&self, body: &[u8]) -> Option<EngineReport>;
     /// Path and body of an order to an engine.
-    fn order(&self, order: &Order) -> (String, Vec<u8>);
+    fn order_request(&self, order: &Order) -> (String, Vec<u8>);
     /// Names the incarnation that alone may take a call.
-    fn expect(&self, headers: &mut HeaderMap, instance: &str);
+    fn write_expected_instance(&self, headers: &mut HeaderMap, instance: &str);
     /// Path at which instances say whether they are ready.
     fn ready_path(&self) -> &str;
     /// Path at which callers ask for addresses.
     fn resolve_path(&self) -> &str;
     /// Writes the answer to a caller who asks for addresses.
-    fn addresses(&self, addresses: &[std::net::SocketAddr], ttl_ms: u64) -> Vec<u8>;
+    fn encode_addresses(&self, addresses: &[std::net::SocketAddr], ttl_ms: u64) -> Vec<u8>;
     /// The zone that a caller who asks for addresses names in its query.
-    fn caller_zone(&self, query: &str) -> Option<String>;
+    fn parse_caller_zone(&self, query: &str) -> Option<String>;
     /// Writes the body of an error of our own.
-    fn error(&self, reason: &str) -> Vec<u8>;
+    fn encode_error(&self, reason: &str) -> Vec<u8>;
 }
--- a/crates/relay/src/duties.rs
+++ b/crates/relay/src/duties.rs
@@ -144,7 +144,7 @@
         let (Some(windows), Some(workspace)) = (terms.usage, &call.workspace) else {
             return;
         };
-        if call.has_begun.replace(true) {
+        if call.has_started.replace(true) {
             return;
         }
         let window = windows.at(self.fleet_ms());
@@ -155,7 +155,7 @@
     /// A request is over that no answer came to. A plain service begins at once with what reaches it, an engine with
     /// its first token, which would have come here.
     pub fn ended_unanswered(&self, terms: Terms, call: &Call) {
-        if call.route.kind != RouteKind::Stream && call.sends.get() > 0 {
+        if call.route.kind != RouteKind::Stream && call.possible_runs.get() > 0 {
             self.began(terms, call);
         }
     }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -7,15 +7,15 @@
 use http_body_util::BodyExt;
 use plan::AttemptTimeout;
 
-use crate::again::{Facts, Next, Outcome, next, truthful};
-use crate::answer::{AnswerBody, Reason, Refused};
-use crate::blame::{admitted, note_lost};
+use crate::answer::{AnswerBody, Reason, Refusal};
+use crate::attribution::{ensure_not_poison, note_lost_answer};
 use crate::call::{Call, strip_hop_by_hop};
 use crate::config::Kind;
-use crate::dialect::Sending;
-use crate::generate::generate;
-use crate::place;
+use crate::dialect::SendOptions;
+use crate::generation::generate;
+use crate::placement;
 use crate::relay::Relay;
+use crate::retry::{RetryContext, RetryDecision, SendFailure, decide, without_false_not_run};
 use crate::send::{Checked, Sent, note_sign, send};
 use crate::upstream::{InFlight, Upstream, Work};
 
@@ -31,23 +31,23 @@
     let outcome = match actix_rt::time::timeout(Duration::from_millis(left_ms), walk).await {
         Ok(outcome) => outcome,
         // What was never sent to an upstream has not run and never will.
-        Err(_) if call.sends.get() == 0 => Err(Refused::plain(Reason::TooLate)),
-        Err(_) => Err(Refused::plain(Reason::TimedOut)),
+        Err(_) if call.possible_runs.get() == 0 => Err(Refusal::new(Reason::TooLate)),
+        Err(_) => Err(Refusal::new(Reason::TimedOut)),
     };
     outcome.unwrap_or_else(|refused| {
-        call.is_over.set(true);
-        let refused = truthful(refused, call.sends.get() > 0);
+        call.is_finished.set(true);
+        let refused = without_false_not_run(refused, call.possible_runs.get() > 0);
         refusal(relay, &call, refused)
     })
 }
 
-fn refusal(relay: &Relay, call: &Call, refused: Refused) -> Response<AnswerBody> {
+fn refusal(relay: &Relay, call: &Call, refused: Refusal) -> Response<AnswerBody> {
     let took_ms = relay.now_ms() - call.arrived_ms;
     if relay.failed_lines.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, route = call.route.name, workspace = call.workspace_name(),
             reason = refused.reason, took_ms,
-            sends = call.sends.get(), retry_after_ms = refused.retry_after_ms.unwrap_or(0),
+            sends = call.possible_runs.get(), retry_after_ms = refused.retry_after_ms.unwrap_or(0),
             version = relay.config().map_or(0, |config| config.version),
             list_age_ms = relay.list_age_ms().unwrap_or(u64::MAX);
             "request not served"
@@ -58,29 +58,29 @@
     relay.metrics.requests.with_label_values(&labels).inc();
     let labels = [call.route.name.as_str(), refused.reason.label()];
     relay.metrics.refusals.with_label_values(&labels).inc();
-    refused.response(relay.dialect.error(&refused.reason.to_string()))
+    refused.response(relay.dialect.encode_error(&refused.reason.to_string()))
 }
 
-async fn walk(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refused> {
+async fn walk(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
     relay.sent_first(&call.service);
-    match &call.asked.prompt {
+    match &call.head.prompt {
         Some(prompt) if call.route.kind == Kind::Stream => generate(relay, call, prompt).await,
         _ => plain(relay, call).await,
     }
 }
 
-async fn plain(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refused> {
+async fn plain(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
     let mut unreached = 0;
     loop {
-        admitted(relay, call).await?;
-        let upstream = place::plain(relay, call, &tried)?;
+        ensure_not_poison(relay, call).await?;
+        let upstream = placement::plain(relay, call, &tried)?;
         tried.push(upstream.id.clone());
-        let guard = InFlight::enter(&upstream, relay.now_ms(), Work::default());
-        let sending = Sending {
+        let guard = InFlight::begin(&upstream, relay.now_ms(), Work::default());
+        let sending = SendOptions {
             instance: &upstream.id,
             deadline_ms: call.left_ms(relay.now_ms()),
-            ..Sending::default()
+            ..SendOptions::default()
         };
         let sent = send_within(relay, call, &upstream, &sending).await;
         note_sign(relay, &guard, &sent);
@@ -89,14 +89,14 @@
                 let failed = checked.response.status().is_server_error();
                 let repeatable = failed && call.route.kind == Kind::Safe;
                 // The upstream's own failure is worth more to the caller than our refusal.
-                let has_other = repeatable && place::plain(relay, call, &tried).is_ok();
+                let has_other = repeatable && placement::plain(relay, call, &tried).is_ok();
                 if has_other && may_repeat(relay, call) {
                     continue;
                 }
                 match pass_on(relay, call, *checked, guard).await {
                     Ok(response) => return Ok(response),
                     // The answer broke off before any of it was passed on.
-                    Err(_) => Outcome::Lost,
+                    Err(_) => SendFailure::Lost,
                 }
             }
             unanswered => unanswered.outcome(),
@@ -109,18 +109,18 @@
 pub fn follow(
     relay: &Relay,
     call: &Call,
-    outcome: Outcome,
+    outcome: SendFailure,
     unreached: &mut u32,
-) -> Result<(), Refused> {
-    *unreached += u32::from(outcome == Outcome::Unsent);
-    let facts = Facts {
+) -> Result<(), Refusal> {
+    *unreached += u32::from(outcome == SendFailure::Unsent);
+    let facts = RetryContext {
         is_repeatable: call.route.is_repeatable(),
-        may_have_run: call.sends.get() > 0,
+        may_have_run: call.possible_runs.get() > 0,
         unreached: *unreached,
     };
-    match next(outcome, &facts, || may_repeat(relay, call)) {
-        Next::Again => Ok(()),
-        Next::Refuse(refused) => Err(refused),
+    match decide(outcome, &facts, || may_repeat(relay, call)) {
+        RetryDecision::Retry => Ok(()),
+        RetryDecision::Refuse(refused) => Err(refused),
     }
 }
 
@@ -134,7 +134,7 @@
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     upstream: &Rc<Upstream>,
-    sending: &Sending<'_>,
+    sending: &SendOptions<'_>,
 ) -> Sent {
     let left_ms = call.left_ms(relay.now_ms());
     let has_other = call.route.is_repeatable() && call.attempts.get() + 1 < call.route.max_attempts;
@@ -145,7 +145,7 @@
     let wait = Duration::from_millis(budget.timeout_ms);
     let sent = actix_rt::time::timeout(wait, send(relay, call, upstream, sending)).await;
     sent.unwrap_or_else(|_| {
-        upstream.failed(relay.now_ms());
+        upstream.note_failure(relay.now_ms());
         Sent::Lost(format!("nothing within {} ms", budget.timeout_ms))
     })
 }
@@ -163,7 +163,7 @@
     call: &Rc<Call>,
     checked: Checked,
     guard: InFlight,
-) -> Result<Response<AnswerBody>, Refused> {
+) -> Result<Response<AnswerBody>, Refusal> {
     let (mut head, body) = checked.response.into_parts();
     strip_hop_by_hop(&mut head.headers, |_| false);
     let upstream = Rc::clone(guard.upstream());
@@ -173,18 +173,18 @@
     } else {
         let collected = body.collect().await;
         let Ok(collected) = collected else {
-            upstream.failed(relay.now_ms());
-            note_lost(relay, call, &upstream);
+            upstream.note_failure(relay.now_ms());
+            note_lost_answer(relay, call, &upstream);
             if relay.failed_lines.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), key:% = call.key, upstream = upstream.id;
                     "answer broke off"
                 );
             }
-            return Err(Refused::plain(Reason::Lost));
+            return Err(Refusal::new(Reason::Lost));
         };
         head.headers.remove(header::CONTENT_LENGTH);
-        checked.lease.give_back();
+        checked.lease.release();
         drop(guard);
         relay.answered(call);
         AnswerBody::whole(collected.to_bytes())
@@ -193,16 +193,16 @@
     let labels = [call.route.name.as_str(), &end];
     relay.metrics.requests.with_label_values(&labels).inc();
     let now_ms = relay.now_ms();
-    call.is_over.set(true);
+    call.is_finished.set(true);
     if head.status.is_success() {
-        let took_ms = call.waited_ms + now_ms - call.arrived_ms;
+        let took_ms = call.prior_wait_ms + now_ms - call.arrived_ms;
         note_answer(relay, call, took_ms <= call.route.goal_ms);
     }
     if relay.served_lines.take(now_ms) {
         log::info!(
             request = call.id(), route = call.route.name, workspace = call.workspace_name(),
             upstream = upstream.id, status = head.status.as_u16(), took_ms = now_ms - call.arrived_ms,
-            load = upstream.load(now_ms), sends = call.sends.get();
+            load = upstream.load(now_ms), sends = call.possible_runs.get();
             "answer passed on"
         );
     }
--- a/crates/relay/src/generate.rs
+++ b/crates/relay/src/generation.rs
@@ -5,18 +5,18 @@
 use http::{Response, StatusCode};
 use view::PartRead;
 
-use crate::again::rejected;
-use crate::answer::{AnswerBody, Refused};
-use crate::blame::admitted;
+use crate::answer::{AnswerBody, Refusal};
+use crate::attribution::ensure_not_poison;
 use crate::call::Call;
-use crate::dialect::{Part, Prompt, Sending};
+use crate::dialect::{Prompt, PromptPart, SendOptions};
 use crate::forward::{follow, may_repeat, pass_on};
-use crate::place::{self, Maker, Placement};
-use crate::reading::{Handed, read_apart};
+use crate::placement::{self, Maker, Placement};
+use crate::prefill::{Handed, read_apart};
 use crate::relay::Relay;
+use crate::retry::refuse_rejected;
 use crate::send::{Sent, note_sign, send};
 use crate::stream::Streaming;
-use crate::upstream::{InFlight, LEAST_TOKENS, Reading, Upstream, Work};
+use crate::upstream::{InFlight, MIN_CACHED_TOKENS, Reading, Upstream, Work};
 use crate::urgency::Urgency;
 
 /// Places, sends and answers it.
@@ -24,12 +24,12 @@
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     prompt: &Prompt,
-) -> Result<Response<AnswerBody>, Refused> {
+) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
     let mut unreached = 0;
     let mut read = None;
     loop {
-        admitted(relay, call).await?;
+        ensure_not_poison(relay, call).await?;
         let (maker, kv) = match read.take() {
             // An engine that rejected the cache left it where it was; reading the prompt once more
             // would cost a second time and count as a repeat.
@@ -39,10 +39,10 @@
             ),
             None => place(relay, call, prompt, &tried).await?,
         };
-        admitted(relay, call).await?;
+        ensure_not_poison(relay, call).await?;
         // Nothing has run: a prompt that was to be read apart, and was not, has reached its service all the same.
         if !relay.may_arrive(call) {
-            return Err(rejected());
+            return Err(refuse_rejected());
         }
         let (sent, guard, is_handed) = make(relay, call, prompt, &maker, kv.as_ref()).await;
         tried.push(maker.engine.id.clone());
@@ -53,7 +53,7 @@
             Sent::Answer(checked) => {
                 // The engine's own failure is worth more to the caller than our refusal.
                 let has_other = call.route.is_repeatable()
-                    && place::maker(relay, call, prompt, &tried, false, maker.urgency).is_ok();
+                    && placement::maker(relay, call, prompt, &tried, false, maker.urgency).is_ok();
                 if has_other && may_repeat(relay, call) {
                     continue;
                 }
@@ -73,8 +73,8 @@
     call: &Rc<Call>,
     prompt: &Prompt,
     tried: &[String],
-) -> Result<(Maker, Option<Handed>), Refused> {
-    match place::generation(relay, call, prompt, tried)? {
+) -> Result<(Maker, Option<Handed>), Refusal> {
+    match placement::generation(relay, call, prompt, tried)? {
         Placement::Whole(maker) => Ok((maker, None)),
         Placement::Apart(reader) if !relay.may_read_apart(call) => {
             let maker = after(relay, call, prompt, tried, None, reader.urgency)?;
@@ -96,8 +96,8 @@
     tried: &[String],
     kv: Option<&Handed>,
     urgency: Urgency,
-) -> Result<Maker, Refused> {
-    place::maker(relay, call, prompt, tried, kv.is_some(), urgency)
+) -> Result<Maker, Refusal> {
+    placement::maker(relay, call, prompt, tried, kv.is_some(), urgency)
 }
 
 /// Sends a generation to the engine that makes its output; also tells whether the KV cache was still
@@ -111,12 +111,12 @@
 ) -> (Sent, InFlight, bool) {
     let predicted_ms = maker.first.total_ms();
     let rank = call.rank(maker.urgency);
-    let guard = InFlight::enter(
+    let guard = InFlight::begin(
         &maker.engine,
         relay.now_ms(),
         Work {
-            tokens: maker.tokens,
-            context: f64::from(prompt.input_tokens),
+            prefill_tokens: maker.tokens,
+            context_tokens: f64::from(prompt.input_tokens),
             rank,
         },
     );
@@ -124,14 +124,14 @@
     let held_tokens = maker.held_tokens;
     let first = maker.first;
     let maker = &maker.engine;
-    let mut sending = Sending {
+    let mut sending = SendOptions {
         instance: &maker.id,
         deadline_ms: call.left_ms(relay.now_ms()),
         priority: Some(rank),
         kv: kv.map(|handed| &handed.handle),
         copy_from,
-        last_event: call.asked.last_event,
-        ..Sending::default()
+        last_event: call.head.last_event,
+        ..SendOptions::default()
     };
     let began_ms = relay.now_ms();
     let mut sent = send(relay, call, maker, &sending).await;
@@ -154,7 +154,7 @@
     }
     note_sign(relay, &guard, &sent);
     if let Sent::Answer(_) = &sent {
-        guard.has_read();
+        guard.note_prefilled();
         keep_parts(relay, call, prompt, maker, Reading::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.served_lines.take(relay.now_ms()) {
@@ -166,9 +166,9 @@
         }
         relay
             .learned
-            .began(&call.service, &first, is_handed, took_ms);
+            .observe_first_event(&call.service, &first, is_handed, took_ms);
         let predicted_ms = predicted_ms.max(call.route.goal_ms as f64 / 2.0);
-        maker.answered(relay.now_ms(), predicted_ms, took_ms);
+        maker.note_answer(relay.now_ms(), predicted_ms, took_ms);
     }
     (sent, guard, is_handed)
 }
@@ -186,11 +186,11 @@
     reading: Reading,
 ) {
     let kv_tokens = relay.engine_limits(&call.service).kv_tokens;
-    let long = |part: &&Part| part.tokens >= LEAST_TOKENS;
+    let long = |part: &&PromptPart| part.tokens >= MIN_CACHED_TOKENS;
     for part in prompt.parts.iter().filter(long) {
-        let is_news = reading == Reading::Done || engine.kept(part.id) == 0.0;
+        let is_news = reading == Reading::Done || engine.cached_tokens(part.id) == 0.0;
         let tokens = f64::from(part.tokens);
-        engine.keeps(part.id, tokens, reading, kv_tokens as f64);
+        engine.note_cached_part(part.id, tokens, reading, kv_tokens as f64);
         if is_news {
             relay.reads.borrow_mut().push(PartRead {
                 upstream: engine.key,
--- a/crates/relay/src/learned.rs
+++ b/crates/relay/src/learned.rs
@@ -8,15 +8,15 @@
 
 use plan::{LatencyModel, Prediction, PrefillSample};
 
-use crate::patience::Patience;
-use crate::urgency::UsualLength;
+use crate::prior_wait::PriorWaitEstimator;
+use crate::urgency::TypicalLength;
 
 /// What was learned, by service or by route.
 #[derive(Debug, Default)]
 pub struct Learned {
     paces: RefCell<HashMap<String, LatencyModel>>,
-    patience: RefCell<HashMap<String, Patience>>,
-    lengths: RefCell<HashMap<String, UsualLength>>,
+    patience: RefCell<HashMap<String, PriorWaitEstimator>>,
+    lengths: RefCell<HashMap<String, TypicalLength>>,
 }
 
 impl Learned {
@@ -27,13 +27,19 @@
     }
 
     /// An engine of a service that does nothing else has read a prompt.
-    pub fn read(&self, service: &str, seen: &PrefillSample) {
+    pub fn observe_prefill(&self, service: &str, seen: &PrefillSample) {
         self.adjust(service, |pace| pace.record_prefill(seen));
     }
 
     /// An engine of a service began output after `took_ms` where `first` was predicted, having read
     /// the prompt itself or got it from another one.
-    pub fn began(&self, service: &str, first: &Prediction, is_handed: bool, took_ms: f64) {
+    pub fn observe_first_event(
+        &self,
+        service: &str,
+        first: &Prediction,
+        is_handed: bool,
+        took_ms: f64,
+    ) {
         let off_ms = took_ms - first.total_ms();
         self.adjust(service, |pace| {
             if is_handed {
@@ -50,19 +56,21 @@
     }
 
     /// How long a caller had waited before this attempt, as far as its deadline tells.
-    pub fn waited_ms(&self, route: &str, deadline_ms: Option<u64>) -> u64 {
+    pub fn prior_wait_ms(&self, route: &str, deadline_ms: Option<u64>) -> u64 {
         let Some(deadline_ms) = deadline_ms else {
             return 0;
         };
         let mut all = self.patience.borrow_mut();
         all.entry(route.to_owned())
             .or_default()
-            .waited_ms(deadline_ms)
+            .observe_deadline(deadline_ms)
     }
 
     /// Whether a prompt of a route lets longer ones of it go first.
     pub fn yields_to_longer(&self, route: &str, tokens: f64) -> bool {
         let mut all = self.lengths.borrow_mut();
-        all.entry(route.to_owned()).or_default().yields(tokens)
+        all.entry(route.to_owned())
+            .or_default()
+            .yields_to_longer(tokens)
     }
 }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/listener.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use crate::access::admit;
-use crate::answer::{AnswerBody, Busy, Reason, Refused};
+use crate::answer::{AnswerBody, Busy, Reason, Refusal};
 use crate::call::{Call, host};
 use crate::config::Limits;
 use crate::forward::forward;
@@ -34,7 +34,7 @@
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
+pub enum ListenerKind {
     /// Requests of callers.
     Callers,
     /// Addresses to connect to.
@@ -58,14 +58,14 @@
 /// Accepts and serves connections until the phase says otherwise.
 pub async fn serve(
     relay: Rc<Relay>,
-    duty: Duty,
+    duty: ListenerKind,
     listener: TcpListener,
     mut phase: watch::Receiver<Phase>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phase.wait_for(|phase| duty == Duty::Callers && *phase == Phase::Closing) => return,
+            _ = phase.wait_for(|phase| duty == ListenerKind::Callers && *phase == Phase::Closing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -83,7 +83,7 @@
 
 async fn connection(
     relay: Rc<Relay>,
-    duty: Duty,
+    duty: ListenerKind,
     stream: TcpStream,
     mut phase: watch::Receiver<Phase>,
 ) {
@@ -117,18 +117,22 @@
     }
 }
 
-async fn answer(relay: &Rc<Relay>, duty: Duty, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer(
+    relay: &Rc<Relay>,
+    duty: ListenerKind,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
     let mut response = match duty {
-        Duty::Callers => {
+        ListenerKind::Callers => {
             let busy = Busy::enter(&relay.busy);
             let mut response = caller(relay, request).await;
             response.body_mut().counted(busy);
             response
         }
-        Duty::Directory => directory(relay, &request),
-        Duty::Readiness => status(ready_status(relay, request.uri().path())),
-        Duty::Peers => state(relay, request.uri().path()),
-        Duty::Metrics => whole(relay.metrics_text(), "text/plain; version=0.0.4"),
+        ListenerKind::Directory => directory(relay, &request),
+        ListenerKind::Readiness => status(ready_status(relay, request.uri().path())),
+        ListenerKind::Peers => state(relay, request.uri().path()),
+        ListenerKind::Metrics => whole(relay.metrics_text(), "text/plain; version=0.0.4"),
     };
     if relay.phase() >= Phase::Leaving {
         let headers = response.headers_mut();
@@ -167,7 +171,7 @@
     }
     let zone = relay
         .dialect
-        .caller_zone(request.uri().query().unwrap_or(""));
+        .parse_caller_zone(request.uri().query().unwrap_or(""));
     let own = relay.heartbeat_view();
     let members = relay.members.borrow();
     let reachable = members.reachable();
@@ -177,7 +181,7 @@
     }
     let ttl_ms = relay.settings.borrow().addresses_ttl_ms;
     whole(
-        relay.dialect.addresses(&addresses, ttl_ms),
+        relay.dialect.encode_addresses(&addresses, ttl_ms),
         "application/json",
     )
 }
@@ -185,7 +189,7 @@
 async fn caller(relay: &Rc<Relay>, request: Request<Incoming>) -> Response<AnswerBody> {
     let arrived_ms = relay.now_ms();
     let (parts, body) = request.into_parts();
-    let asked = relay.dialect.asked(&parts.headers);
+    let asked = relay.dialect.parse_request_head(&parts.headers);
     let config = relay.config();
     let limits = config
         .as_ref()
@@ -194,23 +198,26 @@
     let wait = Duration::from_millis(limits.idle_ms.min(asked.deadline_ms.unwrap_or(u64::MAX)));
     let body = Limited::new(body, limits.body_bytes).collect();
     let Ok(body) = actix_rt::time::timeout(wait, body).await else {
-        return refuse(relay, Refused::plain(Reason::Unread));
+        return refuse(relay, Refusal::new(Reason::Unread));
     };
     let body = match body {
         Ok(collected) => collected.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-            return refuse(relay, Refused::plain(Reason::TooLong));
+            return refuse(relay, Refusal::new(Reason::TooLong));
         }
         Err(error) => {
             log::debug!(error:%; "request's body not read");
-            return refuse(relay, Refused::plain(Reason::Malformed));
+            return refuse(relay, Refusal::new(Reason::Malformed));
         }
     };
     let Some(config) = config else {
-        return refuse(relay, Refused::later(Reason::NoConfig, NO_CONFIG_RETRY_MS));
+        return refuse(
+            relay,
+            Refusal::with_retry_after(Reason::NoConfig, NO_CONFIG_RETRY_MS),
+        );
     };
     let Some(host) = host(&parts.uri, &parts.headers) else {
-        return refuse(relay, Refused::plain(Reason::Malformed));
+        return refuse(relay, Refusal::new(Reason::Malformed));
     };
     let admitted = match admit(&config, &host, parts.uri.path(), asked.key) {
         Ok(admitted) => admitted,
@@ -222,20 +229,20 @@
                     "request not admitted"
                 );
             }
-            return refuse(relay, Refused::plain(denied.reason));
+            return refuse(relay, Refusal::new(denied.reason));
         }
     };
     let call = Call::new(relay, admitted, asked, arrived_ms, parts, body);
     let Some(call) = call else {
-        return refuse(relay, Refused::plain(Reason::NoUpstream));
+        return refuse(relay, Refusal::new(Reason::NoUpstream));
     };
     forward(relay, call).await
 }
 
-fn refuse(relay: &Relay, refused: Refused) -> Response<AnswerBody> {
+fn refuse(relay: &Relay, refused: Refusal) -> Response<AnswerBody> {
     let labels = ["-", refused.reason.label()];
     relay.metrics.refusals.with_label_values(&labels).inc();
-    refused.response(relay.dialect.error(&refused.reason.to_string()))
+    refused.response(relay.dialect.encode_error(&refused.reason.to_string()))
 }
 
 fn status(status: StatusCode) -> Response<AnswerBody> {
--- a/crates/relay/src/orders.rs
+++ b/crates/relay/src/orders.rs
@@ -206,7 +206,7 @@
         let places: f64 = engines
             .iter()
             .filter(|each| each.stage() == Stage::Decode)
-            .map(|each| f64::from(each.making()) / f64::from(each.slots))
+            .map(|each| f64::from(each.decoding()) / f64::from(each.slots))
             .sum();
         asked.making.add(now_ms, places * passed_ms as f64);
         let others = others.iter().find(|each| each.service == *service);
@@ -252,8 +252,8 @@
     demand: &Demand,
 ) -> Vec<Rc<Wish>> {
     let now_ms = relay.now_ms();
-    let away = |each: &&Rc<Upstream>| each.is_turning(now_ms);
-    let reads = |each: &&Rc<Upstream>| each.stage_wanted(now_ms) == Stage::Prefill;
+    let away = |each: &&Rc<Upstream>| each.is_changing_role(now_ms);
+    let reads = |each: &&Rc<Upstream>| each.target_stage(now_ms) == Stage::Prefill;
     let split = RoleSplit {
         prefill: engines.iter().filter(reads).count(),
         decode: engines.iter().filter(|each| !reads(each)).count(),
@@ -298,12 +298,12 @@
     };
     let mut there: HashMap<&str, usize> = HashMap::new();
     for each in engines {
-        let is_there = each.stage_wanted(now_ms) == stage;
+        let is_there = each.target_stage(now_ms) == stage;
         *there.entry(&each.zone).or_default() += usize::from(is_there);
     }
     let mut free: Vec<&Rc<Upstream>> = engines
         .iter()
-        .filter(|each| each.stage() != stage && !each.is_turning(now_ms) && !rests(each))
+        .filter(|each| each.stage() != stage && !each.is_changing_role(now_ms) && !rests(each))
         .filter(|each| {
             each.verdict(now_ms) == HealthStatus::Healthy && each.age_ms(now_ms) >= SETTLED_MS
         })
--- a/crates/relay/src/orders/giving.rs
+++ b/crates/relay/src/orders/giving.rs
@@ -10,7 +10,7 @@
 
 use super::{Order, Wish};
 use crate::dialect::EngineReport;
-use crate::pool::call_alone;
+use crate::pool::call_on_new_connection;
 use crate::relay::Relay;
 use crate::upstream::{Stage, Upstream};
 
@@ -40,7 +40,7 @@
         asked.plan.record_order(now_ms, wish.turn);
     }
     // Told to the others before the engine is: what they send there in ignorance is rejected unrun.
-    engine.turns_to(now_ms, wish.stage, TURNING_MS, true);
+    engine.begin_role_change(now_ms, wish.stage, TURNING_MS, true);
 }
 
 /// Gives an order that stands in the log.
@@ -57,7 +57,7 @@
         Err(unsent) => unsent.may_have_been_taken,
     };
     if !may_turn {
-        engine.stays();
+        engine.cancel_role_change();
     }
     let label = match &outcome {
         Ok(status) if status.is_success() => "taken",
@@ -103,7 +103,7 @@
         return Err(Unsent::before(&"it is leaving"));
     }
     let holder = relay.settings.borrow().name.clone();
-    let (path, body) = relay.dialect.order(&Order {
+    let (path, body) = relay.dialect.order_request(&Order {
         holder: &holder,
         fence: ticket.fence,
         after: report.orders,
@@ -135,7 +135,7 @@
     if status != StatusCode::OK {
         return Err(Unsent::before(&format!("report: status {status}")));
     }
-    let report = relay.dialect.reported(&body);
+    let report = relay.dialect.parse_engine_report(&body);
     report.ok_or_else(|| Unsent::before(&"report not understood"))
 }
 
@@ -147,7 +147,9 @@
     body: Vec<u8>,
 ) -> Result<Request<Full<Bytes>>, Unsent> {
     let mut headers = HeaderMap::new();
-    relay.dialect.expect(&mut headers, &engine.id);
+    relay
+        .dialect
+        .write_expected_instance(&mut headers, &engine.id);
     let built = Request::builder()
         .method(method)
         .uri(path)
@@ -165,5 +167,5 @@
     request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), String> {
     let wait = Duration::from_millis(CALL_MS);
-    call_alone(engine.address, relay.clock, request, wait).await
+    call_on_new_connection(engine.address, relay.clock, request, wait).await
 }
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/placement.rs
@@ -9,12 +9,12 @@
 };
 use view::InstanceKey;
 
-use crate::answer::{Reason, Refused};
+use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 use crate::dialect::Prompt;
-use crate::nearby::nearby;
 use crate::prefix::{Holders, Start, holds, home};
 use crate::relay::Relay;
+use crate::subset::engine_subset;
 use crate::upstream::{Stage, Upstream};
 use crate::urgency::Urgency;
 
@@ -99,7 +99,7 @@
 /// The engines of this instance among all of a stage.
 fn near(relay: &Relay, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
     let own = InstanceKey::of(&relay.settings.borrow().name);
-    nearby(own, all, |engine| engine.id.as_str())
+    engine_subset(own, all, |engine| engine.id.as_str())
 }
 
 /// Upstreams of a service that may be tried, the fit ones if there are any.
@@ -109,7 +109,7 @@
     let all: Vec<Rc<Upstream>> = upstreams
         .ready(&call.service, now_ms)
         .filter(|each| stages.contains(&each.stage()) && !tried.contains(&each.id))
-        .filter(|each| !each.is_turning(now_ms) && relay.has_room(each))
+        .filter(|each| !each.is_changing_role(now_ms) && relay.has_room(each))
         .cloned()
         .collect();
     // A probe may meet a failing upstream, so only what can be repeated is spent on it.
@@ -125,7 +125,7 @@
 }
 
 /// Chooses for a request that generates nothing.
-pub fn plain(relay: &Relay, call: &Call, tried: &[String]) -> Result<Rc<Upstream>, Refused> {
+pub fn plain(relay: &Relay, call: &Call, tried: &[String]) -> Result<Rc<Upstream>, Refusal> {
     let now_ms = relay.now_ms();
     let all = candidates(relay, call, tried, &[Stage::Whole]);
     let predicted = |each: &Rc<Upstream>| {
@@ -168,12 +168,12 @@
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
-) -> Result<Placement, Refused> {
+) -> Result<Placement, Refusal> {
     if tried.is_empty() {
         note_asked(relay, call, prompt);
     }
     let goal_ms = call.route.goal_ms as f64;
-    let waited_ms = call.waited_ms as f64;
+    let waited_ms = call.prior_wait_ms as f64;
     let (placement, first) = best(relay, call, prompt, tried, Urgency::OnTime)?;
     if first.total_ms() <= goal_ms * ON_TIME_SHARE - waited_ms {
         note(relay, call, &placement, &first);
@@ -242,7 +242,7 @@
     prompt: &Prompt,
     tried: &[String],
     urgency: Urgency,
-) -> Result<(Placement, Prediction), Refused> {
+) -> Result<(Placement, Prediction), Refusal> {
     let whole = maker(relay, call, prompt, tried, false, urgency)?;
     let tokens = f64::from(prompt.input_tokens);
     let apart = (tokens >= READ_APART_TOKENS)
@@ -279,7 +279,7 @@
     tried: &[String],
     is_read: bool,
     urgency: Urgency,
-) -> Result<Maker, Refused> {
+) -> Result<Maker, Refusal> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
     let pace = relay.learned.pace(&call.service);
@@ -379,8 +379,8 @@
 ///
 /// The time is stretched by up to a half from the request's own draw, so that callers who were
 /// refused together do not come back together.
-fn refuse(call: &Call, reason: Reason, wait_ms: f64) -> Refused {
-    let spread = 1.0 + (call.draw % 512) as f64 / 1_024.0;
+fn refuse(call: &Call, reason: Reason, wait_ms: f64) -> Refusal {
+    let spread = 1.0 + (call.id_hash % 512) as f64 / 1_024.0;
     let wait_ms = wait_ms.clamp(RETRY_MS.0, RETRY_MS.1) * spread;
-    Refused::later(reason, wait_ms as u64)
+    Refusal::with_retry_after(reason, wait_ms as u64)
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -37,7 +37,7 @@
 
 /// Why no answer came.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
-pub enum Fault {
+pub enum ExchangeError {
     /// No connection could be opened; nothing was sent.
     #[display("connecting to {peer}: {why}")]
     Connect {
@@ -109,14 +109,14 @@
     }
 
     /// Opens a connection for the next request.
-    pub async fn warm_up(self: &Rc<Self>, most: usize) -> Result<(), Fault> {
+    pub async fn warm_up(self: &Rc<Self>, most: usize) -> Result<(), ExchangeError> {
         let connection = open(self, most).await?;
-        let lease = Lease {
+        let lease = PooledConnection {
             connection: Some(connection),
             pool: Rc::clone(self),
             idle_ms: IDLE_MS,
         };
-        lease.give_back();
+        lease.release();
         Ok(())
     }
 
@@ -149,15 +149,15 @@
 
 /// A connection in use. It is closed when dropped, which tells the upstream to stop working;
 /// only a whole answer gives it back.
-pub struct Lease {
+pub struct PooledConnection {
     connection: Option<Connection>,
     pool: Rc<Pool>,
     idle_ms: u64,
 }
 
-impl Lease {
+impl PooledConnection {
     /// The answer was read to its end and the connection may serve the next request.
-    pub fn give_back(mut self) {
+    pub fn release(mut self) {
         let Some(mut connection) = self.connection.take() else {
             return;
         };
@@ -171,7 +171,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
             self.pool.open.set(self.pool.open.get() - 1);
@@ -180,7 +180,7 @@
 }
 
 /// A request's answer and the connection on which the rest of it comes.
-pub type Exchanged = (Response<Incoming>, Lease);
+pub type Exchanged = (Response<Incoming>, PooledConnection);
 
 /// Sends a request and waits for the head of its answer.
 ///
@@ -190,14 +190,14 @@
     pool: &Rc<Pool>,
     most: usize,
     mut request: Request<Full<Bytes>>,
-) -> Result<Exchanged, Fault> {
+) -> Result<Exchanged, ExchangeError> {
     let peer = pool.peer;
     loop {
         let (connection, fresh) = match pool.take_idle() {
             Some(connection) => (connection, false),
             None => (open(pool, most).await?, true),
         };
-        let mut lease = Lease {
+        let mut lease = PooledConnection {
             connection: Some(connection),
             pool: Rc::clone(pool),
             idle_ms: IDLE_MS,
@@ -214,8 +214,8 @@
                 let why = error.error().to_string();
                 match error.take_message() {
                     Some(unsent) if !fresh => request = unsent,
-                    Some(_) => return Err(Fault::Connect { peer, why }),
-                    None => return Err(Fault::Lost { peer, why }),
+                    Some(_) => return Err(ExchangeError::Connect { peer, why }),
+                    None => return Err(ExchangeError::Lost { peer, why }),
                 }
             }
         }
@@ -247,12 +247,12 @@
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-async fn open(pool: &Rc<Pool>, most: usize) -> Result<Connection, Fault> {
+async fn open(pool: &Rc<Pool>, most: usize) -> Result<Connection, ExchangeError> {
     let peer = pool.peer;
     if pool.open.get() >= most {
-        return Err(Fault::Crowded { peer });
+        return Err(ExchangeError::Crowded { peer });
     }
-    let failed = |why: String| Fault::Connect { peer, why };
+    let failed = |why: String| ExchangeError::Connect { peer, why };
     let wait = Duration::from_millis(CONNECT_MS);
     let connected = actix_rt::time::timeout(wait, TcpStream::connect(peer)).await;
     let stream = connected
@@ -309,7 +309,7 @@
 
 /// One call over a connection of its own, which ends with it: what the kernel still holds of a call that was given up
 /// does not leave over a connection that lives on.
-pub async fn call_alone(
+pub async fn call_on_new_connection(
     peer: SocketAddr,
     clock: Clock,
     request: Request<Full<Bytes>>,
--- a/crates/relay/src/reading.rs
+++ b/crates/relay/src/prefill.rs
@@ -9,12 +9,12 @@
 use hyper::body::Incoming;
 use plan::PrefillSample;
 
-use crate::blame::note_lost;
+use crate::attribution::note_lost_answer;
 use crate::call::Call;
-use crate::dialect::{KvHandle, Prompt, Sending, Step};
-use crate::generate::keep_parts;
-use crate::place::Reader;
-use crate::pool::{Fault, Lease, exchange};
+use crate::dialect::{KvHandle, Prompt, SendOptions, Step};
+use crate::generation::keep_parts;
+use crate::placement::Reader;
+use crate::pool::{ExchangeError, PooledConnection, exchange};
 use crate::relay::Relay;
 use crate::send::{has_no_room, note_misdirected, note_told, note_unsent, raw_send};
 use crate::upstream::{InFlight, Reading, Upstream, Work};
@@ -67,7 +67,7 @@
 }
 
 async fn free(relay: &Relay, reader: &Rc<Upstream>, handle: &KvHandle) {
-    let (method, path) = relay.dialect.free(handle);
+    let (method, path) = relay.dialect.free_kv_request(handle);
     let request = http::Request::builder()
         .method(method)
         .uri(path)
@@ -79,7 +79,7 @@
     match exchange(&reader.pool, usize::MAX, request).await {
         Ok((response, lease)) => {
             if response.into_body().collect().await.is_ok() {
-                lease.give_back();
+                lease.release();
             }
         }
         Err(fault) => log::debug!(fault:%; "a prompt's cache could not be freed"),
@@ -95,12 +95,12 @@
     reader: &Reader,
 ) -> Option<Handed> {
     let rank = call.rank(reader.urgency);
-    let guard = InFlight::enter(
+    let guard = InFlight::begin(
         &reader.engine,
         relay.now_ms(),
         Work {
-            tokens: reader.tokens,
-            context: 0.0,
+            prefill_tokens: reader.tokens,
+            context_tokens: 0.0,
             rank,
         },
     );
@@ -112,14 +112,14 @@
     let reader = &reader.engine;
     let before = reader.view(relay.now_ms(), 0.0, rank).queued_tokens;
     keep_parts(relay, call, prompt, reader, Reading::Begun);
-    call.at.borrow_mut().clone_from(&reader.id);
-    let sending = Sending {
+    call.current_upstream.borrow_mut().clone_from(&reader.id);
+    let sending = SendOptions {
         instance: &reader.id,
         deadline_ms: call.left_ms(relay.now_ms()),
         priority: Some(rank),
         step: Step::Prefill,
         copy_from: copy_from.as_ref().map(|holder| holder.address),
-        ..Sending::default()
+        ..SendOptions::default()
     };
     let began_ms = relay.now_ms();
     let request = call.request(&*relay.dialect, &sending);
@@ -127,11 +127,11 @@
     let reading = async {
         match raw_send(relay, call, reader, request).await {
             Ok((response, lease)) => {
-                guard.has_answered(relay.now_ms());
+                guard.note_head(relay.now_ms());
                 prefilled(relay, call, reader, response, lease).await
             }
             Err(fault) => {
-                if !matches!(fault, Fault::Lost { .. }) {
+                if !matches!(fault, ExchangeError::Lost { .. }) {
                     call.read_is_unsent();
                 }
                 note_unsent(relay, reader, &fault);
@@ -166,8 +166,8 @@
             queued_tokens: (before - own_tokens).max(0.0),
             elapsed_ms: took_ms,
         };
-        relay.learned.read(&call.service, &seen);
-        reader.answered(relay.now_ms(), read_ms, took_ms);
+        relay.learned.observe_prefill(&call.service, &seen);
+        reader.note_answer(relay.now_ms(), read_ms, took_ms);
         let labels = [call.service.as_str()];
         let histogram = relay.metrics.prefill_s.with_label_values(&labels);
         histogram.observe(took_ms / 1_000.0);
@@ -202,30 +202,30 @@
     call: &Call,
     reader: &Rc<Upstream>,
     response: Response<Incoming>,
-    lease: Lease,
+    lease: PooledConnection,
 ) -> Option<Handed> {
     let status = response.status();
-    let answered = relay.dialect.answered(response.headers());
+    let answered = relay.dialect.parse_response_head(response.headers());
     note_told(relay, reader, &answered);
     // A late answer to an earlier request on the connection would lead to another prompt's cache.
-    if answered.attempt != call.asked.attempt {
+    if answered.attempt != call.head.attempt {
         note_unread(relay, call, reader, "the answer is another request's");
         return None;
     }
     let body = match response.into_body().collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) => {
-            note_lost(relay, call, reader);
+            note_lost_answer(relay, call, reader);
             note_unread(relay, call, reader, &error.to_string());
             return None;
         }
     };
-    lease.give_back();
+    lease.release();
     if status == StatusCode::MISDIRECTED_REQUEST {
         note_misdirected(relay, reader, answered.instance.as_deref(), Step::Prefill);
     }
     if has_no_room(status) {
-        reader.rejected_generation(relay.now_ms());
+        reader.note_no_capacity(relay.now_ms());
     }
     if status != StatusCode::OK {
         if relay.failed_lines.take(relay.now_ms()) {
@@ -236,7 +236,7 @@
         }
         return None;
     }
-    let id = relay.dialect.prefilled(&body)?;
+    let id = relay.dialect.parse_prefill_response(&body)?;
     Some(Handed {
         relay: Rc::clone(relay),
         reader: Rc::clone(reader),
--- a/crates/relay/src/prefix.rs
+++ b/crates/relay/src/prefix.rs
@@ -74,7 +74,12 @@
         let all = upstreams
             .ready(&call.service, now_ms)
             .filter(|each| each.verdict(now_ms) == HealthStatus::Healthy)
-            .map(|each| (Rc::clone(each), held_tokens(prompt, |id| each.copyable(id))))
+            .map(|each| {
+                (
+                    Rc::clone(each),
+                    held_tokens(prompt, |id| each.copyable_tokens(id)),
+                )
+            })
             .filter(|(_, tokens)| *tokens > 0.0)
             .collect();
         Self { link, now_ms, all }
@@ -82,7 +87,7 @@
 
     /// What an engine need not read: what it holds, or more if a copy is worth it.
     pub fn start_at(&self, engine: &Rc<Upstream>, prompt: &Prompt) -> Start {
-        let own_tokens = held_tokens(prompt, |id| engine.kept(id));
+        let own_tokens = held_tokens(prompt, |id| engine.cached_tokens(id));
         let holders = self.all.iter().map(|(holder, tokens)| PrefixHolder {
             tokens: *tokens,
             is_same_zone: holder.zone == engine.zone,
@@ -114,7 +119,7 @@
 
 /// Whether an engine holds or is reading the start of a prompt.
 pub fn holds(engine: &Upstream, prompt: &Prompt) -> bool {
-    held_tokens(prompt, |id| engine.kept(id)) > 0.0
+    held_tokens(prompt, |id| engine.cached_tokens(id)) > 0.0
 }
 
 /// Tokens at the start of a prompt, part by part up to the first that is not held.
@@ -129,6 +134,8 @@
         .parts
         .split_last()
         .map_or(&[][..], |(_, shared)| shared);
-    let new = shared.iter().filter(|part| engine.kept(part.id) == 0.0);
+    let new = shared
+        .iter()
+        .filter(|part| engine.cached_tokens(part.id) == 0.0);
     new.map(|part| f64::from(part.tokens)).sum()
 }
--- a/crates/relay/src/patience.rs
+++ b/crates/relay/src/prior_wait.rs
@@ -17,13 +17,13 @@
 
 /// Deadlines of the recent requests of one route.
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct PriorWaitEstimator {
     recent_ms: VecDeque<u64>,
 }
 
-impl Patience {
+impl PriorWaitEstimator {
     /// Takes in one request's deadline; gives how long its caller had waited before.
-    pub fn waited_ms(&mut self, deadline_ms: u64) -> u64 {
+    pub fn observe_deadline(&mut self, deadline_ms: u64) -> u64 {
         self.recent_ms.push_back(deadline_ms);
         if self.recent_ms.len() > RECENT {
             self.recent_ms.pop_front();
--- a/crates/relay/src/relay/limits.rs
+++ b/crates/relay/src/relay/limits.rs
@@ -20,11 +20,11 @@
     /// An answer of an upstream named a limit, or none.
     pub fn named_limit(&self, upstream: &Upstream, per_s: Option<f64>) {
         let day_ms = self.duties.fleet_ms();
-        let learned = upstream.limit().named(self.now_ms(), day_ms, per_s);
+        let learned = upstream.limit().observe(self.now_ms(), day_ms, per_s);
         if learned.is_changed {
             note_changed(upstream, per_s, "answer");
         }
-        if let Some(at_ms) = learned.tell_as_of_ms {
+        if let Some(at_ms) = learned.gossip_as_of_ms {
             self.shared.borrow_mut().add_limit(LimitTold {
                 upstream: upstream.key,
                 per_s,
@@ -41,7 +41,10 @@
                 continue;
             };
             let before = upstream.limit().per_s(now_ms);
-            if !upstream.limit().heard(now_ms, word.at_ms, word.per_s) {
+            if !upstream
+                .limit()
+                .apply_from_peer(now_ms, word.at_ms, word.per_s)
+            {
                 continue;
             }
             if before != word.per_s {
--- a/crates/relay/src/relay/others.rs
+++ b/crates/relay/src/relay/others.rs
@@ -119,7 +119,7 @@
             reads: self.reads.take(),
             turning: upstreams
                 .iter()
-                .filter_map(|each| each.turning_told(now_ms))
+                .filter_map(|each| each.own_role_change(now_ms))
                 .collect(),
             demand: self.orders.demand(now_ms),
             gives_after: orders::gives_after(self, duty),
@@ -145,14 +145,14 @@
         let upstreams = self.upstreams.borrow();
         for turning in &told.turning {
             if let Some(upstream) = upstreams.get_by_key(turning.upstream) {
-                upstream.turns_to(now_ms, turning.stage, turning.left_ms.into(), false);
+                upstream.begin_role_change(now_ms, turning.stage, turning.left_ms.into(), false);
             }
         }
         for read in &told.reads {
             if let Some(upstream) = upstreams.get_by_key(read.upstream) {
                 let kv_tokens = self.engine_limits(&upstream.service).kv_tokens;
                 let tokens = f64::from(read.tokens);
-                upstream.keeps(read.part, tokens, read.reading, kv_tokens as f64);
+                upstream.note_cached_part(read.part, tokens, read.reading, kv_tokens as f64);
             }
         }
     }
@@ -173,7 +173,7 @@
         let shared = self.shared.borrow();
         let upstreams = self.upstreams.borrow();
         if !shared.hears() {
-            upstreams.iter().for_each(|each| each.others_have(None));
+            upstreams.iter().for_each(|each| each.set_peer_load(None));
             return;
         }
         for upstream in heard
@@ -181,7 +181,7 @@
             .iter()
             .filter_map(|key| upstreams.get_by_key(*key))
         {
-            upstream.others_have(Some(shared.load(upstream.key)));
+            upstream.set_peer_load(Some(shared.load(upstream.key)));
         }
     }
 
--- a/crates/relay/src/relay/repeats.rs
+++ b/crates/relay/src/relay/repeats.rs
@@ -53,7 +53,7 @@
     ///
     /// Only the first read is free, so one that follows takes a repeat beside that of the output.
     pub fn may_read_apart(&self, call: &Call) -> bool {
-        !call.has_read.get() || self.may_arrive_times(call, 2)
+        !call.prefill_accepted.get() || self.may_arrive_times(call, 2)
     }
 
     fn may_arrive_times(&self, call: &Call, times: u32) -> bool {
@@ -62,11 +62,12 @@
 
     /// Whether the arrival after `arrivals` of a request is covered, or can be by one more repeat.
     fn covers(&self, call: &Call, arrivals: u32) -> bool {
-        if arrivals < call.covered.get() {
+        if arrivals < call.allowed_arrivals.get() {
             return true;
         }
         let may = self.may_repeat(&call.service);
-        call.covered.set(call.covered.get() + u32::from(may));
+        call.allowed_arrivals
+            .set(call.allowed_arrivals.get() + u32::from(may));
         self.note_repeat(call, may);
         may
     }
--- a/crates/relay/src/relay/suspects.rs
+++ b/crates/relay/src/relay/suspects.rs
@@ -6,7 +6,7 @@
 
 use super::Relay;
 use super::others::unix_ms;
-use crate::answer::{Reason, Refused};
+use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 
 /// What the store is told of a request under which upstreams end.
@@ -24,18 +24,20 @@
         let deciding = self.suspects.borrow().deciding(call.key);
         let upstreams = self.upstreams.borrow();
         let known = deciding.iter().filter_map(|key| upstreams.get_by_key(*key));
-        known.into_iter().any(|upstream| upstream.is_looked_at())
+        known
+            .into_iter()
+            .any(|upstream| upstream.is_health_check_running())
     }
 
-    /// Refuses a request under which upstreams end, as far as is known now; see [`crate::blame::admitted`].
-    pub fn admit(&self, call: &Call) -> Result<(), Refused> {
+    /// Refuses a request under which upstreams end, as far as is known now; see [`crate::attribution::ensure_not_poison`].
+    pub fn admit(&self, call: &Call) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
         if !suspects.is_poisonous(now_ms, call.key) {
             return Ok(());
         }
         suspects.refused(now_ms, call.key);
-        Err(Refused::plain(Reason::Poisonous))
+        Err(Refusal::new(Reason::PoisonRequest))
     }
 
     /// Something was seen that tells whether a request or its upstream is to blame.
--- a/crates/relay/src/again.rs
+++ b/crates/relay/src/retry.rs
@@ -4,7 +4,7 @@
 //! rejected, and of the rest nobody knows. The first two may be refused as not run, or sent again
 //! where the route allows it; the last must not be, however short the answer was in coming.
 
-use crate::answer::{Reason, Refused};
+use crate::answer::{Reason, Refusal};
 
 /// Upstreams to which no connection could be opened before a request is refused: nothing was
 /// sent, so trying is free but for its time.
@@ -16,7 +16,7 @@
 
 /// How a send ended that brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum SendFailure {
     /// Nothing reached the upstream.
     Unsent,
     /// The upstream rejected it unrun.
@@ -27,7 +27,7 @@
 
 /// What is known of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
+pub struct RetryContext {
     /// Whether it may run more than once.
     pub is_repeatable: bool,
     /// Whether an earlier send of it may have run.
@@ -38,11 +38,11 @@
 
 /// What follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// It is sent to another upstream.
-    Again,
+    Retry,
     /// It is refused, or ends with an error.
-    Refuse(Refused),
+    Refuse(Refusal),
 }
 
 /// A refusal as it may be given to a request of which a send may have run.
@@ -50,31 +50,35 @@
 /// Placing a second try can fail for want of an upstream or of time. Its refusal says that the
 /// request has not run, which is true of that try and not of the first; the caller would then
 /// take an effect that it had for one that it had not.
-pub fn truthful(refused: Refused, may_have_run: bool) -> Refused {
+pub fn without_false_not_run(refused: Refusal, may_have_run: bool) -> Refusal {
     if may_have_run && refused.reason.says_not_run() {
-        return Refused::plain(Reason::Lost);
+        return Refusal::new(Reason::Lost);
     }
     refused
 }
 
 /// Decides what follows; `may_repeat` takes one more send from the route and the budget.
-pub fn next(outcome: Outcome, facts: &Facts, may_repeat: impl Fn() -> bool) -> Next {
+pub fn decide(
+    outcome: SendFailure,
+    facts: &RetryContext,
+    may_repeat: impl Fn() -> bool,
+) -> RetryDecision {
     match outcome {
-        Outcome::Unsent if facts.unreached < UNREACHED => Next::Again,
-        Outcome::NotRun if may_repeat() => Next::Again,
-        Outcome::Lost if facts.is_repeatable && may_repeat() => Next::Again,
-        Outcome::Lost => Next::Refuse(Refused::plain(Reason::Lost)),
-        Outcome::Unsent => refuse(Reason::NoUpstream, facts.may_have_run),
-        Outcome::NotRun => refuse(Reason::Rejected, facts.may_have_run),
+        SendFailure::Unsent if facts.unreached < UNREACHED => RetryDecision::Retry,
+        SendFailure::NotRun if may_repeat() => RetryDecision::Retry,
+        SendFailure::Lost if facts.is_repeatable && may_repeat() => RetryDecision::Retry,
+        SendFailure::Lost => RetryDecision::Refuse(Refusal::new(Reason::Lost)),
+        SendFailure::Unsent => refuse(Reason::NoUpstream, facts.may_have_run),
+        SendFailure::NotRun => refuse(Reason::Rejected, facts.may_have_run),
     }
 }
 
 /// Refuses a request that upstreams rejected, where no further repeat is allowed.
-pub fn rejected() -> Refused {
-    Refused::later(Reason::Rejected, REJECTED_RETRY_MS)
+pub fn refuse_rejected() -> Refusal {
+    Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_MS)
 }
 
-fn refuse(reason: Reason, may_have_run: bool) -> Next {
-    let refused = Refused::later(reason, REJECTED_RETRY_MS);
-    Next::Refuse(truthful(refused, may_have_run))
+fn refuse(reason: Reason, may_have_run: bool) -> RetryDecision {
+    let refused = Refusal::with_retry_after(reason, REJECTED_RETRY_MS);
+    RetryDecision::Refuse(without_false_not_run(refused, may_have_run))
 }
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -6,14 +6,14 @@
 use http::{Response, StatusCode, header};
 use hyper::body::Incoming;
 
-use crate::again::Outcome;
-use crate::blame::note_lost;
+use crate::attribution::note_lost_answer;
 use crate::call::Call;
 use crate::config::Kind;
-use crate::dialect::{Answered, Sending, Step};
-use crate::place::PLAIN_MS;
-use crate::pool::{Exchanged, Fault, Lease, exchange};
+use crate::dialect::{ResponseHead, SendOptions, Step};
+use crate::placement::PLAIN_MS;
+use crate::pool::{ExchangeError, Exchanged, PooledConnection, exchange};
 use crate::relay::Relay;
+use crate::retry::SendFailure;
 use crate::upstream::{InFlight, Stage, Upstream};
 
 /// Part of an instance's share of an upstream's connections that it uses; the rest is for instances
@@ -29,9 +29,9 @@
     /// The answer.
     pub response: Response<Incoming>,
     /// What its head says.
-    pub answered: Answered,
+    pub answered: ResponseHead,
     /// The connection.
-    pub lease: Lease,
+    pub lease: PooledConnection,
 }
 
 /// How one send ended.
@@ -39,7 +39,7 @@
     /// The upstream answered, with success or failure.
     Answer(Box<Checked>),
     /// Nothing reached the upstream.
-    Unsent(Fault),
+    Unsent(ExchangeError),
     /// The upstream rejected it unrun.
     NotRun(StatusCode),
     /// It may have run, and there is no answer.
@@ -48,11 +48,11 @@
 
 impl Sent {
     /// How it ended, as far as the next step goes; an answer at this point is of no use.
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> SendFailure {
         match self {
-            Self::Unsent(_) => Outcome::Unsent,
-            Self::NotRun(_) => Outcome::NotRun,
-            Self::Answer(_) | Self::Lost(_) => Outcome::Lost,
+            Self::Unsent(_) => SendFailure::Unsent,
+            Self::NotRun(_) => SendFailure::NotRun,
+            Self::Answer(_) | Self::Lost(_) => SendFailure::Lost,
         }
     }
 }
@@ -62,20 +62,20 @@
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     upstream: &Rc<Upstream>,
-    sending: &Sending<'_>,
+    sending: &SendOptions<'_>,
 ) -> Sent {
     let request = call.request(&*relay.dialect, sending);
     debug_assert!(
-        call.arrivals() < call.covered.get(),
+        call.arrivals() < call.allowed_arrivals.get(),
         "a send beyond the bound"
     );
     call.attempts.set(call.attempts.get() + 1);
-    call.sends.set(call.sends.get() + 1);
-    call.at.borrow_mut().clone_from(&upstream.id);
+    call.possible_runs.set(call.possible_runs.get() + 1);
+    call.current_upstream.borrow_mut().clone_from(&upstream.id);
     let began_ms = relay.now_ms();
     let sent = match raw_send(relay, call, upstream, request).await {
         Ok((response, lease)) => check(relay, call, upstream, sending.step, response, lease),
-        Err(fault @ Fault::Lost { .. }) => Sent::Lost(fault.to_string()),
+        Err(fault @ ExchangeError::Lost { .. }) => Sent::Lost(fault.to_string()),
         Err(fault) => Sent::Unsent(fault),
     };
     match &sent {
@@ -85,14 +85,14 @@
             let took_ms = (relay.now_ms() - began_ms) as f64;
             if call.route.kind != Kind::Stream && checked.response.status().is_success() {
                 let usual_ms = upstream.answer_ms().max(PLAIN_MS);
-                upstream.answered(relay.now_ms(), usual_ms, took_ms);
+                upstream.note_answer(relay.now_ms(), usual_ms, took_ms);
             } else if checked.response.status().is_server_error() {
-                upstream.failed(relay.now_ms());
+                upstream.note_failure(relay.now_ms());
             }
         }
         Sent::Unsent(fault) => {
             call.attempts.set(call.attempts.get() - 1);
-            call.sends.set(call.sends.get() - 1);
+            call.possible_runs.set(call.possible_runs.get() - 1);
             note_unsent(relay, upstream, fault);
             if relay.failed_lines.take(relay.now_ms()) {
                 log::info!(request = call.id(), upstream = upstream.id, fault:%; "request not sent");
@@ -100,10 +100,10 @@
         }
         Sent::NotRun(status) => {
             // It is certain that this send did not run.
-            call.sends.set(call.sends.get() - 1);
+            call.possible_runs.set(call.possible_runs.get() - 1);
             // With a cache to fetch it may be the cache that is missing, and not room.
             if sending.kv.is_none() && has_no_room(*status) && upstream.stage() != Stage::Whole {
-                upstream.rejected_generation(relay.now_ms());
+                upstream.note_no_capacity(relay.now_ms());
             }
             if relay.failed_lines.take(relay.now_ms()) {
                 log::info!(
@@ -113,7 +113,7 @@
             }
         }
         Sent::Lost(why) => {
-            upstream.failed(relay.now_ms());
+            upstream.note_failure(relay.now_ms());
             if relay.failed_lines.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), key:% = call.key, upstream = upstream.id, why;
@@ -128,17 +128,17 @@
 /// Takes an answer of any kind as a sign of life.
 pub fn note_sign(relay: &Relay, guard: &InFlight, sent: &Sent) {
     match sent {
-        Sent::Answer(_) | Sent::NotRun(_) => guard.has_answered(relay.now_ms()),
+        Sent::Answer(_) | Sent::NotRun(_) => guard.note_head(relay.now_ms()),
         Sent::Unsent(_) | Sent::Lost(_) => {}
     }
 }
 
 /// Counts a fault against its upstream, unless it is that this instance may send nothing there now.
-pub fn note_unsent(relay: &Relay, upstream: &Upstream, fault: &Fault) {
+pub fn note_unsent(relay: &Relay, upstream: &Upstream, fault: &ExchangeError) {
     match fault {
-        Fault::Connect { .. } => upstream.unreachable(relay.now_ms()),
-        Fault::Lost { .. } => upstream.failed(relay.now_ms()),
-        Fault::Crowded { .. } | Fault::Limited { .. } => {}
+        ExchangeError::Connect { .. } => upstream.note_unreachable(relay.now_ms()),
+        ExchangeError::Lost { .. } => upstream.note_failure(relay.now_ms()),
+        ExchangeError::Crowded { .. } | ExchangeError::Limited { .. } => {}
     }
 }
 
@@ -148,9 +148,9 @@
     call: &Call,
     upstream: &Rc<Upstream>,
     request: http::Request<http_body_util::Full<Bytes>>,
-) -> Result<Exchanged, Fault> {
+) -> Result<Exchanged, ExchangeError> {
     if !relay.take_room(upstream) {
-        return Err(Fault::Limited {
+        return Err(ExchangeError::Limited {
             peer: upstream.address,
         });
     }
@@ -167,8 +167,12 @@
             let at_upstream = relay.metrics.upstream_s.with_label_values(&[&call.service]);
             at_upstream.observe(seconds(began_ms));
         }
-        Err(Fault::Lost { .. }) => note_lost(relay, call, upstream),
-        Err(Fault::Connect { .. } | Fault::Crowded { .. } | Fault::Limited { .. }) => {}
+        Err(ExchangeError::Lost { .. }) => note_lost_answer(relay, call, upstream),
+        Err(
+            ExchangeError::Connect { .. }
+            | ExchangeError::Crowded { .. }
+            | ExchangeError::Limited { .. },
+        ) => {}
     }
     exchanged
 }
@@ -200,7 +204,7 @@
     match instance {
         Some(id) if id != upstream.id => relay.found_gone(upstream),
         Some(_) if is_stale => {
-            upstream.rejected_step();
+            upstream.assume_other_stage();
             log::info!(upstream = upstream.id, stage:? = upstream.stage(); "upstream does another step");
         }
         Some(_) | None => {}
@@ -208,13 +212,13 @@
 }
 
 /// Takes in what an upstream says of itself in an answer's head, whichever request it answers.
-pub fn note_told(relay: &Relay, upstream: &Upstream, answered: &Answered) {
+pub fn note_told(relay: &Relay, upstream: &Upstream, answered: &ResponseHead) {
     let is_another = |id: &String| *id != upstream.id;
     if answered.instance.as_ref().is_some_and(is_another) {
         return;
     }
     if let Some(load) = answered.load {
-        upstream.told(relay.now_ms(), load);
+        upstream.note_reported_load(relay.now_ms(), load);
     }
     relay.named_limit(upstream, answered.limit_per_s);
 }
@@ -225,14 +229,14 @@
     upstream: &Rc<Upstream>,
     step: Step,
     response: Response<Incoming>,
-    lease: Lease,
+    lease: PooledConnection,
 ) -> Sent {
-    let answered = relay.dialect.answered(response.headers());
+    let answered = relay.dialect.parse_response_head(response.headers());
     note_told(relay, upstream, &answered);
     let status = response.status();
     // An answer that came late to an earlier request on the connection names another attempt. It
     // says nothing of this one, not even that it has not run.
-    if answered.attempt != call.asked.attempt {
+    if answered.attempt != call.head.attempt {
         return Sent::Lost("the answer is another request's".to_owned());
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -19,7 +19,7 @@
 use view::{Entry, Member, RequestKey};
 
 use crate::config::{Access, Config, Limits, Route, Service};
-use crate::pool::call_alone;
+use crate::pool::call_on_new_connection;
 use crate::relay::{Origin, Relay};
 use crate::upstreams::Doubt;
 
@@ -136,7 +136,7 @@
         .body(Full::default())
         .map_err(|error| error.to_string())?;
     let wait = Duration::from_millis(ANSWER_MS);
-    let (_, body) = call_alone(peer, relay.clock, request, wait).await?;
+    let (_, body) = call_on_new_connection(peer, relay.clock, request, wait).await?;
     serde_json::from_slice(&body).map_err(|error| error.to_string())
 }
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -10,14 +10,14 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::answer::{AnswerBody, BrokenOff};
-use crate::blame::{admitted, note_lost};
+use crate::answer::{AnswerBody, TruncatedAnswer};
+use crate::attribution::{ensure_not_poison, note_lost_answer};
 use crate::call::{Call, strip_hop_by_hop};
-use crate::dialect::Sending;
+use crate::dialect::SendOptions;
 use crate::events::Splitter;
 use crate::forward::{may_repeat, note_answer};
-use crate::place;
-use crate::pool::Lease;
+use crate::placement;
+use crate::pool::PooledConnection;
 use crate::relay::Relay;
 use crate::send::{Checked, Sent, send};
 use crate::upstream::{InFlight, Work};
@@ -46,7 +46,7 @@
 
 struct Source {
     body: Incoming,
-    lease: Lease,
+    lease: PooledConnection,
     guard: InFlight,
 }
 
@@ -91,7 +91,7 @@
             }),
             splitter: Splitter::default(),
             ready: VecDeque::new(),
-            last_event: call.asked.last_event,
+            last_event: call.head.last_event,
             tried,
             first_ms: relay.now_ms() - call.arrived_ms,
             last_ms: relay.now_ms(),
@@ -108,7 +108,7 @@
         Response::from_parts(head, AnswerBody::stream(frames))
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, TruncatedAnswer>> {
         loop {
             if let Some(bytes) = self.ready.pop_front() {
                 return Some(Ok(bytes));
@@ -124,13 +124,13 @@
                     return None;
                 }
                 Next::End => {
-                    self.note_lost();
+                    self.note_lost_answer();
                     if let Err(broken) = self.go_on("it ended within an event").await {
                         return Some(Err(broken));
                     }
                 }
                 Next::Broken(why) => {
-                    self.note_lost();
+                    self.note_lost_answer();
                     if let Err(broken) = self.go_on(&why).await {
                         return Some(Err(broken));
                     }
@@ -191,20 +191,20 @@
         self.longest_gap_ms = self.longest_gap_ms.max(now_ms - self.last_ms);
         self.last_ms = now_ms;
         if let Some(source) = &self.source {
-            source.guard.upstream().sign(now_ms);
+            source.guard.upstream().note_activity(now_ms);
         }
     }
 
-    fn note_lost(&self) {
+    fn note_lost_answer(&self) {
         if let Some(source) = &self.source {
-            note_lost(&self.relay, &self.call, source.guard.upstream());
+            note_lost_answer(&self.relay, &self.call, source.guard.upstream());
         }
     }
 
     /// Goes on with the stream at another engine, after the last whole event.
-    async fn go_on(&mut self, why: &str) -> Result<(), BrokenOff> {
+    async fn go_on(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
         if let Some(source) = self.source.take() {
-            source.guard.upstream().failed(self.relay.now_ms());
+            source.guard.upstream().note_failure(self.relay.now_ms());
             if self.relay.failed_lines.take(self.relay.now_ms()) {
                 log::info!(
                     request = self.call.id(), key:% = self.call.key,
@@ -215,16 +215,16 @@
         }
         self.splitter.clear();
         let call = Rc::clone(&self.call);
-        let Some(prompt) = call.asked.prompt.as_ref() else {
+        let Some(prompt) = call.head.prompt.as_ref() else {
             return Err(self.broken(why));
         };
-        if !call.route.is_repeatable() || admitted(&self.relay, &call).await.is_err() {
+        if !call.route.is_repeatable() || ensure_not_poison(&self.relay, &call).await.is_err() {
             return Err(self.broken(why));
         }
         if !may_repeat(&self.relay, &call) {
             return Err(self.broken(why));
         }
-        let Ok(maker) = place::maker(
+        let Ok(maker) = placement::maker(
             &self.relay,
             &call,
             prompt,
@@ -238,29 +238,29 @@
         let copy_from = maker.copy_from.map(|holder| holder.address);
         let maker = maker.engine;
         self.tried.push(maker.id.clone());
-        let guard = InFlight::enter(
+        let guard = InFlight::begin(
             &maker,
             self.relay.now_ms(),
             Work {
-                tokens,
-                context: f64::from(prompt.input_tokens),
+                prefill_tokens: tokens,
+                context_tokens: f64::from(prompt.input_tokens),
                 rank: call.rank(Urgency::OnTime),
             },
         );
-        let sending = Sending {
+        let sending = SendOptions {
             instance: &maker.id,
             deadline_ms: call.left_ms(self.relay.now_ms()),
             priority: Some(call.rank(Urgency::OnTime)),
             copy_from,
             last_event: self.last_event,
-            ..Sending::default()
+            ..SendOptions::default()
         };
         let left = Duration::from_millis(call.left_ms(self.relay.now_ms()));
         let sent = actix_rt::time::timeout(left, send(&self.relay, &call, &maker, &sending)).await;
         match sent {
             Ok(Sent::Answer(checked)) if checked.response.status() == StatusCode::OK => {
-                guard.has_read();
-                guard.has_answered(self.relay.now_ms());
+                guard.note_prefilled();
+                guard.note_head(self.relay.now_ms());
                 if self.relay.failed_lines.take(self.relay.now_ms()) {
                     log::info!(request = call.id(), upstream = maker.id; "stream goes on");
                 }
@@ -276,11 +276,11 @@
     }
 
     fn finish(&mut self, end: &str) {
-        self.call.is_over.set(true);
+        self.call.is_finished.set(true);
         let labels = [self.call.route.name.as_str(), end];
         self.relay.metrics.requests.with_label_values(&labels).inc();
         let route = &self.call.route;
-        let first_ms = self.call.waited_ms + self.first_ms;
+        let first_ms = self.call.prior_wait_ms + self.first_ms;
         let in_time = first_ms <= route.goal_ms && self.longest_gap_ms <= route.gap_goal_ms;
         note_answer(&self.relay, &self.call, in_time);
         self.relay.answered(&self.call);
@@ -293,12 +293,12 @@
                     "stream finished"
                 );
             }
-            source.lease.give_back();
+            source.lease.release();
         }
     }
 
-    fn broken(&self, why: &str) -> BrokenOff {
-        self.call.is_over.set(true);
+    fn broken(&self, why: &str) -> TruncatedAnswer {
+        self.call.is_finished.set(true);
         if self.relay.failed_lines.take(self.relay.now_ms()) {
             log::info!(
                 request = self.call.id(), key:% = self.call.key, route = self.call.route.name,
@@ -308,7 +308,7 @@
         }
         let labels = [self.call.route.name.as_str(), "broken"];
         self.relay.metrics.requests.with_label_values(&labels).inc();
-        BrokenOff {
+        TruncatedAnswer {
             why: why.to_owned(),
         }
     }
@@ -319,14 +319,14 @@
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     body: Incoming,
-    lease: Lease,
+    lease: PooledConnection,
     guard: InFlight,
 ) -> AnswerBody {
     struct State {
         relay: Rc<Relay>,
         call: Rc<Call>,
         body: Incoming,
-        lease: Lease,
+        lease: PooledConnection,
         guard: InFlight,
     }
     let state = State {
@@ -344,12 +344,12 @@
                 return Some((Ok(frame.into_data().unwrap_or_default()), Some(state)));
             }
             Ok(None) => {
-                state.lease.give_back();
+                state.lease.release();
                 state.relay.answered(&state.call);
                 return None;
             }
             Ok(Some(Err(error))) => {
-                note_lost(&state.relay, &state.call, state.guard.upstream());
+                note_lost_answer(&state.relay, &state.call, state.guard.upstream());
                 error.to_string()
             }
             Err(_) => "out of time".to_owned(),
@@ -361,7 +361,7 @@
                 "answer broke off"
             );
         }
-        Some((Err(BrokenOff { why }), None))
+        Some((Err(TruncatedAnswer { why }), None))
     });
     AnswerBody::stream(frames)
 }
--- a/crates/relay/src/nearby.rs
+++ b/crates/relay/src/subset.rs
@@ -13,7 +13,7 @@
 
 /// The engines of an instance by their ids: always the same while they are there, and others for each
 /// instance.
-pub fn nearby<E: Clone>(own: InstanceKey, all: &[E], id: impl Fn(&E) -> &str) -> Vec<E> {
+pub fn engine_subset<E: Clone>(own: InstanceKey, all: &[E], id: impl Fn(&E) -> &str) -> Vec<E> {
     if all.len() <= NEAR_ENGINES {
         return all.to_vec();
     }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,8 +1,8 @@
 //! One incarnation of an upstream, and what this instance has seen of it.
 
-mod kept;
-mod limit;
-mod work;
+mod in_flight;
+mod prompt_cache;
+mod rate_limit;
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use plan::{EngineView, Health, HealthStatus};
 use tick::Clock;
 
-use crate::dialect::ToldLoad;
+use crate::dialect::ReportedLoad;
 use crate::pool::Pool;
 
-pub use kept::{KeptParts, LEAST_TOKENS};
-pub use limit::RateLimit;
+pub use in_flight::{InFlight, Work};
+pub use prompt_cache::{CachedParts, MIN_CACHED_TOKENS};
+pub use rate_limit::RateLimit;
 pub use view::{Entry, Load, Queue, RANKS, Reading, Stage, Standing, UpstreamKey};
-pub use work::{InFlight, Work};
 
 /// Time over which what an upstream told of the load that others put on it fades, in ms: a few
 /// times the length of a short answer, after which it describes other requests.
@@ -93,7 +93,7 @@
     answer_ms: Cell<f64>,
     told: Cell<Told>,
     health: RefCell<Health>,
-    kept: RefCell<KeptParts>,
+    kept: RefCell<CachedParts>,
     others: Cell<Option<Load>>,
     limit: RefCell<RateLimit>,
 }
@@ -135,17 +135,17 @@
     }
 
     /// It is to be found out whether it has ended; gives whether that was not under way already.
-    pub fn begin_look(&self) -> bool {
+    pub fn begin_health_check(&self) -> bool {
         !self.is_looked_at.replace(true)
     }
 
     /// It was found out.
-    pub fn end_look(&self) {
+    pub fn end_health_check(&self) {
         self.is_looked_at.set(false);
     }
 
     /// Whether it is being found out if it has ended.
-    pub fn is_looked_at(&self) -> bool {
+    pub fn is_health_check_running(&self) -> bool {
         self.is_looked_at.get()
     }
 
@@ -161,7 +161,7 @@
 
     /// It was ordered to another stage, and is away until the list says that it is there or
     /// `for_ms` have passed; `is_own` if this instance ordered it.
-    pub fn turns_to(&self, now_ms: u64, stage: Stage, for_ms: u64, is_own: bool) {
+    pub fn begin_role_change(&self, now_ms: u64, stage: Stage, for_ms: u64, is_own: bool) {
         self.turning.set(Some(Turning {
             stage,
             until_ms: now_ms + for_ms,
@@ -170,12 +170,12 @@
     }
 
     /// It was not ordered to another stage after all.
-    pub fn stays(&self) {
+    pub fn cancel_role_change(&self) {
         self.turning.set(None);
     }
 
     /// Where it was ordered to by this instance, to be told to others.
-    pub fn turning_told(&self, now_ms: u64) -> Option<view::Turning> {
+    pub fn own_role_change(&self, now_ms: u64) -> Option<view::Turning> {
         let turning = self.turning(now_ms)?;
         turning.is_own.then(|| view::Turning {
             upstream: self.key,
@@ -190,12 +190,12 @@
     }
 
     /// Whether it is on its way to another stage.
-    pub fn is_turning(&self, now_ms: u64) -> bool {
+    pub fn is_changing_role(&self, now_ms: u64) -> bool {
         self.turning(now_ms).is_some()
     }
 
     /// Its stage, or the one that it is on its way to.
-    pub fn stage_wanted(&self, now_ms: u64) -> Stage {
+    pub fn target_stage(&self, now_ms: u64) -> Stage {
         let turning = self.turning(now_ms);
         turning.map_or_else(|| self.stage(), |turning| turning.stage)
     }
@@ -204,7 +204,7 @@
     ///
     /// One that is turning rejects all that is new, and may do so for longer than was expected, or
     /// though nobody has told of its order.
-    pub fn rejected_generation(&self, now_ms: u64) {
+    pub fn note_no_capacity(&self, now_ms: u64) {
         self.rejecting_until_ms.set(now_ms + REJECTING_MS);
     }
 
@@ -212,7 +212,7 @@
     ///
     /// The list tells a change of stage only once its store can be read again; until then each
     /// request that was sent there would be rejected and count as a repeat.
-    pub fn rejected_step(&self) {
+    pub fn assume_other_stage(&self) {
         self.stage.set(match self.stage.get() {
             Stage::Prefill => Stage::Decode,
             Stage::Decode => Stage::Prefill,
@@ -274,7 +274,7 @@
     }
 
     /// Requests of ours whose output it is making: those that wait or are read there are left out.
-    pub fn making(&self) -> u32 {
+    pub fn decoding(&self) -> u32 {
         self.in_flight.get().saturating_sub(self.unanswered.get())
     }
 
@@ -289,7 +289,7 @@
     }
 
     /// What others have outstanding here, by their word; nothing if nobody speaks for them.
-    pub fn others_have(&self, load: Option<Load>) {
+    pub fn set_peer_load(&self, load: Option<Load>) {
         self.others.set(load);
     }
 
@@ -309,7 +309,7 @@
     }
 
     /// It told its load, of which `own` were ours.
-    pub fn told(&self, now_ms: u64, load: ToldLoad) {
+    pub fn note_reported_load(&self, now_ms: u64, load: ReportedLoad) {
         let all = f64::from(load.running + load.waiting);
         let others = (all - f64::from(self.in_flight.get())).max(0.0);
         self.told.set(Told {
@@ -346,12 +346,12 @@
     }
 
     /// It gave a sign of life at `now_ms`.
-    pub fn sign(&self, now_ms: u64) {
+    pub fn note_activity(&self, now_ms: u64) {
         self.sign_ms.set(now_ms);
     }
 
     /// No connection to it could be opened.
-    pub fn unreachable(&self, now_ms: u64) {
+    pub fn note_unreachable(&self, now_ms: u64) {
         self.health.borrow_mut().record_unreachable(now_ms);
     }
 
@@ -361,7 +361,7 @@
     }
 
     /// It answered after `actual_ms` where `predicted_ms` was expected.
-    pub fn answered(&self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
+    pub fn note_answer(&self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
         self.health
             .borrow_mut()
             .record_latency(now_ms, predicted_ms, actual_ms);
@@ -375,7 +375,7 @@
     }
 
     /// It failed a request for its own sake.
-    pub fn failed(&self, now_ms: u64) {
+    pub fn note_failure(&self, now_ms: u64) {
         self.health.borrow_mut().record_failure(now_ms);
     }
 
@@ -390,20 +390,20 @@
     }
 
     /// It has read, or been sent, a prompt part, where its memory has room for `room_tokens`.
-    pub fn keeps(&self, part: u64, tokens: f64, reading: Reading, room_tokens: f64) {
+    pub fn note_cached_part(&self, part: u64, tokens: f64, reading: Reading, room_tokens: f64) {
         let running = self.context_tokens.get() + f64::from(self.others().context);
         let mut kept = self.kept.borrow_mut();
         kept.add(part, tokens, reading, room_tokens - running);
     }
 
     /// Tokens of a part that it is believed to hold or to be reading.
-    pub fn kept(&self, part: u64) -> f64 {
+    pub fn cached_tokens(&self, part: u64) -> f64 {
         self.kept.borrow().tokens(part)
     }
 
     /// Tokens of a part that others can copy from it.
-    pub fn copyable(&self, part: u64) -> f64 {
-        self.kept.borrow().read_tokens(part)
+    pub fn copyable_tokens(&self, part: u64) -> f64 {
+        self.kept.borrow().copyable_tokens(part)
     }
 
     /// The upstream as a placement of a prompt sees it that would wait there at a rank.
--- a/crates/relay/src/upstream/work.rs
+++ b/crates/relay/src/upstream/in_flight.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Work {
     /// Work of reading its prompt, in tokens.
-    pub tokens: f64,
+    pub prefill_tokens: f64,
     /// Length of the prompt from which output will be made there, in tokens.
-    pub context: f64,
+    pub context_tokens: f64,
     /// Rank at which the prompt waits to be read, 0 first.
     pub rank: u8,
 }
@@ -31,7 +31,7 @@
 
 impl InFlight {
     /// A request that brings this work is about to be sent.
-    pub fn enter(upstream: &Rc<Upstream>, now_ms: u64, work: Work) -> Self {
+    pub fn begin(upstream: &Rc<Upstream>, now_ms: u64, work: Work) -> Self {
         if upstream.verdict(now_ms) == HealthStatus::Probe {
             upstream.health.borrow_mut().start_probe();
         }
@@ -40,13 +40,16 @@
             upstream.sign_ms.set(now_ms);
         }
         upstream.unanswered.set(upstream.unanswered.get() + 1);
-        upstream.queue.borrow_mut().add(work.rank, work.tokens);
+        upstream
+            .queue
+            .borrow_mut()
+            .add(work.rank, work.prefill_tokens);
         upstream
             .context_tokens
-            .set(upstream.context_tokens.get() + work.context);
+            .set(upstream.context_tokens.get() + work.context_tokens);
         Self {
             upstream: Rc::clone(upstream),
-            tokens: Cell::new(work.tokens),
+            tokens: Cell::new(work.prefill_tokens),
             work,
             is_answered: Cell::new(false),
         }
@@ -63,8 +66,8 @@
     }
 
     /// The answer's head has come.
-    pub fn has_answered(&self, now_ms: u64) {
-        self.upstream.sign(now_ms);
+    pub fn note_head(&self, now_ms: u64) {
+        self.upstream.note_activity(now_ms);
         if !self.is_answered.replace(true) {
             let unanswered = self.upstream.unanswered.get();
             self.upstream.unanswered.set(unanswered.saturating_sub(1));
@@ -72,7 +75,7 @@
     }
 
     /// The prompt has been read.
-    pub fn has_read(&self) {
+    pub fn note_prefilled(&self) {
         let read = self.tokens.take();
         self.upstream.queue.borrow_mut().add(self.work.rank, -read);
     }
@@ -80,17 +83,17 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.has_read();
+        self.note_prefilled();
         if !self.is_answered.get() {
             let now_ms = self.upstream.clock.now_ms();
             if self.upstream.is_silent(now_ms) {
                 // The silence must not be forgotten with the last request that waited in it.
-                self.upstream.unreachable(now_ms);
+                self.upstream.note_unreachable(now_ms);
             }
             let unanswered = self.upstream.unanswered.get();
             self.upstream.unanswered.set(unanswered.saturating_sub(1));
         }
-        let context = self.upstream.context_tokens.get() - self.work.context;
+        let context = self.upstream.context_tokens.get() - self.work.context_tokens;
         self.upstream.context_tokens.set(context.max(0.0));
         let count = self.upstream.in_flight.get();
         self.upstream.in_flight.set(count.saturating_sub(1));
--- a/crates/relay/src/upstream/kept.rs
+++ b/crates/relay/src/upstream/prompt_cache.rs
@@ -8,7 +8,7 @@
 const CACHE_SHARE: f64 = 0.85;
 
 /// Parts shorter than this are read again sooner than remembered, in tokens.
-pub const LEAST_TOKENS: u32 = 200;
+pub const MIN_CACHED_TOKENS: u32 = 200;
 
 #[derive(Debug, Clone, Copy)]
 struct Kept {
@@ -22,11 +22,11 @@
 /// Engines drop what was used least recently and say nothing of it, so this is a hint: a wrong one
 /// costs a longer read, never a wrong answer.
 #[derive(Debug, Clone, Default)]
-pub struct KeptParts {
+pub struct CachedParts {
     parts: Vec<Kept>,
 }
 
-impl KeptParts {
+impl CachedParts {
     /// A part was used; those used least recently yield once the memory is full.
     pub fn add(&mut self, part: u64, tokens: f64, reading: Reading, free_tokens: f64) {
         let at = self.parts.iter().position(|each| each.part == part);
@@ -55,7 +55,7 @@
     ///
     /// One that is still being read cannot be copied: the engine that asks for it finds nothing
     /// and reads it a second time.
-    pub fn read_tokens(&self, part: u64) -> f64 {
+    pub fn copyable_tokens(&self, part: u64) -> f64 {
         let read = self.find(part).filter(|each| each.reading == Reading::Done);
         read.map_or(0.0, |each| each.tokens)
     }
--- a/crates/relay/src/upstream/limit.rs
+++ b/crates/relay/src/upstream/rate_limit.rs
@@ -28,11 +28,11 @@
 
 /// What an answer changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Learned {
+pub struct LimitUpdate {
     /// Whether the limit is another one now.
     pub is_changed: bool,
     /// Time of day of the word for the others, if they are to be told.
-    pub tell_as_of_ms: Option<u64>,
+    pub gossip_as_of_ms: Option<u64>,
 }
 
 impl RateLimit {
@@ -43,13 +43,13 @@
     }
 
     /// An answer named a limit, or none, at `day_ms` of the fleet's time of day.
-    pub fn named(&mut self, now_ms: u64, day_ms: u64, per_s: Option<f64>) -> Learned {
+    pub fn observe(&mut self, now_ms: u64, day_ms: u64, per_s: Option<f64>) -> LimitUpdate {
         let before = self.per_s(now_ms);
         let is_held = before.is_some() && now_ms < self.named_ms + HELD_MS;
         if per_s.is_none() && (is_held || before.is_none()) {
-            return Learned {
+            return LimitUpdate {
                 is_changed: false,
-                tell_as_of_ms: None,
+                gossip_as_of_ms: None,
             };
         }
         let is_changed = before != per_s;
@@ -61,14 +61,14 @@
             // What was seen here counts, even where another one's time of day is ahead.
             self.word_ms = day_ms.max(self.word_ms + 1);
         }
-        Learned {
+        LimitUpdate {
             is_changed,
-            tell_as_of_ms: is_due.then_some(self.word_ms),
+            gossip_as_of_ms: is_due.then_some(self.word_ms),
         }
     }
 
     /// Another instance was told so; gives whether that is news.
-    pub fn heard(&mut self, now_ms: u64, word_ms: u64, per_s: Option<f64>) -> bool {
+    pub fn apply_from_peer(&mut self, now_ms: u64, word_ms: u64, per_s: Option<f64>) -> bool {
         if word_ms <= self.word_ms {
             return false;
         }
--- a/crates/relay/src/urgency.rs
+++ b/crates/relay/src/urgency.rs
@@ -49,13 +49,13 @@
 
 /// Usual length of a route's prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct UsualLength {
+pub struct TypicalLength {
     tokens: Option<f64>,
 }
 
-impl UsualLength {
+impl TypicalLength {
     /// Takes one prompt in; gives whether it lets longer ones of its route go first.
-    pub fn yields(&mut self, tokens: f64) -> bool {
+    pub fn yields_to_longer(&mut self, tokens: f64) -> bool {
         let usual = self.tokens.unwrap_or(tokens);
         self.tokens = Some(usual + SMOOTHING * (tokens - usual));
         tokens >= ORDERED_TOKENS && tokens < LONG * usual
--- a/crates/relay/tests/beliefs.rs
+++ b/crates/relay/tests/beliefs.rs
@@ -299,13 +299,13 @@
     let mut upstreams = Upstreams::new("here", Clock::default());
     upstreams.apply(0, Change::Put(born(1_000, 90, Standing::Ready)));
     let first = Rc::clone(upstreams.get("a").unwrap());
-    first.keeps(7, 13_000.0, Reading::Done, 100_000.0);
+    first.note_cached_part(7, 13_000.0, Reading::Done, 100_000.0);
     upstreams.apply(0, Change::Put(born(1_000, 91, Standing::Leaving)));
     assert!(ready(&upstreams, 0).is_empty());
     let effect = upstreams.apply(0, Change::Put(born(5_000, 1, Standing::Ready)));
     assert_eq!(effect, Effect::Joined);
     assert_eq!(ready(&upstreams, 0), ["a"]);
-    assert!(upstreams.get("a").unwrap().kept(7) < 1.0);
+    assert!(upstreams.get("a").unwrap().cached_tokens(7) < 1.0);
     let late = upstreams.apply(0, Change::Put(born(1_000, 92, Standing::Leaving)));
     assert_eq!(late, Effect::Same);
     assert_eq!(ready(&upstreams, 0), ["a"]);
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -19,8 +19,8 @@
 use hyper::body::Incoming;
 use plan::RetryBudgetSettings;
 use relay::config::{Config, EngineLimits, Kind, Limits, Route, Service, Target};
-use relay::front::{Duty, bind, serve};
-use relay::pool::{Fault, Pool, exchange};
+use relay::listener::{ListenerKind, bind, serve};
+use relay::pool::{ExchangeError, Pool, exchange};
 use relay::upstream::Entry;
 use relay::upstreams::Change;
 use relay::{Phase, Relay, Settings};
@@ -143,7 +143,12 @@
         let listener = bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = watch::channel(Phase::Serving);
-        actix_rt::spawn(serve(Rc::clone(&relay), Duty::Callers, listener, phases));
+        actix_rt::spawn(serve(
+            Rc::clone(&relay),
+            ListenerKind::Callers,
+            listener,
+            phases,
+        ));
         Self {
             relay,
             address,
@@ -153,7 +158,10 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn ask(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
+    pub async fn ask(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, ExchangeError> {
         let (response, lease) = exchange(&self.pool, usize::MAX, request).await?;
         // The connection lives until the answer is read; the pool is not what is tested here.
         std::mem::forget(lease);
--- a/crates/relay/tests/common/standin.rs
+++ b/crates/relay/tests/common/standin.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use relay::front::bind;
+use relay::listener::bind;
 use relay::upstream::{Entry, Stage, Standing};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/relay/tests/common/wire.rs
+++ b/crates/relay/tests/common/wire.rs
@@ -5,8 +5,8 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use keys::KeyHash;
 use relay::dialect::{
-    Answered, Asked, Dialect, EngineReport, KvHandle, Part, Presented, Prompt, Sending, Step,
-    ToldLoad,
+    Dialect, EngineReport, KvHandle, PresentedKey, Prompt, PromptPart, ReportedLoad, RequestHead,
+    ResponseHead, SendOptions, Step,
 };
 use relay::orders::Order;
 
@@ -22,11 +22,11 @@
 }
 
 fn prompt(value: &str) -> Prompt {
-    let parts: Vec<Part> = value
+    let parts: Vec<PromptPart> = value
         .split(',')
         .filter_map(|part| {
             let (id, tokens) = part.split_once(':')?;
-            Some(Part {
+            Some(PromptPart {
                 id: id.parse().ok()?,
                 tokens: tokens.parse().ok()?,
             })
@@ -40,18 +40,18 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> Presented {
+fn key(headers: &HeaderMap) -> PresentedKey {
     let keys: Vec<_> = headers.get_all("x-key").iter().collect();
     match keys[..] {
-        [] => Presented::Nothing,
-        [key] => Presented::Key(KeyHash::of(key.as_bytes())),
-        _ => Presented::Several,
+        [] => PresentedKey::Nothing,
+        [key] => PresentedKey::Key(KeyHash::of(key.as_bytes())),
+        _ => PresentedKey::Several,
     }
 }
 
 impl Dialect for Wire {
-    fn asked(&self, headers: &HeaderMap) -> Asked {
-        Asked {
+    fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead {
+        RequestHead {
             attempt: headers.get("x-attempt").cloned(),
             deadline_ms: number(headers, "x-left-ms"),
             prompt: text(headers, "x-prompt").map(prompt),
@@ -60,7 +60,7 @@
         }
     }
 
-    fn strip(&self, headers: &mut HeaderMap) {
+    fn strip_reserved_headers(&self, headers: &mut HeaderMap) {
         for name in [
             "x-instance",
             "x-step",
@@ -78,7 +78,7 @@
         name.as_str().starts_with("x-")
     }
 
-    fn send(&self, headers: &mut HeaderMap, sending: &Sending) {
+    fn write_send_options(&self, headers: &mut HeaderMap, sending: &SendOptions) {
         let mut put = |name: &'static str, value: String| {
             headers.insert(name, HeaderValue::from_str(&value).expect("a valid value"));
         };
@@ -101,17 +101,17 @@
         }
     }
 
-    fn send_workspace(&self, headers: &mut HeaderMap, name: &str) {
+    fn write_workspace(&self, headers: &mut HeaderMap, name: &str) {
         let name = HeaderValue::from_str(name).expect("a valid value");
         headers.insert("x-workspace", name);
     }
 
-    fn answered(&self, headers: &HeaderMap) -> Answered {
-        let load = number(headers, "x-load").map(|running| ToldLoad {
+    fn parse_response_head(&self, headers: &HeaderMap) -> ResponseHead {
+        let load = number(headers, "x-load").map(|running| ReportedLoad {
             running: running as u32,
             waiting: 0,
         });
-        Answered {
+        ResponseHead {
             attempt: headers.get("x-attempt").cloned(),
             is_signed: headers.contains_key("x-signature"),
             not_run: headers.contains_key("x-not-run"),
@@ -121,11 +121,11 @@
         }
     }
 
-    fn prefilled(&self, body: &[u8]) -> Option<String> {
+    fn parse_prefill_response(&self, body: &[u8]) -> Option<String> {
         std::str::from_utf8(body).ok().map(str::to_owned)
     }
 
-    fn free(&self, handle: &KvHandle) -> (Method, String) {
+    fn free_kv_request(&self, handle: &KvHandle) -> (Method, String) {
         (Method::DELETE, format!("/kv/{}", handle.id))
     }
 
@@ -133,15 +133,15 @@
         "/report"
     }
 
-    fn reported(&self, _body: &[u8]) -> Option<EngineReport> {
+    fn parse_engine_report(&self, _body: &[u8]) -> Option<EngineReport> {
         None
     }
 
-    fn order(&self, order: &Order) -> (String, Vec<u8>) {
+    fn order_request(&self, order: &Order) -> (String, Vec<u8>) {
         ("/order".to_owned(), order.fence.to_string().into_bytes())
     }
 
-    fn expect(&self, headers: &mut HeaderMap, instance: &str) {
+    fn write_expected_instance(&self, headers: &mut HeaderMap, instance: &str) {
         let id = HeaderValue::from_str(instance).expect("a valid value");
         headers.insert("x-instance", id);
     }
@@ -154,15 +154,15 @@
         "/resolve"
     }
 
-    fn addresses(&self, addresses: &[SocketAddr], _ttl_ms: u64) -> Vec<u8> {
+    fn encode_addresses(&self, addresses: &[SocketAddr], _ttl_ms: u64) -> Vec<u8> {
         format!("{addresses:?}").into_bytes()
     }
 
-    fn caller_zone(&self, query: &str) -> Option<String> {
+    fn parse_caller_zone(&self, query: &str) -> Option<String> {
         query.strip_prefix("zone=").map(str::to_owned)
     }
 
-    fn error(&self, reason: &str) -> Vec<u8> {
+    fn encode_error(&self, reason: &str) -> Vec<u8> {
         reason.as_bytes().to_vec()
     }
 }
--- a/crates/relay/tests/engines.rs
+++ b/crates/relay/tests/engines.rs
@@ -243,7 +243,7 @@
 fn reader_with(bed: &Bed, id: &str, reading: Reading) {
     let upstreams = bed.relay.upstreams.borrow();
     let engine = upstreams.get(id).unwrap();
-    engine.keeps(7, 13_000.0, reading, 400_000.0);
+    engine.note_cached_part(7, 13_000.0, reading, 400_000.0);
 }
 
 /// The caller sees its stream. One engine holds the prompt's shared part and has seconds of other
@@ -260,10 +260,10 @@
     reader_with(&bed, "busy", Reading::Done);
     let held = Rc::clone(bed.relay.upstreams.borrow().get("busy").unwrap());
     let work = Work {
-        tokens: 100_000.0,
+        prefill_tokens: 100_000.0,
         ..Work::default()
     };
-    let _guard = InFlight::enter(&held, bed.relay.now_ms(), work);
+    let _guard = InFlight::begin(&held, bed.relay.now_ms(), work);
     let mut asked = generation("/once/x", LONG);
     let forged = HeaderValue::from_static("6.6.6.6:6");
     asked.headers_mut().insert("x-copy", forged);
@@ -312,8 +312,8 @@
     common::tell(&bed.relay, &other.relay);
     let upstreams = other.relay.upstreams.borrow();
     let known = upstreams.get("one").unwrap();
-    assert!((known.copyable(7) - 13_000.0).abs() < 1.0);
-    assert!(known.copyable(9) < 1.0);
+    assert!((known.copyable_tokens(7) - 13_000.0).abs() < 1.0);
+    assert!(known.copyable_tokens(9) < 1.0);
 }
 
 /// Two callers see different answers to the same question: an engine has work for more than three
@@ -325,11 +325,11 @@
     let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
     let one = Rc::clone(bed.relay.upstreams.borrow().get("one").unwrap());
     let work = Work {
-        tokens: 66_000.0,
+        prefill_tokens: 66_000.0,
         rank: 1,
         ..Work::default()
     };
-    let _guard = InFlight::enter(&one, bed.relay.now_ms(), work);
+    let _guard = InFlight::begin(&one, bed.relay.now_ms(), work);
     let mut new = generation("/once/x", SHORT);
     let left = HeaderValue::from_static("6000");
     new.headers_mut().insert("x-left-ms", left);
@@ -419,7 +419,7 @@
         !upstreams
             .get("turning")
             .unwrap()
-            .is_turning(bed.relay.now_ms())
+            .is_changing_role(bed.relay.now_ms())
     );
 }
 
--- a/crates/relay/tests/learned.rs
+++ b/crates/relay/tests/learned.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use relay::patience::Patience;
-use relay::upstream::{KeptParts, Queue, Reading};
-use relay::urgency::{Urgency, UsualLength};
+use relay::prior_wait::PriorWaitEstimator;
+use relay::upstream::{CachedParts, Queue, Reading};
+use relay::urgency::{TypicalLength, Urgency};
 
 /// Long prompts wait at an engine, and a short question of an earlier rank comes. It is read
 /// first, so its wait counts only what is of its rank or before it.
@@ -36,29 +36,29 @@
 /// not taken for unread because it is asked for again.
 #[test]
 fn parts_used_least_recently_yield() {
-    let mut kept = KeptParts::default();
+    let mut kept = CachedParts::default();
     for part in 0..4 {
         kept.add(part, 13_000.0, Reading::Done, 60_000.0);
     }
     kept.add(1, 13_000.0, Reading::Begun, 60_000.0);
     assert!(kept.tokens(0) < 1.0);
-    assert!(kept.read_tokens(1) > 1.0);
+    assert!(kept.copyable_tokens(1) > 1.0);
     kept.add(9, 13_000.0, Reading::Begun, 60_000.0);
     assert!(kept.tokens(2) < 1.0);
-    assert!(kept.tokens(9) > 1.0 && kept.read_tokens(9) < 1.0);
+    assert!(kept.tokens(9) > 1.0 && kept.copyable_tokens(9) < 1.0);
 }
 
 /// Prompts of a route are 17,000 tokens long, and some 30,000. The long ones go first among those
 /// that can be on time; short questions are not ordered, and what is late stays behind all.
 #[test]
 fn the_longest_prompts_of_a_route_go_first() {
-    let mut usual = UsualLength::default();
+    let mut usual = TypicalLength::default();
     for _ in 0..50 {
-        usual.yields(17_000.0);
+        usual.yields_to_longer(17_000.0);
     }
-    assert!(usual.yields(17_000.0));
-    assert!(!usual.yields(30_000.0));
-    assert!(!usual.yields(400.0));
+    assert!(usual.yields_to_longer(17_000.0));
+    assert!(!usual.yields_to_longer(30_000.0));
+    assert!(!usual.yields_to_longer(400.0));
     let mut route = common::route("/grades/", relay::config::Kind::Stream, "llm");
     let mut ranks = Vec::new();
     for priority in [0, 1, 2, 3, 255] {
@@ -79,16 +79,16 @@
 /// agree on a time, nothing can be told.
 #[test]
 fn one_patient_caller_makes_nobody_seem_to_have_come_back() {
-    let mut patience = Patience::default();
-    assert_eq!(patience.waited_ms(60_000), 0);
+    let mut patience = PriorWaitEstimator::default();
+    assert_eq!(patience.observe_deadline(60_000), 0);
     for _ in 0..20 {
-        patience.waited_ms(6_000);
+        patience.observe_deadline(6_000);
     }
-    assert_eq!(patience.waited_ms(60_000), 0);
-    assert_eq!(patience.waited_ms(6_000), 0);
-    assert_eq!(patience.waited_ms(5_700), 300);
-    let mut mixed = Patience::default();
+    assert_eq!(patience.observe_deadline(60_000), 0);
+    assert_eq!(patience.observe_deadline(6_000), 0);
+    assert_eq!(patience.observe_deadline(5_700), 300);
+    let mut mixed = PriorWaitEstimator::default();
     for deadline_ms in 1_000..1_100 {
-        assert_eq!(mixed.waited_ms(deadline_ms * 7 % 5_000), 0);
+        assert_eq!(mixed.observe_deadline(deadline_ms * 7 % 5_000), 0);
     }
 }
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -137,10 +137,10 @@
 #[test]
 fn an_answer_without_a_limit_lifts_one_that_was_not_named_just_now() {
     let mut limit = RateLimit::default();
-    assert!(limit.named(1_000, 50_000, Some(4.0)).is_changed);
-    assert!(!limit.named(1_400, 50_400, None).is_changed);
+    assert!(limit.observe(1_000, 50_000, Some(4.0)).is_changed);
+    assert!(!limit.observe(1_400, 50_400, None).is_changed);
     assert_eq!(limit.per_s(1_400), Some(4.0));
-    assert!(limit.named(2_600, 51_600, None).is_changed);
+    assert!(limit.observe(2_600, 51_600, None).is_changed);
     assert_eq!(limit.per_s(2_600), None);
 }
 
@@ -149,13 +149,13 @@
 #[test]
 fn the_latest_word_on_a_limit_counts_and_is_forgotten_in_time() {
     let mut limit = RateLimit::default();
-    assert!(limit.heard(1_000, 50_000, Some(4.0)));
-    assert!(limit.heard(1_100, 50_200, None));
-    assert!(!limit.heard(1_200, 50_100, Some(4.0)));
+    assert!(limit.apply_from_peer(1_000, 50_000, Some(4.0)));
+    assert!(limit.apply_from_peer(1_100, 50_200, None));
+    assert!(!limit.apply_from_peer(1_200, 50_100, Some(4.0)));
     assert_eq!(limit.per_s(1_200), None);
     // Its own eyes go before a time of day that is ahead of its own.
-    let own = limit.named(1_300, 40_000, Some(3.0));
-    assert_eq!(own.tell_as_of_ms, Some(50_201));
+    let own = limit.observe(1_300, 40_000, Some(3.0));
+    assert_eq!(own.gossip_as_of_ms, Some(50_201));
     assert_eq!(limit.per_s(1_300), Some(3.0));
     assert_eq!(limit.per_s(60_000), None);
 }
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -6,8 +6,8 @@
 
 use common::{Bed, StandIn, Wire, request, settings, until};
 use http::Method;
-use relay::front::{Duty, bind, serve};
 use relay::gossip;
+use relay::listener::{ListenerKind, bind, serve};
 use relay::members::Member;
 use relay::state::catch_up;
 use relay::upstream::{InFlight, Stage, Work};
@@ -27,7 +27,12 @@
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let peer = listener.local_addr().unwrap();
     let (_phase, phases) = watch::channel(Phase::Serving);
-    actix_rt::spawn(serve(Rc::clone(&old.relay), Duty::Peers, listener, phases));
+    actix_rt::spawn(serve(
+        Rc::clone(&old.relay),
+        ListenerKind::Peers,
+        listener,
+        phases,
+    ));
 
     let mut told = settings();
     told.seeds = vec![peer];
@@ -83,10 +88,10 @@
     };
     let upstream = Rc::clone(one.upstreams.borrow().get("one").unwrap());
     let work = Work {
-        tokens: 5_000.0,
+        prefill_tokens: 5_000.0,
         ..Work::default()
     };
-    let guard = InFlight::enter(&upstream, one.now_ms(), work);
+    let guard = InFlight::begin(&upstream, one.now_ms(), work);
     assert!(until(|| (seen(&two) - 5_000.0).abs() < 1.0).await);
     drop(guard);
     assert!(until(|| seen(&two) < 1.0).await);
--- a/crates/relay/tests/poison.rs
+++ b/crates/relay/tests/poison.rs
@@ -61,7 +61,7 @@
 async fn looked(bed: &Bed) {
     let is_over = || {
         let upstreams = bed.relay.upstreams.borrow();
-        upstreams.iter().all(|each| !each.is_looked_at())
+        upstreams.iter().all(|each| !each.is_health_check_running())
     };
     assert!(until(is_over).await);
 }
--- a/crates/relay/tests/nearby.rs
+++ b/crates/relay/tests/subset.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use relay::nearby::nearby;
+use relay::subset::engine_subset;
 use view::InstanceKey;
 
 const INSTANCES: usize = 80;
@@ -60,7 +60,7 @@
     let few = fullest(|own, engines| {
         let named: Vec<(usize, &String)> = engines.iter().enumerate().collect();
         let own = InstanceKey::of(&format!("entry-{own}"));
-        let near = nearby(own, &named, |(_, engine)| engine.as_str());
+        let near = engine_subset(own, &named, |(_, engine)| engine.as_str());
         near.into_iter().map(|(at, _)| at).collect()
     });
     assert!(all > 10.0, "{all}");
@@ -74,7 +74,7 @@
     let mut chosen = vec![0; ENGINES];
     for own in 0..INSTANCES {
         let own = InstanceKey::of(&format!("entry-{own}"));
-        for engine in nearby(own, &engines, |engine| engine) {
+        for engine in engine_subset(own, &engines, |engine| engine) {
             let at = engines.iter().position(|each| *each == engine).unwrap();
             chosen[at] += 1;
         }
@@ -82,7 +82,7 @@
     assert!(chosen.iter().all(|count| *count > 0), "{chosen:?}");
     let few = &engines[..9];
     assert_eq!(
-        nearby(InstanceKey::of("entry-1"), few, |engine| engine),
+        engine_subset(InstanceKey::of("entry-1"), few, |engine| engine),
         few
     );
 }
