--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -26,15 +26,15 @@
 /// what it is. A request whose second upstream broke off just now waits until it is known whether that one has
 /// ended, a round trip as a rule; it would take a third one along in that time.
 pub async fn ensure_not_poison(relay: &Relay, call: &Call) -> Result<(), Refusal> {
-    while relay.is_deciding(call) {
+    while relay.is_attribution_pending(call) {
         actix_rt::time::sleep(Duration::from_millis(GLANCE_MS)).await;
     }
-    relay.admit(call)
+    relay.check_poison(call)
 }
 
 /// An upstream's connection ended under a request, without a whole answer.
 pub fn note_lost_answer(relay: &Rc<Relay>, call: &Call, upstream: &Rc<Upstream>) {
-    relay.saw(Fate::Lost {
+    relay.record_attribution(Fate::Lost {
         request: call.key,
         upstream: upstream.key,
     });
@@ -57,6 +57,6 @@
     note_unsent(relay, upstream, &fault);
     if let ExchangeError::Connect { .. } = fault {
         log::info!(upstream = upstream.id, fault:%; "upstream has ended");
-        relay.saw(Fate::Ended(upstream.key));
+        relay.record_attribution(Fate::Ended(upstream.key));
     }
 }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -204,8 +204,8 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let terms = self.relay.settings.borrow().duties;
-        self.relay.duties.ended_unanswered(terms, self);
+        let terms = self.relay.settings.borrow().singleton_tasks;
+        self.relay.singleton_tasks.count_unanswered(terms, self);
         if self.is_finished.get() {
             return;
         }
@@ -213,7 +213,7 @@
         let now_ms = self.relay.now_ms();
         let labels = [self.route.name.as_str(), "left"];
         self.relay.metrics.requests.with_label_values(&labels).inc();
-        if self.relay.failed_lines.take(now_ms) {
+        if self.relay.failure_log_limit.take(now_ms) {
             log::info!(
                 request = self.id(), route = self.route.name, workspace = self.workspace_name(),
                 upstream = self.current_upstream.borrow().as_str(),
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -9,7 +9,7 @@
 
 /// What may be repeated of the requests on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RouteKind {
     /// Idempotent: may run more than once.
     Safe,
     /// Runs at most once.
@@ -38,7 +38,7 @@
     /// Start of the path; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a caller is kept waiting.
     pub timeout_ms: u64,
     /// Time within which an answer is worth most.
@@ -59,11 +59,11 @@
 
 impl Route {
     /// Whether a request that may have run may be sent again.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
-            Kind::Safe => true,
-            Kind::Unsafe => false,
-            Kind::Stream => self.resumable,
+            RouteKind::Safe => true,
+            RouteKind::Unsafe => false,
+            RouteKind::Stream => self.resumable,
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// How many keys let callers in.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         match self {
             Self::Open => 0,
             Self::Keyed { ring, .. } => ring.len(),
@@ -283,7 +283,7 @@
     }
 
     /// Number of routes.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 }
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use keys::KeyHash;
 
-use crate::orders::Order;
+use crate::role_orders::RoleOrder;
 use crate::upstream::Stage;
 
 /// A part of a prompt that requests may share.
@@ -156,7 +156,7 @@
     /// Reads an engine's report.
     fn parse_engine_report(&self, body: &[u8]) -> Option<EngineReport>;
     /// Path and body of an order to an engine.
-    fn order_request(&self, order: &Order) -> (String, Vec<u8>);
+    fn order_request(&self, order: &RoleOrder) -> (String, Vec<u8>);
     /// Names the incarnation that alone may take a call.
     fn write_expected_instance(&self, headers: &mut HeaderMap, instance: &str);
     /// Path at which instances say whether they are ready.
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -10,7 +10,7 @@
 use crate::answer::{AnswerBody, Reason, Refusal};
 use crate::attribution::{ensure_not_poison, note_lost_answer};
 use crate::call::{Call, strip_hop_by_hop};
-use crate::config::Kind;
+use crate::config::RouteKind;
 use crate::dialect::SendOptions;
 use crate::generation::generate;
 use crate::placement;
@@ -43,7 +43,7 @@
 
 fn refusal(relay: &Relay, call: &Call, refused: Refusal) -> Response<AnswerBody> {
     let took_ms = relay.now_ms() - call.arrived_ms;
-    if relay.failed_lines.take(relay.now_ms()) {
+    if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, route = call.route.name, workspace = call.workspace_name(),
             reason = refused.reason, took_ms,
@@ -62,9 +62,9 @@
 }
 
 async fn walk(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
-    relay.sent_first(&call.service);
+    relay.count_first_send(&call.service);
     match &call.head.prompt {
-        Some(prompt) if call.route.kind == Kind::Stream => generate(relay, call, prompt).await,
+        Some(prompt) if call.route.kind == RouteKind::Stream => generate(relay, call, prompt).await,
         _ => plain(relay, call).await,
     }
 }
@@ -87,7 +87,7 @@
         let outcome = match sent {
             Sent::Answer(checked) => {
                 let failed = checked.response.status().is_server_error();
-                let repeatable = failed && call.route.kind == Kind::Safe;
+                let repeatable = failed && call.route.kind == RouteKind::Safe;
                 // The upstream's own failure is worth more to the caller than our refusal.
                 let has_other = repeatable && placement::plain(relay, call, &tried).is_ok();
                 if has_other && may_repeat(relay, call) {
@@ -114,7 +114,7 @@
 ) -> Result<(), Refusal> {
     *unreached += u32::from(outcome == SendFailure::Unsent);
     let facts = RetryContext {
-        is_repeatable: call.route.is_repeatable(),
+        is_repeatable: call.route.is_retryable(),
         may_have_run: call.possible_runs.get() > 0,
         unreached: *unreached,
     };
@@ -126,7 +126,7 @@
 
 /// Whether the request may be sent to one more upstream, within its route and the budget.
 pub fn may_repeat(relay: &Relay, call: &Call) -> bool {
-    call.attempts.get() < call.route.max_attempts && relay.may_arrive(call)
+    call.attempts.get() < call.route.max_attempts && relay.may_send(call)
 }
 
 /// Sends a request that another upstream could still answer, for a part of the time left.
@@ -137,7 +137,7 @@
     sending: &SendOptions<'_>,
 ) -> Sent {
     let left_ms = call.left_ms(relay.now_ms());
-    let has_other = call.route.is_repeatable() && call.attempts.get() + 1 < call.route.max_attempts;
+    let has_other = call.route.is_retryable() && call.attempts.get() + 1 < call.route.max_attempts;
     let budget = AttemptTimeout::next(left_ms, 1).filter(|_| has_other);
     let Some(budget) = budget else {
         return send(relay, call, upstream, sending).await;
@@ -175,7 +175,7 @@
         let Ok(collected) = collected else {
             upstream.note_failure(relay.now_ms());
             note_lost_answer(relay, call, &upstream);
-            if relay.failed_lines.take(relay.now_ms()) {
+            if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), key:% = call.key, upstream = upstream.id;
                     "answer broke off"
@@ -186,7 +186,7 @@
         head.headers.remove(header::CONTENT_LENGTH);
         checked.lease.release();
         drop(guard);
-        relay.answered(call);
+        relay.record_answered(call);
         AnswerBody::whole(collected.to_bytes())
     };
     let end = head.status.as_u16().to_string();
@@ -198,7 +198,7 @@
         let took_ms = call.prior_wait_ms + now_ms - call.arrived_ms;
         note_answer(relay, call, took_ms <= call.route.goal_ms);
     }
-    if relay.served_lines.take(now_ms) {
+    if relay.success_log_limit.take(now_ms) {
         log::info!(
             request = call.id(), route = call.route.name, workspace = call.workspace_name(),
             upstream = upstream.id, status = head.status.as_u16(), took_ms = now_ms - call.arrived_ms,
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -41,7 +41,7 @@
         };
         ensure_not_poison(relay, call).await?;
         // Nothing has run: a prompt that was to be read apart, and was not, has reached its service all the same.
-        if !relay.may_arrive(call) {
+        if !relay.may_send(call) {
             return Err(refuse_rejected());
         }
         let (sent, guard, is_handed) = make(relay, call, prompt, &maker, kv.as_ref()).await;
@@ -52,7 +52,7 @@
             }
             Sent::Answer(checked) => {
                 // The engine's own failure is worth more to the caller than our refusal.
-                let has_other = call.route.is_repeatable()
+                let has_other = call.route.is_retryable()
                     && placement::maker(relay, call, prompt, &tried, false, maker.urgency).is_ok();
                 if has_other && may_repeat(relay, call) {
                     continue;
@@ -76,7 +76,7 @@
 ) -> Result<(Maker, Option<Handed>), Refusal> {
     match placement::generation(relay, call, prompt, tried)? {
         Placement::Whole(maker) => Ok((maker, None)),
-        Placement::Apart(reader) if !relay.may_read_apart(call) => {
+        Placement::Apart(reader) if !relay.may_prefill_apart(call) => {
             let maker = after(relay, call, prompt, tried, None, reader.urgency)?;
             Ok((maker, None))
         }
@@ -140,7 +140,7 @@
         match sent {
             Sent::Answer(_) | Sent::Lost(_) => handed.taken(),
             Sent::NotRun(StatusCode::SERVICE_UNAVAILABLE)
-                if relay.admit(call).is_ok() && relay.may_arrive(call) =>
+                if relay.check_poison(call).is_ok() && relay.may_send(call) =>
             {
                 // The handle lapsed or could not be fetched. The same engine can still read the
                 // prompt itself.
@@ -157,7 +157,7 @@
         guard.note_prefilled();
         keep_parts(relay, call, prompt, maker, Reading::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
-        if relay.served_lines.take(relay.now_ms()) {
+        if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = maker.id, predicted_ms, took_ms, apart = is_handed,
                 prompt_tokens = prompt.input_tokens, held_tokens,
@@ -192,7 +192,7 @@
         let tokens = f64::from(part.tokens);
         engine.note_cached_part(part.id, tokens, reading, kv_tokens as f64);
         if is_news {
-            relay.reads.borrow_mut().push(PartRead {
+            relay.prefix_news.borrow_mut().push(PartRead {
                 upstream: engine.key,
                 part: part.id,
                 tokens: part.tokens,
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -17,10 +17,10 @@
 const DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Tells others until the process ends.
-pub async fn tell(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
+pub async fn send_periodically(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
     loop {
         actix_rt::time::sleep(Duration::from_millis(PERIOD_MS)).await;
-        for (peer, told) in relay.told_now() {
+        for (peer, told) in relay.due_gossip() {
             match encode(told) {
                 Ok(bytes) => send(&socket, peer, &bytes).await,
                 Err(error) => log::error!(peer:%, error:%; "datagram not written"),
@@ -36,13 +36,13 @@
 }
 
 /// Hears others until the process ends.
-pub async fn hear(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
+pub async fn receive(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
         let received = socket.recv_from(&mut buffer).await;
         match received {
             Ok((length, peer)) => match decode(&buffer[..length]) {
-                Ok(told) => relay.heard(&told, peer),
+                Ok(told) => relay.receive_gossip(&told, peer),
                 Err(error) => log::debug!(peer:%, error:%; "datagram not understood"),
             },
             Err(error) => {
@@ -54,6 +54,6 @@
 }
 
 /// Opens the socket for both.
-pub async fn open(address: SocketAddr) -> io::Result<Rc<UdpSocket>> {
+pub async fn bind(address: SocketAddr) -> io::Result<Rc<UdpSocket>> {
     UdpSocket::bind(address).await.map(Rc::new)
 }
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -124,7 +124,7 @@
 ) -> Response<AnswerBody> {
     let mut response = match duty {
         ListenerKind::Callers => {
-            let busy = Busy::enter(&relay.busy);
+            let busy = Busy::enter(&relay.in_flight);
             let mut response = caller(relay, request).await;
             response.body_mut().counted(busy);
             response
@@ -142,10 +142,10 @@
 }
 
 fn state(relay: &Relay, path: &str) -> Response<AnswerBody> {
-    if path != crate::state::PATH {
+    if path != crate::snapshot::PATH {
         return status(StatusCode::NOT_FOUND);
     }
-    match serde_json::to_vec(&relay.state()) {
+    match serde_json::to_vec(&relay.snapshot()) {
         Ok(body) => whole(body, "application/json"),
         Err(error) => {
             log::error!(error:%; "state not written");
@@ -172,7 +172,7 @@
     let zone = relay
         .dialect
         .parse_caller_zone(request.uri().query().unwrap_or(""));
-    let own = relay.heartbeat_view();
+    let own = relay.own_member();
     let members = relay.members.borrow();
     let reachable = members.reachable();
     let addresses = crate::directory::addresses(reachable, &own, zone.as_deref());
@@ -222,7 +222,7 @@
     let admitted = match admit(&config, &host, parts.uri.path(), asked.key) {
         Ok(admitted) => admitted,
         Err(denied) => {
-            if relay.failed_lines.take(relay.now_ms()) {
+            if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = asked.attempt.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-"),
                     route = denied.route, version = config.version, reason = denied.reason;
--- a/crates/relay/src/audit.rs
+++ b/crates/relay/src/logging.rs
@@ -34,26 +34,26 @@
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
 /// Lines that were left out since the process began, since their reader was too slow.
-pub fn lines_left_out() -> u64 {
+pub fn lines_dropped() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
 
 /// Hands whole lines to a thread of its own.
 ///
 /// A reader of standard output that stops would otherwise stop every request with it.
-pub struct Queue {
+pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
     left_out: Arc<AtomicU64>,
     waiting: Arc<AtomicU64>,
 }
 
-impl Queue {
+impl LogQueue {
     /// A queue, and the end at which its lines are written.
-    pub fn new(most: usize) -> (Self, Drain) {
+    pub fn new(most: usize) -> (Self, LogWriter) {
         let (lines, receiver) = sync_channel(most);
         let left_out = Arc::new(AtomicU64::new(0));
         let waiting = Arc::new(AtomicU64::new(0));
-        let drain = Drain {
+        let drain = LogWriter {
             receiver,
             left_out: Arc::clone(&left_out),
             waiting: Arc::clone(&waiting),
@@ -67,7 +67,7 @@
     }
 }
 
-impl Write for Queue {
+impl Write for LogQueue {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         self.waiting.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line.to_vec()).is_err() {
@@ -84,13 +84,13 @@
 }
 
 /// The end of the queue at which lines are written.
-pub struct Drain {
+pub struct LogWriter {
     receiver: Receiver<Vec<u8>>,
     left_out: Arc<AtomicU64>,
     waiting: Arc<AtomicU64>,
 }
 
-impl Drain {
+impl LogWriter {
     /// Writes lines until the queue is closed or the reader is gone.
     pub fn run(self, mut out: impl Write) {
         while let Ok(line) = self.receiver.recv() {
@@ -116,7 +116,7 @@
 /// Ten times the load must not write ten times the lines: on a quarter of a core that alone
 /// would make answers late. What is left out is counted, and said in the next second.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LogRateLimit {
     kind: &'static str,
     per_s: u32,
     second: Cell<u64>,
@@ -124,7 +124,7 @@
     left_out: Cell<u64>,
 }
 
-impl LineBudget {
+impl LogRateLimit {
     /// A budget of `per_s` lines of a kind.
     pub fn new(kind: &'static str, per_s: u32) -> Self {
         Self {
@@ -142,7 +142,7 @@
     }
 
     /// Lines left out since the start.
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped(&self) -> u64 {
         self.left_out.get()
     }
 
@@ -179,9 +179,9 @@
 }
 
 /// Lines that are not written yet.
-pub struct Waiting(Arc<AtomicU64>);
+pub struct PendingLines(Arc<AtomicU64>);
 
-impl Waiting {
+impl PendingLines {
     /// Waits until all lines are written, for a short time at most.
     ///
     /// The last lines say why a process ended; without this they end with it.
@@ -194,9 +194,9 @@
 }
 
 /// Starts logging; `RUST_LOG` sets the level.
-pub fn start() -> Waiting {
-    let (queue, drain) = Queue::new(QUEUED_LINES);
-    let waiting = Waiting(Arc::clone(&queue.waiting));
+pub fn start() -> PendingLines {
+    let (queue, drain) = LogQueue::new(QUEUED_LINES);
+    let waiting = PendingLines(Arc::clone(&queue.waiting));
     std::thread::spawn(move || drain.run(std::io::stdout()));
     let env = env_logger::Env::default().default_filter_or("info");
     let started = env_logger::Builder::from_env(env)
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -18,27 +18,27 @@
     /// Requests that were not served, by route and reason.
     pub refusals: IntCounterVec,
     /// Prompts by service, where they are read and what of them is held there.
-    pub placed: IntCounterVec,
+    pub prompts_placed: IntCounterVec,
     /// Time until a request first goes to an upstream, by route.
-    pub own_s: HistogramVec,
+    pub time_to_send_s: HistogramVec,
     /// Predicted wait at the upstream that was chosen, by service.
-    pub wait_s: HistogramVec,
+    pub predicted_wait_s: HistogramVec,
     /// Time from a send to the answer's head, by service.
-    pub upstream_s: HistogramVec,
+    pub upstream_head_s: HistogramVec,
     /// Orders to engines, by what came of them.
-    pub orders: IntCounterVec,
+    pub role_orders: IntCounterVec,
     /// Repeats that are left in the window, by service.
-    pub repeats_left: IntGaugeVec,
+    pub retries_left: IntGaugeVec,
     /// Log lines left out since the start, by kind.
-    pub lines_left_out: IntGaugeVec,
+    pub lines_dropped: IntGaugeVec,
     /// Time since the configuration was asked for with success, in ms.
     pub config_age_ms: IntGauge,
     /// Time since the load of the instance that was silent for longest was told, in ms.
     pub load_age_ms: IntGauge,
     /// Upstreams that name a limit.
-    pub limited: IntGauge,
+    pub limited_upstreams: IntGauge,
     /// Repeats asked of the budget.
-    pub repeats: IntCounterVec,
+    pub retries: IntCounterVec,
     /// Time to an answer's head, by route.
     pub head_s: HistogramVec,
     /// Time to read a prompt apart, by service.
@@ -52,11 +52,11 @@
     /// Instances that are known and ready.
     pub instances: IntGauge,
     /// Requests that are refused since upstreams end under them.
-    pub poisonous: IntGauge,
+    pub poison_requests: IntGauge,
     /// Requests whose answers are not out yet.
     pub in_flight: IntGauge,
     /// Calls for the whole fleet, by call and outcome.
-    pub duties: IntCounterVec,
+    pub singleton_calls: IntCounterVec,
     /// Calls to the store, by call and outcome.
     pub store_calls: IntCounterVec,
 }
@@ -96,18 +96,18 @@
         Self {
             answers: counter("answers_total", "Whole answers.", &["route", "in_time"]),
             refusals: counter("refusals_total", "Not served.", &["route", "reason"]),
-            placed: counter("placed_total", "Prompts.", &["service", "read", "held"]),
-            duties: counter("duties_total", "Calls for the fleet.", &["call", "outcome"]),
-            orders: counter("orders_total", "Orders to engines.", &["outcome"]),
-            own_s: histogram("own_seconds", "Time to the first send.", &["route"]),
-            wait_s: histogram("wait_seconds", "Predicted wait.", &["service"]),
-            upstream_s: histogram("upstream_seconds", "Send to head.", &["service"]),
-            repeats_left: gauges("repeats_left", "Repeats left.", &["service"]),
-            lines_left_out: gauges("lines_left_out", "Lines left out.", &["kind"]),
+            prompts_placed: counter("placed_total", "Prompts.", &["service", "read", "held"]),
+            singleton_calls: counter("duties_total", "Calls for the fleet.", &["call", "outcome"]),
+            role_orders: counter("orders_total", "Orders to engines.", &["outcome"]),
+            time_to_send_s: histogram("own_seconds", "Time to the first send.", &["route"]),
+            predicted_wait_s: histogram("wait_seconds", "Predicted wait.", &["service"]),
+            upstream_head_s: histogram("upstream_seconds", "Send to head.", &["service"]),
+            retries_left: gauges("repeats_left", "Repeats left.", &["service"]),
+            lines_dropped: gauges("lines_left_out", "Lines left out.", &["kind"]),
             config_age_ms: gauge("config_age_ms", "Age of the configuration's last read."),
             load_age_ms: gauge("load_age_ms", "Age of the oldest load told."),
             requests: counter("requests_total", "Requests.", &["route", "end"]),
-            repeats: counter(
+            retries: counter(
                 "repeats_total",
                 "Repeats asked of the budget.",
                 &["outcome"],
@@ -115,10 +115,10 @@
             head_s: histogram("head_seconds", "Time to an answer's head.", &["route"]),
             prefill_s: histogram("prefill_seconds", "Time to read a prompt.", &["service"]),
             list_age_ms: gauge("list_age_ms", "Age of the list of upstreams."),
-            limited: gauge("limited_upstreams", "Upstreams that name a limit."),
+            limited_upstreams: gauge("limited_upstreams", "Upstreams that name a limit."),
             upstreams: gauge("upstreams", "Upstreams known."),
             instances: gauge("instances", "Instances ready."),
-            poisonous: gauge(
+            poison_requests: gauge(
                 "poisonous",
                 "Requests refused, as upstreams end under them.",
             ),
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -109,11 +109,11 @@
     let all: Vec<Rc<Upstream>> = upstreams
         .ready(&call.service, now_ms)
         .filter(|each| stages.contains(&each.stage()) && !tried.contains(&each.id))
-        .filter(|each| !each.is_changing_role(now_ms) && relay.has_room(each))
+        .filter(|each| !each.is_changing_role(now_ms) && relay.has_rate_capacity(each))
         .cloned()
         .collect();
     // A probe may meet a failing upstream, so only what can be repeated is spent on it.
-    let may_probe = call.route.is_repeatable();
+    let may_probe = call.route.is_retryable();
     let fit = |each: &&Rc<Upstream>| match each.verdict(now_ms) {
         HealthStatus::Healthy => true,
         HealthStatus::Probe => may_probe,
@@ -187,7 +187,7 @@
         left_ms: call.left_ms(relay.now_ms()) as f64 * LEFT_SHARE,
     });
     if first.total_ms() > latest_ms {
-        if relay.failed_lines.take(relay.now_ms()) {
+        if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), wait_ms = first.wait_ms, own_ms = first.processing_ms, latest_ms,
                 prompt_tokens = prompt.input_tokens, token_ms = relay.learned.pace(&call.service).token_ms();
@@ -212,7 +212,9 @@
         .map_or(tokens, |own| f64::from(own.tokens));
     let read_ms =
         work_tokens(tokens, tokens - own_tokens) * relay.learned.pace(&call.service).token_ms();
-    relay.orders.asked(&call.service, relay.now_ms(), read_ms);
+    relay
+        .role_orders
+        .record_demand(&call.service, relay.now_ms(), read_ms);
 }
 
 /// Counts where a prompt is read, what is held of it there, and the wait that is expected.
@@ -229,10 +231,10 @@
     let service = call.service.as_str();
     let placed = relay
         .metrics
-        .placed
+        .prompts_placed
         .with_label_values(&[service, read, held]);
     placed.inc();
-    let wait = relay.metrics.wait_s.with_label_values(&[service]);
+    let wait = relay.metrics.predicted_wait_s.with_label_values(&[service]);
     wait.observe(first.wait_ms / 1_000.0);
 }
 
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -152,7 +152,7 @@
         call.read_is_accepted();
         keep_parts(relay, call, prompt, reader, Reading::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
-        if relay.served_lines.take(relay.now_ms()) {
+        if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = reader.id, rank, prompt_tokens = prompt.input_tokens, held_tokens,
                 queued_tokens = before, own_ms, read_ms, took_ms,
@@ -189,7 +189,7 @@
 }
 
 fn note_unread(relay: &Relay, call: &Call, reader: &Upstream, why: &str) {
-    if relay.failed_lines.take(relay.now_ms()) {
+    if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, upstream = reader.id, why;
             "prompt not read"
@@ -228,7 +228,7 @@
         reader.note_no_capacity(relay.now_ms());
     }
     if status != StatusCode::OK {
-        if relay.failed_lines.take(relay.now_ms()) {
+        if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = reader.id, status = status.as_u16();
                 "prompt rejected"
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -2,13 +2,13 @@
 
 mod limits;
 mod list;
-mod others;
-mod repeats;
-mod suspects;
+mod peers;
+mod poison;
+mod retries;
 
 pub use list::{ChangesRead, Origin};
-pub(crate) use others::unix_ms;
-pub use suspects::PoisonRecord;
+pub(crate) use peers::unix_ms;
+pub use poison::PoisonRecord;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,14 +20,14 @@
 use view::shared::Shared;
 use view::{Followed, InstanceKey, Members, PartRead, Said, Suspects};
 
-use crate::audit::{LineBudget, lines_left_out};
 use crate::config::{Config, EngineLimits};
 use crate::dialect::Dialect;
-use crate::duties::{self, Duties};
 use crate::learned::Learned;
+use crate::logging::{LogRateLimit, lines_dropped};
 use crate::metrics::Metrics;
-use crate::orders::Orders;
-use crate::state::{Asked, State};
+use crate::role_orders::RoleOrders;
+use crate::singleton_tasks::{self, SingletonTasks};
+use crate::snapshot::{LastQuery, Snapshot};
 use crate::upstreams::Upstreams;
 
 /// Lines in a second on requests that went well: two or three for each at the usual load.
@@ -50,7 +50,7 @@
     /// Where some instances can be asked before any is known.
     pub seeds: Vec<std::net::SocketAddr>,
     /// Bound on repeated sends.
-    pub repeats: RetryBudgetSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// Longest time that callers may keep an answer of the directory, in ms.
     pub addresses_ttl_ms: u64,
     /// Time by which orders of two instances to one engine must be apart, in ms.
@@ -58,7 +58,7 @@
     /// Speed of its link.
     pub link_mbps: u32,
     /// What one instance does for all.
-    pub duties: duties::Terms,
+    pub singleton_tasks: singleton_tasks::TaskSettings,
 }
 
 /// How far a process has come on its way out.
@@ -88,36 +88,36 @@
     /// Instances.
     pub members: RefCell<Members>,
     /// Requests whose answers are not out yet.
-    pub busy: Rc<Cell<usize>>,
+    pub in_flight: Rc<Cell<usize>>,
     /// Prompt parts to be told to other instances.
-    pub(crate) reads: RefCell<Vec<PartRead>>,
+    pub(crate) prefix_news: RefCell<Vec<PartRead>>,
     /// What others told, and what goes on to them.
-    pub(crate) shared: RefCell<Shared>,
+    pub(crate) gossip: RefCell<Shared>,
     /// When other instances were last asked.
-    pub asked: Asked,
+    pub last_query: LastQuery,
     /// Lines on requests that went well.
-    pub served_lines: LineBudget,
+    pub success_log_limit: LogRateLimit,
     /// Lines on requests that did not.
-    pub failed_lines: LineBudget,
+    pub failure_log_limit: LogRateLimit,
     ranks: RefCell<Ranks>,
     ranks_seen: Cell<(u64, u64)>,
     phase: Cell<Phase>,
     beat: Cell<u64>,
     config: RefCell<Option<Rc<Config>>>,
-    repeats: RefCell<HashMap<String, FleetRetryBudget>>,
+    retries: RefCell<HashMap<String, FleetRetryBudget>>,
     /// What answers and requests have taught.
     pub learned: Learned,
     suspects: RefCell<Suspects>,
     /// Orders to engines.
-    pub orders: Orders,
+    pub role_orders: RoleOrders,
     /// What one instance does for all.
-    pub duties: Duties,
+    pub singleton_tasks: SingletonTasks,
     /// How far the list of upstreams was read.
-    pub list: RefCell<Followed>,
+    pub list_position: RefCell<Followed>,
     /// What the list last said.
-    pub(crate) said: RefCell<Said>,
+    pub(crate) last_listed: RefCell<Said>,
     /// How far the configuration was read.
-    pub configs: RefCell<Followed>,
+    pub config_position: RefCell<Followed>,
 }
 
 impl Relay {
@@ -125,8 +125,8 @@
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Rc<Self> {
         let metrics = Metrics::new(&settings.name, &settings.zone);
         let upstreams = Upstreams::new(&settings.zone, clock);
-        let orders = Orders::new(settings.lease_ms);
-        let duties = Duties::new(settings.lease_ms);
+        let orders = RoleOrders::new(settings.lease_ms);
+        let duties = SingletonTasks::new(settings.lease_ms);
         let own = InstanceKey::of(&settings.name);
         Rc::new(Self {
             settings: RefCell::new(settings),
@@ -135,25 +135,25 @@
             metrics,
             upstreams: RefCell::new(upstreams),
             members: RefCell::default(),
-            reads: RefCell::default(),
-            shared: RefCell::default(),
-            asked: Asked::default(),
-            served_lines: LineBudget::new("served", SERVED_LINES),
-            failed_lines: LineBudget::new("failed", FAILED_LINES),
+            prefix_news: RefCell::default(),
+            gossip: RefCell::default(),
+            last_query: LastQuery::default(),
+            success_log_limit: LogRateLimit::new("served", SERVED_LINES),
+            failure_log_limit: LogRateLimit::new("failed", FAILED_LINES),
             ranks: RefCell::default(),
             ranks_seen: Cell::default(),
             phase: Cell::default(),
-            busy: Rc::default(),
+            in_flight: Rc::default(),
             beat: Cell::default(),
             config: RefCell::default(),
-            repeats: RefCell::default(),
+            retries: RefCell::default(),
             learned: Learned::default(),
             suspects: RefCell::default(),
-            orders,
-            duties,
-            list: RefCell::new(Followed::new(own)),
-            said: RefCell::default(),
-            configs: RefCell::new(Followed::new(own)),
+            role_orders: orders,
+            singleton_tasks: duties,
+            list_position: RefCell::new(Followed::new(own)),
+            last_listed: RefCell::default(),
+            config_position: RefCell::new(Followed::new(own)),
         })
     }
 
@@ -174,7 +174,9 @@
             match phase {
                 Phase::Serving => {}
                 Phase::Leaving => log::info!("not handed out any more"),
-                Phase::Closing => log::info!(busy = self.busy.get(); "no new connections any more"),
+                Phase::Closing => {
+                    log::info!(busy = self.in_flight.get(); "no new connections any more")
+                }
             }
         }
     }
@@ -199,14 +201,14 @@
             return false;
         }
         log::info!(
-            version = config.version, routes = config.routes(), keys = config.access.keys(),
+            version = config.version, routes = config.route_count(), keys = config.access.key_count(),
             workspaces = config.access.workspaces().len();
             "configuration taken"
         );
         self.metrics
             .config_version
             .set(config.version.cast_signed());
-        self.duties.learn_names(&config.access);
+        self.singleton_tasks.learn_workspace_names(&config.access);
         *current = Some(Rc::new(config));
         true
     }
@@ -216,36 +218,42 @@
         let metrics = &self.metrics;
         let now_ms = self.now_ms();
         let age = |age_ms: Option<u64>| age_ms.map_or(i64::MAX, u64::cast_signed);
-        let config_age_ms = age_ms(&self.configs.borrow());
+        let config_age_ms = age_ms(&self.config_position.borrow());
         let load_age_ms = self.members.borrow().load_age_ms(now_ms);
         let upstreams = self.upstreams.borrow().len();
         metrics.config_age_ms.set(age(config_age_ms));
         metrics.list_age_ms.set(age(self.list_age_ms()));
         metrics.load_age_ms.set(age(load_age_ms));
         metrics.upstreams.set(upstreams.cast_signed() as i64);
-        metrics.limited.set(self.limited().cast_signed() as i64);
-        metrics.instances.set(self.instances().cast_signed() as i64);
-        metrics.in_flight.set(self.busy.get().cast_signed() as i64);
         metrics
-            .poisonous
-            .set(self.poisonous().len().cast_signed() as i64);
-        let terms = self.settings.borrow().repeats;
+            .limited_upstreams
+            .set(self.limited().cast_signed() as i64);
+        metrics
+            .instances
+            .set(self.instance_count().cast_signed() as i64);
+        metrics
+            .in_flight
+            .set(self.in_flight.get().cast_signed() as i64);
+        metrics
+            .poison_requests
+            .set(self.poison_requests().len().cast_signed() as i64);
+        let terms = self.settings.borrow().retry_budget;
         let share = self.share();
-        for (service, repeats) in self.repeats.borrow_mut().iter_mut() {
+        for (service, repeats) in self.retries.borrow_mut().iter_mut() {
             let left = repeats.remaining(now_ms, &terms, &share);
             metrics
-                .repeats_left
+                .retries_left
                 .with_label_values(&[service])
                 .set(left as i64);
         }
-        let budgets = [&self.served_lines, &self.failed_lines];
-        let left_out = budgets.map(|budget| (budget.kind(), budget.left_out()));
+        let budgets = [&self.success_log_limit, &self.failure_log_limit];
+        let left_out = budgets.map(|budget| (budget.kind(), budget.dropped()));
         for (kind, lines) in left_out
             .into_iter()
-            .chain([("slow_reader", lines_left_out())])
+            .chain([("slow_reader", lines_dropped())])
         {
             metrics
-                .lines_left_out
+                .lines_dropped
                 .with_label_values(&[kind])
                 .set(lines.cast_signed());
         }
@@ -253,17 +261,17 @@
     }
 
     /// What this instance knows, for another one.
-    pub fn state(&self) -> State {
-        State {
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
             config: self.config().map(|config| (&*config).into()),
             upstreams: self.upstreams.borrow().entries(self.now_ms()),
-            doubted: self.upstreams.borrow().doubts(self.now_ms()),
-            list_age_ms: known_age_ms(&self.list.borrow()),
-            list_next: self.list.borrow().held(),
-            config_age_ms: known_age_ms(&self.configs.borrow()),
-            config_next: self.configs.borrow().held(),
+            unconfirmed: self.upstreams.borrow().unconfirmed_entries(self.now_ms()),
+            list_age_ms: known_age_ms(&self.list_position.borrow()),
+            list_next: self.list_position.borrow().held(),
+            config_age_ms: known_age_ms(&self.config_position.borrow()),
+            config_next: self.config_position.borrow().held(),
             members: self.members.borrow().all(),
-            poisonous: self.poisonous(),
+            poisonous: self.poison_requests(),
         }
     }
 
@@ -277,7 +285,7 @@
     }
 
     /// Instances that serve now, among which connections are split.
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.members.borrow().count()
     }
 }
--- a/crates/relay/src/relay/limits.rs
+++ b/crates/relay/src/relay/limits.rs
@@ -18,14 +18,14 @@
     }
 
     /// An answer of an upstream named a limit, or none.
-    pub fn named_limit(&self, upstream: &Upstream, per_s: Option<f64>) {
-        let day_ms = self.duties.fleet_ms();
+    pub fn record_rate_limit(&self, upstream: &Upstream, per_s: Option<f64>) {
+        let day_ms = self.singleton_tasks.fleet_ms();
         let learned = upstream.limit().observe(self.now_ms(), day_ms, per_s);
         if learned.is_changed {
             note_changed(upstream, per_s, "answer");
         }
         if let Some(at_ms) = learned.gossip_as_of_ms {
-            self.shared.borrow_mut().add_limit(LimitTold {
+            self.gossip.borrow_mut().add_limit(LimitTold {
                 upstream: upstream.key,
                 per_s,
                 at_ms,
@@ -50,12 +50,12 @@
             if before != word.per_s {
                 note_changed(upstream, word.per_s, "another instance");
             }
-            self.shared.borrow_mut().pass_on_limit(*word, told.kind);
+            self.gossip.borrow_mut().pass_on_limit(*word, told.kind);
         }
     }
 
     /// Whether a request may go to an upstream now, within the limit that it names.
-    pub fn has_room(&self, upstream: &Upstream) -> bool {
+    pub fn has_rate_capacity(&self, upstream: &Upstream) -> bool {
         let now_ms = self.now_ms();
         let part_per_s = self.part_per_s(now_ms, upstream);
         part_per_s.is_none_or(|part| upstream.limit().has_room(now_ms, part))
@@ -64,7 +64,7 @@
     /// Takes the place of one request at an upstream, within the limit that it names.
     ///
     /// Whatever is sent for a caller passes here, first or again, to be read or to be run: an upstream counts them alike.
-    pub fn take_room(&self, upstream: &Upstream) -> bool {
+    pub fn take_rate_capacity(&self, upstream: &Upstream) -> bool {
         let now_ms = self.now_ms();
         let part_per_s = self.part_per_s(now_ms, upstream);
         part_per_s.is_none_or(|part| upstream.limit().take(now_ms, part))
--- a/crates/relay/src/relay/list.rs
+++ b/crates/relay/src/relay/list.rs
@@ -9,7 +9,7 @@
 
 use super::{Relay, age_ms};
 use crate::upstream::Upstream;
-use crate::upstreams::{Doubt, Effect};
+use crate::upstreams::{Effect, Unconfirmed};
 
 /// Where a change of the list of upstreams came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,18 +41,18 @@
     /// Time for which a change of the list of upstreams may have gone unnoticed; nothing if the list
     /// was never read.
     pub fn list_age_ms(&self) -> Option<u64> {
-        age_ms(&self.list.borrow())
+        age_ms(&self.list_position.borrow())
     }
 
     /// Takes in a change of the list of upstreams.
-    pub fn apply(&self, change: Change, origin: Origin) {
+    pub fn apply_change(&self, change: Change, origin: Origin) {
         let id = changed_id(&change);
         let effect = self.upstreams.borrow_mut().apply(self.now_ms(), change);
         self.note_effect(&id, effect, origin);
     }
 
     /// Takes in the whole list of upstreams.
-    pub fn replace(&self, entries: Vec<Entry>, origin: Origin) {
+    pub fn replace_list(&self, entries: Vec<Entry>, origin: Origin) {
         let effects = self.upstreams.borrow_mut().replace(self.now_ms(), entries);
         for (id, effect) in effects {
             self.note_effect(&id, effect, origin);
@@ -60,29 +60,31 @@
     }
 
     /// Takes over what another instance doubts of the list that it told.
-    pub fn doubt(&self, doubts: &[Doubt]) {
-        self.upstreams.borrow_mut().doubt(self.now_ms(), doubts);
+    pub fn mark_unconfirmed(&self, doubts: &[Unconfirmed]) {
+        self.upstreams
+            .borrow_mut()
+            .mark_unconfirmed(self.now_ms(), doubts);
     }
 
     /// Another instance told a change, which counts if nothing before it was missed.
     pub(super) fn take_change(&self, now_ms: u64, news: &News) {
-        if !self.list.borrow_mut().heard_news(news) {
+        if !self.list_position.borrow_mut().heard_news(news) {
             return;
         }
-        self.said.borrow_mut().is_news(&news.change);
+        self.last_listed.borrow_mut().is_news(&news.change);
         let (change, doubt_ms) = (news.change.clone(), news.doubt_ms.into());
         let id = changed_id(&change);
         let effect = self
             .upstreams
             .borrow_mut()
-            .apply_told(now_ms, change, doubt_ms);
+            .apply_from_peer(now_ms, change, doubt_ms);
         self.note_effect(&id, effect, Origin::Told);
-        self.shared.borrow_mut().add_news(now_ms, news.clone());
+        self.gossip.borrow_mut().add_news(now_ms, news.clone());
     }
 
     /// Another instance told where the list stands.
     pub(super) fn take_mark(&self, since_boot_ms: u64, mark: &Mark) {
-        let mut list = self.list.borrow_mut();
+        let mut list = self.list_position.borrow_mut();
         let was_sure = list.is_sure();
         list.heard(since_boot_ms, mark);
         if !was_sure && list.is_sure() {
@@ -98,10 +100,10 @@
     ///
     /// While others vouch for it, the store is there and only turns this instance away: nothing can have
     /// lapsed with it, and doubting that entries have left would keep leaving upstreams in use.
-    pub fn could_not_read_list(&self, bounds: &Bounds) {
+    pub fn list_read_failed(&self, bounds: &Bounds) {
         let most_ms = bounds.list_age_ms(Duty::Other);
         if self.list_age_ms().is_none_or(|age_ms| age_ms >= most_ms) {
-            self.upstreams.borrow_mut().unreachable(self.now_ms());
+            self.upstreams.borrow_mut().store_unreachable(self.now_ms());
         }
     }
 
@@ -109,29 +111,33 @@
     ///
     /// An upstream that came lately is missing in the copy though it lives. Dropped at once, it would be out of
     /// use until its next heartbeat.
-    pub fn list_lacks_the_latest(&self) {
-        self.upstreams.borrow_mut().unreachable(self.now_ms());
+    pub fn list_rolled_back(&self) {
+        self.upstreams.borrow_mut().store_unreachable(self.now_ms());
     }
 
     /// The whole list was read, as it stood at `as_of_ms` up to the offset `next`.
     ///
     /// Another instance may have told more while the answer was on its way. The entries in it are older
     /// then, and would bring back an upstream whose entry went; the record that says so would not be read again.
-    pub fn read_whole_list(&self, as_of_ms: u64, next: u64, entries: Vec<Entry>) {
-        let is_older = self.list.borrow().next().is_some_and(|own| own >= next);
+    pub fn take_whole_list(&self, as_of_ms: u64, next: u64, entries: Vec<Entry>) {
+        let is_older = self
+            .list_position
+            .borrow()
+            .next()
+            .is_some_and(|own| own >= next);
         if is_older {
             return;
         }
-        self.said.borrow_mut().replace(&entries);
-        self.replace(entries, Origin::Whole);
-        self.list.borrow_mut().read_whole(as_of_ms, next);
+        self.last_listed.borrow_mut().replace(&entries);
+        self.replace_list(entries, Origin::Whole);
+        self.list_position.borrow_mut().read_whole(as_of_ms, next);
     }
 
     /// Records of the list were read, as it stood at `as_of_ms`. What another instance told while they were on
     /// their way is passed over, as with the whole list.
-    pub fn read_changes(&self, as_of_ms: u64, read: ChangesRead) {
+    pub fn take_changes(&self, as_of_ms: u64, read: ChangesRead) {
         let (from, mut before) = {
-            let list = self.list.borrow();
+            let list = self.list_position.borrow();
             (list.next().unwrap_or_default(), list.taken())
         };
         let mut changed = None;
@@ -148,15 +154,17 @@
         if read.next < read.end {
             changed = Some(read.end);
         }
-        self.list.borrow_mut().read(as_of_ms, read.next, changed);
+        self.list_position
+            .borrow_mut()
+            .read(as_of_ms, read.next, changed);
     }
 
     /// Takes in a change that was read at an offset, `before` being the one after the last change before it;
     /// gives the offset after it if it says something new.
     fn read_change(&self, before: u64, offset: u64, change: Change) -> Option<u64> {
-        let is_news = self.said.borrow_mut().is_news(&change);
-        let doubt_ms = self.upstreams.borrow().doubt_ms(self.now_ms());
-        self.apply(change.clone(), Origin::Read);
+        let is_news = self.last_listed.borrow_mut().is_news(&change);
+        let doubt_ms = self.upstreams.borrow().may_have_lapsed_ms(self.now_ms());
+        self.apply_change(change.clone(), Origin::Read);
         let after = offset + 1;
         let news = News {
             before,
@@ -165,22 +173,22 @@
             doubt_ms: doubt_ms as u32,
         };
         is_news.then(|| {
-            self.shared.borrow_mut().add_news(self.now_ms(), news);
+            self.gossip.borrow_mut().add_news(self.now_ms(), news);
             after
         })
     }
 
     /// Drops what lapsed from the list and did not come back.
-    pub fn settle(&self) {
-        let left = self.upstreams.borrow_mut().settle(self.now_ms());
+    pub fn remove_lapsed(&self) {
+        let left = self.upstreams.borrow_mut().remove_lapsed(self.now_ms());
         for id in left {
             self.note_effect(&id, Effect::Left, Origin::Lapse);
         }
     }
 
     /// Another incarnation answered at an upstream's address, so the one known is gone.
-    pub fn found_gone(&self, upstream: &Upstream) {
-        self.upstreams.borrow_mut().found_gone(&upstream.id);
+    pub fn remove_replaced(&self, upstream: &Upstream) {
+        self.upstreams.borrow_mut().remove_replaced(&upstream.id);
         self.note_left(&upstream.id);
         log::info!(upstream = upstream.id; "upstream replaced by another incarnation");
     }
@@ -188,11 +196,11 @@
     /// Writes a line on what became of an upstream, and forgets what rested on one that ended.
     fn note_effect(&self, id: &str, effect: Effect, origin: Origin) {
         let what = match effect {
-            Effect::Same => return,
+            Effect::Unchanged => return,
             Effect::Joined => "upstream joined",
             Effect::Changed => "upstream changed",
             Effect::Left => "upstream left",
-            Effect::Doubted => "upstream's entry lapsed with the store",
+            Effect::Unconfirmed => "upstream's entry lapsed with the store",
         };
         self.line_on_upstream(id, what, origin);
         // One that joins may do so under the id of one that has ended, if it was kept through a restart.
@@ -206,7 +214,7 @@
     fn line_on_upstream(&self, id: &str, what: &str, origin: Origin) {
         let upstreams = self.upstreams.borrow();
         let entry = upstreams.get(id).map(|upstream| upstream.entry());
-        let list = self.list.borrow();
+        let list = self.list_position.borrow();
         log::info!(
             upstream = id, origin:? = origin,
             standing:? = entry.as_ref().map(|entry| entry.standing),
--- a/crates/relay/src/relay/others.rs
+++ b/crates/relay/src/relay/peers.rs
@@ -11,7 +11,7 @@
 use view::{Followed, InstanceKey, Member, Told};
 
 use super::Relay;
-use crate::{duties, orders};
+use crate::{role_orders, singleton_tasks};
 
 /// Time after which the order of instances is looked at again without a new record, in ms: a fraction of
 /// the time in which one counts as silent.
@@ -19,7 +19,7 @@
 
 impl Relay {
     /// How this instance follows the store's logs.
-    pub fn duty(&self) -> Duty {
+    pub fn reader_role(&self) -> Duty {
         // One that knows nobody yet has read everything itself just now, and soon hears from others.
         if !self.members.borrow().is_known() {
             return Duty::Other;
@@ -48,9 +48,9 @@
         let before = self.members.borrow().beat_of(&own).unwrap_or_default();
         let beat = unix_ms().max(before + 1).max(self.beat.get() + 1);
         self.beat.set(beat);
-        let member = self.heartbeat_view();
+        let member = self.own_member();
         let now_ms = self.now_ms();
-        self.shared.borrow_mut().joined(now_ms, member.clone());
+        self.gossip.borrow_mut().joined(now_ms, member.clone());
         member
     }
 
@@ -58,7 +58,7 @@
     ///
     /// It does not count as knowing the instances: one that has read nobody else's yet would take itself
     /// for the only one.
-    pub fn wrote(&self, member: Member) {
+    pub fn heartbeat_stored(&self, member: Member) {
         let mut members = self.members.borrow_mut();
         if members.is_known() {
             members.heard(self.now_ms(), member);
@@ -66,7 +66,7 @@
     }
 
     /// What the instance would say of itself now.
-    pub fn heartbeat_view(&self) -> Member {
+    pub fn own_member(&self) -> Member {
         let settings = self.settings.borrow();
         Member {
             name: settings.name.clone(),
@@ -80,11 +80,11 @@
     }
 
     /// What other instances are to be told now, and where they are.
-    pub fn told_now(&self) -> Vec<(SocketAddr, Told)> {
+    pub fn due_gossip(&self) -> Vec<(SocketAddr, Told)> {
         let now_ms = self.now_ms();
-        let expired = self.shared.borrow_mut().expire(now_ms);
+        let expired = self.gossip.borrow_mut().expire(now_ms);
         self.take_loads(&expired);
-        self.settle();
+        self.remove_lapsed();
         self.note_poisonous();
         let own = self.own();
         let key = InstanceKey::of(&own.member.name);
@@ -93,10 +93,10 @@
         }
         self.look_at_ranks();
         let ranks = self.ranks.borrow();
-        let mut out = self.shared.borrow_mut().tick(now_ms, own, &ranks);
-        let keepers = ranks.hubs.iter().take(duties::KEEPERS);
+        let mut out = self.gossip.borrow_mut().tick(now_ms, own, &ranks);
+        let keepers = ranks.hubs.iter().take(singleton_tasks::LEADER_CANDIDATES);
         let keepers: Vec<SocketAddr> = keepers.filter_map(|keeper| keeper.peer).collect();
-        self.duties.tell(now_ms, &mut out, &keepers);
+        self.singleton_tasks.add_tallies(now_ms, &mut out, &keepers);
         out
     }
 
@@ -109,39 +109,40 @@
     fn own(&self) -> Own {
         let now_ms = self.now_ms();
         let since_boot_ms = since_boot_ms();
-        let duty = self.duty();
+        let duty = self.reader_role();
         let reads_for_others = duty.is_reader();
         let upstreams = self.upstreams.borrow();
         let mark = |log: &RefCell<Followed>| log.borrow().mark(since_boot_ms, reads_for_others);
         Own {
-            member: self.heartbeat_view(),
+            member: self.own_member(),
             loads: upstreams.iter().filter_map(|it| it.outstanding()).collect(),
-            reads: self.reads.take(),
+            reads: self.prefix_news.take(),
             turning: upstreams
                 .iter()
                 .filter_map(|each| each.own_role_change(now_ms))
                 .collect(),
-            demand: self.orders.demand(now_ms),
-            gives_after: orders::gives_after(self, duty),
-            holds_after: duties::holds_after(self),
+            demand: self.role_orders.demand(now_ms),
+            gives_after: role_orders::leader_fence(self, duty),
+            holds_after: singleton_tasks::leader_fence(self),
             clock_ms: unix_ms(),
-            fleet_ms: self.duties.fleet_ms(),
-            list: mark(&self.list),
-            config: mark(&self.configs),
-            poisonous: self.poisonous(),
+            fleet_ms: self.singleton_tasks.fleet_ms(),
+            list: mark(&self.list_position),
+            config: mark(&self.config_position),
+            poisonous: self.poison_requests(),
         }
     }
 
     /// Another instance told something.
-    pub fn heard(&self, told: &Told, peer: SocketAddr) {
+    pub fn receive_gossip(&self, told: &Told, peer: SocketAddr) {
         let now_ms = self.now_ms();
         self.take_members(now_ms, told);
-        let heard = self.shared.borrow_mut().heard(now_ms, told, peer);
+        let heard = self.gossip.borrow_mut().heard(now_ms, told, peer);
         self.take_loads(&heard);
         self.take_news(now_ms, told);
         self.take_fates(now_ms, told);
         self.take_limits(now_ms, told);
-        self.duties.heard(self.settings.borrow().duties, told);
+        self.singleton_tasks
+            .receive_gossip(self.settings.borrow().singleton_tasks, told);
         let upstreams = self.upstreams.borrow();
         for turning in &told.turning {
             if let Some(upstream) = upstreams.get_by_key(turning.upstream) {
@@ -161,7 +162,7 @@
         let mut members = self.members.borrow_mut();
         for member in &told.members {
             if members.heard_from_another(now_ms, member) {
-                self.shared.borrow_mut().joined(now_ms, member.clone());
+                self.gossip.borrow_mut().joined(now_ms, member.clone());
             }
         }
         for key in &told.alive {
@@ -170,7 +171,7 @@
     }
 
     fn take_loads(&self, heard: &Heard) {
-        let shared = self.shared.borrow();
+        let shared = self.gossip.borrow();
         let upstreams = self.upstreams.borrow();
         if !shared.hears() {
             upstreams.iter().for_each(|each| each.set_peer_load(None));
@@ -194,7 +195,7 @@
             self.take_mark(since_boot_ms, mark);
         }
         if let Some(mark) = &told.config {
-            self.configs.borrow_mut().heard(since_boot_ms, mark);
+            self.config_position.borrow_mut().heard(since_boot_ms, mark);
         }
     }
 }
--- a/crates/relay/src/relay/suspects.rs
+++ b/crates/relay/src/relay/poison.rs
@@ -5,7 +5,7 @@
 use view::{Fate, RequestKey, Told};
 
 use super::Relay;
-use super::others::unix_ms;
+use super::peers::unix_ms;
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 
@@ -20,7 +20,7 @@
 
 impl Relay {
     /// Whether it is being found out if one more upstream has ended under a request that has met one end.
-    pub fn is_deciding(&self, call: &Call) -> bool {
+    pub fn is_attribution_pending(&self, call: &Call) -> bool {
         let deciding = self.suspects.borrow().deciding(call.key);
         let upstreams = self.upstreams.borrow();
         let known = deciding.iter().filter_map(|key| upstreams.get_by_key(*key));
@@ -30,7 +30,7 @@
     }
 
     /// Refuses a request under which upstreams end, as far as is known now; see [`crate::attribution::ensure_not_poison`].
-    pub fn admit(&self, call: &Call) -> Result<(), Refusal> {
+    pub fn check_poison(&self, call: &Call) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
         if !suspects.is_poisonous(now_ms, call.key) {
@@ -41,36 +41,36 @@
     }
 
     /// Something was seen that tells whether a request or its upstream is to blame.
-    pub fn saw(&self, fate: Fate) {
+    pub fn record_attribution(&self, fate: Fate) {
         let now_ms = self.now_ms();
         if self.suspects.borrow_mut().saw(now_ms, fate) {
-            self.shared.borrow_mut().add_fate(fate);
+            self.gossip.borrow_mut().add_fate(fate);
         }
     }
 
     /// An incarnation of an upstream is no longer used.
     pub(super) fn note_left(&self, id: &str) {
-        let left = self.upstreams.borrow().last_left(id);
+        let left = self.upstreams.borrow().last_removed(id);
         if let Some(upstream) = left {
             self.suspects.borrow_mut().left(self.now_ms(), upstream);
         }
     }
 
     /// A request was answered whole by an upstream.
-    pub fn answered(&self, call: &Call) {
+    pub fn record_answered(&self, call: &Call) {
         let is_suspected = self.suspects.borrow().is_suspected(call.key);
         if is_suspected {
-            self.saw(Fate::Answered(call.key));
+            self.record_attribution(Fate::Answered(call.key));
         }
     }
 
     /// The requests under which upstreams end, those that came last.
-    pub fn poisonous(&self) -> Vec<RequestKey> {
+    pub fn poison_requests(&self) -> Vec<RequestKey> {
         self.suspects.borrow().poisonous(self.now_ms())
     }
 
     /// Another instance, or the store, says that upstreams end under these requests.
-    pub fn told_poisonous(&self, requests: &[RequestKey]) {
+    pub fn learn_poison_requests(&self, requests: &[RequestKey]) {
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
         for request in requests {
@@ -79,13 +79,13 @@
     }
 
     /// Requests that were found out here and of which the store does not know yet.
-    pub fn poisonous_unkept(&self) -> Vec<RequestKey> {
+    pub fn unsaved_poison_requests(&self) -> Vec<RequestKey> {
         self.suspects.borrow().unkept(self.now_ms())
     }
 
     /// Whether there are other instances, and none of them says what it knows.
-    pub fn hears_nobody(&self) -> bool {
-        !self.shared.borrow().hears() && self.instances() > 1
+    pub fn hears_no_peer(&self) -> bool {
+        !self.gossip.borrow().hears() && self.instance_count() > 1
     }
 
     /// What the store is told of such a request.
@@ -96,20 +96,20 @@
     }
 
     /// The store says that upstreams ended under a request.
-    pub fn take_poison_record(&self, request: RequestKey, record: PoisonRecord) {
+    pub fn load_poison_record(&self, request: RequestKey, record: PoisonRecord) {
         if unix_ms() < record.found_unix_ms.saturating_add(REMEMBERED_MS) {
-            self.told_poisonous(&[request]);
-            self.kept_poisonous(request);
+            self.learn_poison_requests(&[request]);
+            self.poison_request_saved(request);
         }
     }
 
     /// The store may have lost what it knew, and is to be told again.
-    pub fn poisonous_may_be_lost(&self) {
+    pub fn poison_records_may_be_lost(&self) {
         self.suspects.borrow_mut().may_be_lost();
     }
 
     /// The store knows of such a request.
-    pub fn kept_poisonous(&self, request: RequestKey) {
+    pub fn poison_request_saved(&self, request: RequestKey) {
         self.suspects.borrow_mut().kept(request);
     }
 
@@ -125,7 +125,7 @@
         let mut suspects = self.suspects.borrow_mut();
         for fate in &told.fates {
             if suspects.heard(now_ms, *fate) {
-                self.shared.borrow_mut().pass_on_fate(*fate, told.kind);
+                self.gossip.borrow_mut().pass_on_fate(*fate, told.kind);
             }
         }
         for request in &told.poisonous {
--- a/crates/relay/src/relay/repeats.rs
+++ b/crates/relay/src/relay/retries.rs
@@ -7,27 +7,27 @@
 
 impl Relay {
     /// Counts a first send to a service.
-    pub fn sent_first(&self, service: &str) {
-        let terms = self.settings.borrow().repeats;
-        let mut all = self.repeats.borrow_mut();
+    pub fn count_first_send(&self, service: &str) {
+        let terms = self.settings.borrow().retry_budget;
+        let mut all = self.retries.borrow_mut();
         let repeats = all.entry(service.to_owned()).or_default();
         repeats.record_first_send(self.now_ms(), &terms);
     }
 
     /// Takes one repeat from the budget of a service.
-    pub fn may_repeat(&self, service: &str) -> bool {
+    pub fn take_retry(&self, service: &str) -> bool {
         // An instance that has just started does not know among how many the budget is split;
         // were all to take it whole, a restart of many during a failure would break the bound.
         if !self.members.borrow().is_known() {
             return false;
         }
-        let terms = self.settings.borrow().repeats;
+        let terms = self.settings.borrow().retry_budget;
         let share = self.share();
-        let mut all = self.repeats.borrow_mut();
+        let mut all = self.retries.borrow_mut();
         let repeats = all.entry(service.to_owned()).or_default();
         let may = repeats.try_retry(self.now_ms(), &terms, &share);
         let labels = [outcome_of(may)];
-        self.metrics.repeats.with_label_values(&labels).inc();
+        self.metrics.retries.with_label_values(&labels).inc();
         may
     }
 
@@ -45,14 +45,14 @@
     /// Asked before each send. What became of the one before counts, whether or not it was meant to be a repeat: a
     /// prompt that its reader rejects is one more arrival, and engines that reject all prompts would get
     /// every request twice.
-    pub fn may_arrive(&self, call: &Call) -> bool {
+    pub fn may_send(&self, call: &Call) -> bool {
         self.may_arrive_times(call, 1)
     }
 
     /// Whether a request may have its prompt read apart and then reach its service for its output.
     ///
     /// Only the first read is free, so one that follows takes a repeat beside that of the output.
-    pub fn may_read_apart(&self, call: &Call) -> bool {
+    pub fn may_prefill_apart(&self, call: &Call) -> bool {
         !call.prefill_accepted.get() || self.may_arrive_times(call, 2)
     }
 
@@ -65,7 +65,7 @@
         if arrivals < call.allowed_arrivals.get() {
             return true;
         }
-        let may = self.may_repeat(&call.service);
+        let may = self.take_retry(&call.service);
         call.allowed_arrivals
             .set(call.allowed_arrivals.get() + u32::from(may));
         self.note_repeat(call, may);
@@ -74,11 +74,11 @@
 
     fn note_repeat(&self, call: &Call, may: bool) {
         let now_ms = self.now_ms();
-        if !self.failed_lines.take(now_ms) {
+        if !self.failure_log_limit.take(now_ms) {
             return;
         }
-        let terms = self.settings.borrow().repeats;
-        let mut all = self.repeats.borrow_mut();
+        let terms = self.settings.borrow().retry_budget;
+        let mut all = self.retries.borrow_mut();
         let repeats = all.entry(call.service.clone()).or_default();
         let (first, again) = repeats.counts(now_ms, &terms);
         log::info!(
--- a/crates/relay/src/orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -5,7 +5,7 @@
 //! the same change at once: what makes an order safe is `lease::Turns`, whoever believes to be the one.
 //! Without any of them requests are served as before. See docs/design/orders.md.
 
-mod giving;
+mod sending;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,10 +24,10 @@
 use crate::relay::Relay;
 use crate::upstream::{Stage, Upstream};
 
-pub use giving::{begin, give};
+pub use sending::{order_logged, send_order};
 
 /// Time between two looks at the split, in ms.
-pub const LOOK_MS: u64 = 250;
+pub const CHECK_INTERVAL_MS: u64 = 250;
 
 /// Time for which traffic must have been seen before anything is ordered, in ms: some dozens of
 /// requests an instance at the usual load.
@@ -43,7 +43,7 @@
 
 /// Time between two looks of a reader that gives no orders at whether another one does, in ms: less than
 /// the quiet time that it would else have to wait before its first.
-pub const WATCH_MS: u64 = 6_000;
+pub const STANDBY_READ_INTERVAL_MS: u64 = 6_000;
 
 /// Age from which an upstream may be ordered, in ms; one that is newly back may go again.
 const SETTLED_MS: u64 = 1_000;
@@ -54,7 +54,7 @@
 
 /// An order as it stands in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderRecord {
+pub struct RoleOrderRecord {
     /// Life of the process that may send it.
     pub holder: u64,
     /// Name of its instance, for people.
@@ -67,19 +67,19 @@
 
 /// An order as an engine gets it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order<'a> {
+pub struct RoleOrder<'a> {
     /// Instance that gives it.
     pub holder: &'a str,
     /// Fencing token.
     pub fence: u64,
     /// Orders that the engine must have taken before; another number makes it refuse.
-    pub after: u64,
+    pub orders_before: u64,
     /// Whether it is to read prompts, or to make output.
-    pub reads: bool,
+    pub is_prefill: bool,
 }
 
 /// A change that is wished for.
-pub struct Wish {
+pub struct PlannedChange {
     /// The engine.
     pub engine: Rc<Upstream>,
     /// What it is to do.
@@ -101,7 +101,7 @@
 }
 
 /// Orders of one instance.
-pub struct Orders {
+pub struct RoleOrders {
     turns: RefCell<Turns>,
     asked: RefCell<HashMap<String, Asked>>,
     given: RefCell<HashMap<String, u64>>,
@@ -110,7 +110,7 @@
     lost_store: Cell<bool>,
 }
 
-impl Orders {
+impl RoleOrders {
     /// An instance that has given none, where holders must be `lease_ms` apart.
     pub fn new(lease_ms: u64) -> Self {
         Self {
@@ -127,7 +127,7 @@
     }
 
     /// A call to the store was answered, or was not.
-    pub fn called_store(&self, was_answered: bool) {
+    pub fn record_store_call(&self, was_answered: bool) {
         self.lost_store.set(!was_answered);
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// A generation was asked for that takes an engine `read_ms` to read, served or not.
-    pub fn asked(&self, service: &str, now_ms: u64, read_ms: f64) {
+    pub fn record_demand(&self, service: &str, now_ms: u64, read_ms: f64) {
         let mut all = self.asked.borrow_mut();
         if !all.contains_key(service) {
             all.insert(service.to_owned(), Asked::default());
@@ -163,26 +163,26 @@
 
 /// Fencing token of the last order that this instance gave, if it may give the next: it is a hub, so that
 /// it hears what all are asked, and has not lost the store.
-pub fn gives_after(relay: &Relay, duty: Duty) -> Option<u64> {
+pub fn leader_fence(relay: &Relay, duty: Duty) -> Option<u64> {
     let is_alone = !relay.members.borrow().is_known();
     let hears_all = duty <= Duty::Hub || is_alone;
-    let may = relay.is_ready() && hears_all && !relay.orders.lost_store.get();
-    may.then(|| relay.orders.last_fence.get())
+    let may = relay.is_ready() && hears_all && !relay.role_orders.lost_store.get();
+    may.then(|| relay.role_orders.last_fence.get())
 }
 
 /// Whether this instance gives the orders now: the one that gave the last, so that no time passes in
 /// which two must be apart, or else the first by key.
 fn is_giver(relay: &Relay) -> bool {
-    let Some(fence) = gives_after(relay, relay.duty()) else {
+    let Some(fence) = leader_fence(relay, relay.reader_role()) else {
         return false;
     };
     let own = InstanceKey::of(&relay.settings.borrow().name);
-    goes_first((own, fence), relay.shared.borrow().givers())
+    has_precedence((own, fence), relay.gossip.borrow().givers())
 }
 
 /// Whether one instance goes before the others, each with the token of what it did last: the one that acted last, or
 /// else the first by key.
-pub fn goes_first(
+pub fn has_precedence(
     (own, fence): (InstanceKey, u64),
     mut others: impl Iterator<Item = (InstanceKey, u64)>,
 ) -> bool {
@@ -192,13 +192,13 @@
 }
 
 /// Measures what is asked, and gives the changes that this instance should order now.
-pub fn look(relay: &Relay) -> Vec<Rc<Wish>> {
+pub fn plan_changes(relay: &Relay) -> Vec<Rc<PlannedChange>> {
     let now_ms = relay.now_ms();
-    let orders = &relay.orders;
+    let orders = &relay.role_orders;
     let looked_ms = orders.looked_ms.replace(now_ms);
-    let passed_ms = now_ms.saturating_sub(looked_ms).min(LOOK_MS);
+    let passed_ms = now_ms.saturating_sub(looked_ms).min(CHECK_INTERVAL_MS);
     let is_giver = is_giver(relay);
-    let others = relay.shared.borrow().demand();
+    let others = relay.gossip.borrow().demand();
     let mut all = orders.asked.borrow_mut();
     let mut wishes = Vec::new();
     for (service, asked) in all.iter_mut() {
@@ -250,7 +250,7 @@
     asked: &mut Asked,
     engines: &[Rc<Upstream>],
     demand: &Demand,
-) -> Vec<Rc<Wish>> {
+) -> Vec<Rc<PlannedChange>> {
     let now_ms = relay.now_ms();
     let away = |each: &&Rc<Upstream>| each.is_changing_role(now_ms);
     let reads = |each: &&Rc<Upstream>| each.target_stage(now_ms) == Stage::Prefill;
@@ -270,7 +270,7 @@
     let count = most.min(max_changes_at_once(turn, demand, &split));
     let chosen = chosen(relay, engines, stage, count);
     let wish = |engine| {
-        Rc::new(Wish {
+        Rc::new(PlannedChange {
             engine,
             stage,
             service: service.to_owned(),
@@ -291,7 +291,7 @@
     count: usize,
 ) -> Vec<Rc<Upstream>> {
     let now_ms = relay.now_ms();
-    let given = relay.orders.given.borrow();
+    let given = relay.role_orders.given.borrow();
     let rests = |each: &Upstream| {
         let at_ms = given.get(&each.id);
         at_ms.is_some_and(|at_ms| now_ms < at_ms + REST_MS)
@@ -325,9 +325,9 @@
 }
 
 /// The record of an order that is wished for.
-pub fn record(relay: &Relay, wish: &Wish) -> OrderRecord {
-    OrderRecord {
-        holder: relay.orders.turns.borrow().holder(),
+pub fn order_record(relay: &Relay, wish: &PlannedChange) -> RoleOrderRecord {
+    RoleOrderRecord {
+        holder: relay.role_orders.turns.borrow().holder(),
         instance: relay.settings.borrow().name.clone(),
         engine: wish.engine.id.clone(),
         stage: wish.stage,
--- a/crates/relay/src/orders/giving.rs
+++ b/crates/relay/src/role_orders/sending.rs
@@ -8,7 +8,7 @@
 use lease::Ticket;
 use tick::since_boot_ms;
 
-use super::{Order, Wish};
+use super::{PlannedChange, RoleOrder};
 use crate::dialect::EngineReport;
 use crate::pool::call_on_new_connection;
 use crate::relay::Relay;
@@ -27,16 +27,16 @@
 const TURNING_MS: u64 = 12_000;
 
 /// Notes that an order stands in the log, before it is given.
-pub fn begin(relay: &Relay, wish: &Wish, ticket: Ticket) {
+pub fn order_logged(relay: &Relay, wish: &PlannedChange, ticket: Ticket) {
     let engine = &wish.engine;
     let now_ms = relay.now_ms();
-    relay.orders.last_fence.set(ticket.fence);
+    relay.role_orders.last_fence.set(ticket.fence);
     relay
-        .orders
+        .role_orders
         .given
         .borrow_mut()
         .insert(engine.id.clone(), now_ms);
-    if let Some(asked) = relay.orders.asked.borrow_mut().get_mut(&wish.service) {
+    if let Some(asked) = relay.role_orders.asked.borrow_mut().get_mut(&wish.service) {
         asked.plan.record_order(now_ms, wish.turn);
     }
     // Told to the others before the engine is: what they send there in ignorance is rejected unrun.
@@ -47,7 +47,7 @@
 ///
 /// It is sent once. Whether one without an answer was taken shows in the list of upstreams, and it
 /// is wished for again if it was not.
-pub async fn give(relay: &Relay, wish: &Wish, ticket: Ticket) {
+pub async fn send_order(relay: &Relay, wish: &PlannedChange, ticket: Ticket) {
     let engine = &wish.engine;
     actix_rt::time::sleep(Duration::from_millis(TELL_MS)).await;
     let outcome = send(relay, wish, ticket).await;
@@ -64,7 +64,7 @@
         Ok(_) => "refused",
         Err(_) => "unanswered",
     };
-    relay.metrics.orders.with_label_values(&[label]).inc();
+    relay.metrics.role_orders.with_label_values(&[label]).inc();
     let result = match outcome {
         Ok(status) => status.as_u16().to_string(),
         Err(unsent) => unsent.why,
@@ -93,7 +93,7 @@
 }
 
 /// Asks the engine where it stands, and sends it the order if that still holds.
-async fn send(relay: &Relay, wish: &Wish, ticket: Ticket) -> Result<StatusCode, Unsent> {
+async fn send(relay: &Relay, wish: &PlannedChange, ticket: Ticket) -> Result<StatusCode, Unsent> {
     let engine = &wish.engine;
     let report = report(relay, engine).await?;
     if report.is_busy || report.stage == wish.stage {
@@ -103,11 +103,11 @@
         return Err(Unsent::before(&"it is leaving"));
     }
     let holder = relay.settings.borrow().name.clone();
-    let (path, body) = relay.dialect.order_request(&Order {
+    let (path, body) = relay.dialect.order_request(&RoleOrder {
         holder: &holder,
         fence: ticket.fence,
-        after: report.orders,
-        reads: wish.stage == Stage::Prefill,
+        orders_before: report.orders,
+        is_prefill: wish.stage == Stage::Prefill,
     });
     let request = request(relay, engine, Method::POST, &path, body)?;
     if !ticket.is_valid(since_boot_ms()) {
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -8,7 +8,7 @@
 
 use crate::attribution::note_lost_answer;
 use crate::call::Call;
-use crate::config::Kind;
+use crate::config::RouteKind;
 use crate::dialect::{ResponseHead, SendOptions, Step};
 use crate::placement::PLAIN_MS;
 use crate::pool::{ExchangeError, Exchanged, PooledConnection, exchange};
@@ -80,10 +80,10 @@
     };
     match &sent {
         Sent::Answer(checked) => {
-            let terms = relay.settings.borrow().duties;
-            relay.duties.began(terms, call);
+            let terms = relay.settings.borrow().singleton_tasks;
+            relay.singleton_tasks.count_started(terms, call);
             let took_ms = (relay.now_ms() - began_ms) as f64;
-            if call.route.kind != Kind::Stream && checked.response.status().is_success() {
+            if call.route.kind != RouteKind::Stream && checked.response.status().is_success() {
                 let usual_ms = upstream.answer_ms().max(PLAIN_MS);
                 upstream.note_answer(relay.now_ms(), usual_ms, took_ms);
             } else if checked.response.status().is_server_error() {
@@ -94,7 +94,7 @@
             call.attempts.set(call.attempts.get() - 1);
             call.possible_runs.set(call.possible_runs.get() - 1);
             note_unsent(relay, upstream, fault);
-            if relay.failed_lines.take(relay.now_ms()) {
+            if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(request = call.id(), upstream = upstream.id, fault:%; "request not sent");
             }
         }
@@ -105,7 +105,7 @@
             if sending.kv.is_none() && has_no_room(*status) && upstream.stage() != Stage::Whole {
                 upstream.note_no_capacity(relay.now_ms());
             }
-            if relay.failed_lines.take(relay.now_ms()) {
+            if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), upstream = upstream.id, status = status.as_u16();
                     "request rejected unrun"
@@ -114,7 +114,7 @@
         }
         Sent::Lost(why) => {
             upstream.note_failure(relay.now_ms());
-            if relay.failed_lines.take(relay.now_ms()) {
+            if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), key:% = call.key, upstream = upstream.id, why;
                     "answer lost"
@@ -149,7 +149,7 @@
     upstream: &Rc<Upstream>,
     request: http::Request<http_body_util::Full<Bytes>>,
 ) -> Result<Exchanged, ExchangeError> {
-    if !relay.take_room(upstream) {
+    if !relay.take_rate_capacity(upstream) {
         return Err(ExchangeError::Limited {
             peer: upstream.address,
         });
@@ -158,13 +158,19 @@
     let began_ms = relay.now_ms();
     let seconds = |from_ms: u64| (relay.now_ms() - from_ms) as f64 / 1_000.0;
     if !call.is_sent.replace(true) {
-        let own = relay.metrics.own_s.with_label_values(&[&call.route.name]);
+        let own = relay
+            .metrics
+            .time_to_send_s
+            .with_label_values(&[&call.route.name]);
         own.observe(seconds(call.arrived_ms));
     }
     let exchanged = exchange(&upstream.pool, most, request).await;
     match &exchanged {
         Ok(_) => {
-            let at_upstream = relay.metrics.upstream_s.with_label_values(&[&call.service]);
+            let at_upstream = relay
+                .metrics
+                .upstream_head_s
+                .with_label_values(&[&call.service]);
             at_upstream.observe(seconds(began_ms));
         }
         Err(ExchangeError::Lost { .. }) => note_lost_answer(relay, call, upstream),
@@ -182,7 +188,7 @@
     let config = relay.config();
     let service = config.as_ref().and_then(|config| config.service(service));
     let most = service.map_or(usize::MAX, |service| service.max_connections);
-    let most = (most as f64 * CONNECTION_SHARE / relay.instances() as f64) as usize;
+    let most = (most as f64 * CONNECTION_SHARE / relay.instance_count() as f64) as usize;
     most.max(LEAST_CONNECTIONS)
 }
 
@@ -202,7 +208,7 @@
         Step::Whole => upstream.stage() == Stage::Decode,
     };
     match instance {
-        Some(id) if id != upstream.id => relay.found_gone(upstream),
+        Some(id) if id != upstream.id => relay.remove_replaced(upstream),
         Some(_) if is_stale => {
             upstream.assume_other_stage();
             log::info!(upstream = upstream.id, stage:? = upstream.stage(); "upstream does another step");
@@ -220,7 +226,7 @@
     if let Some(load) = answered.load {
         upstream.note_reported_load(relay.now_ms(), load);
     }
-    relay.named_limit(upstream, answered.limit_per_s);
+    relay.record_rate_limit(upstream, answered.limit_per_s);
 }
 
 fn check(
--- a/crates/relay/src/leaving.rs
+++ b/crates/relay/src/shutdown.rs
@@ -24,7 +24,7 @@
 
 /// Leaves: not handed out any more, then no new connections, then the end once nothing is in
 /// flight. `tell` lets the other instances know.
-pub async fn leave(
+pub async fn shut_down(
     relay: &Rc<Relay>,
     phase: &watch::Sender<Phase>,
     grace_ms: f64,
@@ -36,7 +36,7 @@
     tell.await;
     sleep(at_ms(STILL_TAKES_SHARE).saturating_sub(relay.now_ms())).await;
     enter(relay, phase, Phase::Closing);
-    while relay.busy.get() > 0 && relay.now_ms() < at_ms(END_SHARE) {
+    while relay.in_flight.get() > 0 && relay.now_ms() < at_ms(END_SHARE) {
         sleep(LOOK_MS).await;
     }
     sleep(FLUSH_MS).await;
--- a/crates/relay/src/duties.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -4,9 +4,9 @@
 //! usage and orders engines. Which one that is only keeps keepers from acting at once: that no two are heard rests on
 //! `lease::Turns`. See docs/design/duties.md.
 
-mod acts;
-mod fleet;
-mod store_sight;
+mod due;
+mod store_health;
+mod tasks;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,25 +20,26 @@
 use view::{FleetClock, InstanceKey, Kind, Told, WorkspaceKey};
 
 use crate::call::Call;
-use crate::config::{Access, Kind as RouteKind};
+use crate::config::{Access, RouteKind};
 use crate::relay::Relay;
 use crate::relay::unix_ms;
 
-pub use acts::{
-    Act, DutyRecord, Outcome, ScaleOrder, begin, done, log_was_lost, record, take_record,
+pub use due::due_tasks;
+pub use store_health::StoreHealth;
+pub use tasks::{
+    Outcome, ScaleOrder, Task, TaskRecord, apply_record, log_was_lost, task_finished, task_logged,
+    task_record,
 };
-pub use fleet::look;
-pub use store_sight::StoreSight;
 
 /// Time between two looks at what is due, in ms.
-pub const LOOK_MS: u64 = 250;
+pub const CHECK_INTERVAL_MS: u64 = 250;
 
 /// Time between two looks of a keeper that does not act at what the one that acts has fixed, in ms: it then need not
 /// wait before it takes over.
-pub const WATCH_MS: u64 = 6_000;
+pub const STANDBY_READ_INTERVAL_MS: u64 = 6_000;
 
 /// Instances that gather what all have counted: two more than the one that acts, so that two may end at once.
-pub const KEEPERS: usize = 3;
+pub const LEADER_CANDIDATES: usize = 3;
 
 /// Time after its start for which an instance does not act, in ms: until it has heard of the others, it would take itself
 /// for the first of them.
@@ -62,22 +63,22 @@
 
 /// Which duties there are, as the operators set them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Terms {
+pub struct TaskSettings {
     /// Windows for which usage is reported.
     pub usage: Option<Windows>,
     /// Whether engines are ordered.
     pub scales: bool,
 }
 
-impl Terms {
+impl TaskSettings {
     /// Whether there is any duty.
-    pub fn any(&self) -> bool {
+    pub fn is_any_enabled(&self) -> bool {
         self.usage.is_some() || self.scales
     }
 }
 
 /// Duties of one instance.
-pub struct Duties {
+pub struct SingletonTasks {
     turns: RefCell<Turns>,
     ledger: RefCell<Ledger>,
     reports: RefCell<Option<Reports>>,
@@ -92,10 +93,10 @@
     told_to: Cell<Option<SocketAddr>>,
     holds: Cell<bool>,
     /// Whether the store, and the log of duties in it, can be reached.
-    pub store: StoreSight,
+    pub store_health: StoreHealth,
 }
 
-impl Duties {
+impl SingletonTasks {
     /// Of an instance that has done nothing yet, where calls of two holders must be `lease_ms` apart.
     pub fn new(lease_ms: u64) -> Self {
         let mut rng = rand::rng();
@@ -113,7 +114,7 @@
             told_ms: Cell::default(),
             told_to: Cell::default(),
             holds: Cell::default(),
-            store: StoreSight::default(),
+            store_health: StoreHealth::default(),
         }
     }
 
@@ -128,7 +129,7 @@
     }
 
     /// Learns the names of workspaces; those of earlier versions are still to be reported.
-    pub fn learn_names(&self, access: &Access) {
+    pub fn learn_workspace_names(&self, access: &Access) {
         let mut names = self.names.borrow_mut();
         for workspace in access.workspaces() {
             let key = WorkspaceKey::of(&workspace.name);
@@ -140,7 +141,7 @@
     }
 
     /// A request was begun at an upstream, as far as its answer or the want of one tells.
-    pub fn began(&self, terms: Terms, call: &Call) {
+    pub fn count_started(&self, terms: TaskSettings, call: &Call) {
         let (Some(windows), Some(workspace)) = (terms.usage, &call.workspace) else {
             return;
         };
@@ -154,14 +155,14 @@
 
     /// A request is over that no answer came to. A plain service begins at once with what reaches it, an engine with
     /// its first token, which would have come here.
-    pub fn ended_unanswered(&self, terms: Terms, call: &Call) {
+    pub fn count_unanswered(&self, terms: TaskSettings, call: &Call) {
         if call.route.kind != RouteKind::Stream && call.possible_runs.get() > 0 {
-            self.began(terms, call);
+            self.count_started(terms, call);
         }
     }
 
     /// Takes in what another instance told.
-    pub fn heard(&self, terms: Terms, told: &Told) {
+    pub fn receive_gossip(&self, terms: TaskSettings, told: &Told) {
         self.clock.borrow_mut().heard(since_boot_ms(), told);
         if let Some(fence) = told.holds_after {
             self.turns.borrow_mut().heard(since_boot_ms(), fence);
@@ -177,7 +178,7 @@
     }
 
     /// Adds tallies to what goes out: to the own hub, or from a hub to the keepers.
-    pub fn tell(&self, now_ms: u64, out: &mut [(SocketAddr, Told)], keepers: &[SocketAddr]) {
+    pub fn add_tallies(&self, now_ms: u64, out: &mut [(SocketAddr, Told)], keepers: &[SocketAddr]) {
         let gathers = out.iter().any(|(_, told)| told.kind == Kind::Sum);
         let period_ms = if gathers { TELL_MANY_MS } else { TELL_MS };
         if out.is_empty() || now_ms < self.told_ms.get() + period_ms {
@@ -204,39 +205,43 @@
 }
 
 /// Fencing token of the last call that this instance made for the fleet, if it may make the next.
-pub fn holds_after(relay: &Relay) -> Option<u64> {
-    let duties = &relay.duties;
+pub fn leader_fence(relay: &Relay) -> Option<u64> {
+    let duties = &relay.singleton_tasks;
     let now_ms = relay.now_ms();
-    if !relay.settings.borrow().duties.any() {
+    if !relay.settings.borrow().singleton_tasks.is_any_enabled() {
         return None;
     }
     let is_alone = !relay.members.borrow().is_known();
-    let is_keeper = is_alone || relay.rank() < KEEPERS;
+    let is_keeper = is_alone || relay.rank() < LEADER_CANDIDATES;
     if !is_keeper {
         duties.keeper_since_ms.set(None);
         return None;
     }
     let since_ms = duties.keeper_since_ms.get().unwrap_or(now_ms);
     duties.keeper_since_ms.set(Some(since_ms));
-    let has_others = relay.shared.borrow().holders().next().is_some();
+    let has_others = relay.gossip.borrow().holders().next().is_some();
     let is_new = now_ms < since_ms + NEW_MS && has_others;
     let yields = now_ms < duties.yields_until_ms.get();
     let has_begun = now_ms >= START_MS;
-    let may = relay.is_ready() && has_begun && !is_new && !yields && !duties.store.is_lost(now_ms);
+    let may = relay.is_ready()
+        && has_begun
+        && !is_new
+        && !yields
+        && !duties.store_health.is_unavailable(now_ms);
     may.then(|| duties.last_fence.get())
 }
 
 /// Whether this instance acts now: the one that acted last, or else the first by key.
 fn is_holder(relay: &Relay) -> bool {
-    let mine = holds_after(relay);
+    let mine = leader_fence(relay);
     let holds = mine.is_some_and(|fence| {
         let own = InstanceKey::of(&relay.settings.borrow().name);
-        crate::orders::goes_first((own, fence), relay.shared.borrow().holders())
+        crate::role_orders::has_precedence((own, fence), relay.gossip.borrow().holders())
     });
-    if relay.duties.holds.replace(holds) != holds {
+    if relay.singleton_tasks.holds.replace(holds) != holds {
         log::info!(
-            holds, fence = relay.duties.last_fence.get(), may = mine.is_some(), rank = relay.rank(),
-            lost_store = relay.duties.store.is_lost(relay.now_ms());
+            holds, fence = relay.singleton_tasks.last_fence.get(), may = mine.is_some(), rank = relay.rank(),
+            lost_store = relay.singleton_tasks.store_health.is_unavailable(relay.now_ms());
             "duties held"
         );
     }
--- a/crates/relay/src/duties/fleet.rs
+++ b/crates/relay/src/singleton_tasks/due.rs
@@ -5,12 +5,12 @@
 use duty::scale::{self, Zone};
 use duty::{Due, Report, Reports, Windows};
 
-use super::{Act, ScaleOrder, is_holder};
+use super::{ScaleOrder, Task, is_holder};
 use crate::relay::Relay;
 
 /// The calls that this instance should make now, the most urgent first.
-pub fn look(relay: &Relay) -> Vec<Act> {
-    let terms = relay.settings.borrow().duties;
+pub fn due_tasks(relay: &Relay) -> Vec<Task> {
+    let terms = relay.settings.borrow().singleton_tasks;
     let is_holder = is_holder(relay);
     let usage = terms.usage.and_then(|windows| usage_due(relay, windows));
     let scale = if terms.scales {
@@ -24,8 +24,8 @@
     usage.into_iter().chain(scale).collect()
 }
 
-fn usage_due(relay: &Relay, windows: Windows) -> Option<Act> {
-    let duties = &relay.duties;
+fn usage_due(relay: &Relay, windows: Windows) -> Option<Task> {
+    let duties = &relay.singleton_tasks;
     let now_ms = duties.fleet_ms();
     let mut reports = duties.reports.borrow_mut();
     let reports = reports.get_or_insert_with(|| Reports::new(windows, now_ms));
@@ -37,13 +37,18 @@
             counts: counts(relay, window),
         },
     };
-    Some(Act::Usage(report))
+    Some(Task::Usage(report))
 }
 
 /// What ran in a window, by names of workspaces.
 fn counts(relay: &Relay, window: u64) -> BTreeMap<String, u64> {
-    let names = relay.duties.names.borrow();
-    let sum = relay.duties.ledger.borrow().sum(window).unwrap_or_default();
+    let names = relay.singleton_tasks.names.borrow();
+    let sum = relay
+        .singleton_tasks
+        .ledger
+        .borrow()
+        .sum(window)
+        .unwrap_or_default();
     let mut counts = BTreeMap::new();
     for (key, count) in sum {
         match names.get(&key) {
@@ -58,7 +63,7 @@
     counts
 }
 
-fn scale_due(relay: &Relay) -> Vec<Act> {
+fn scale_due(relay: &Relay) -> Vec<Task> {
     let Some(config) = relay.config() else {
         return Vec::new();
     };
@@ -70,15 +75,15 @@
         .filter_map(|(name, it)| Some((name, it.scale.as_ref()?)))
     {
         let zones = zones(relay, service, terms);
-        let mut all = relay.duties.scaling.borrow_mut();
+        let mut all = relay.singleton_tasks.scaling.borrow_mut();
         let scaling = all.entry(service.clone()).or_default();
         let wishes = scaling.next(now_ms, terms, &zones);
         let wanted = scaling.wanted().unwrap_or_default();
         acts.extend(wishes.into_iter().map(|wish| {
-            Act::Scale(ScaleOrder {
+            Task::Scale(ScaleOrder {
                 service: service.clone(),
                 wanted,
-                wish,
+                target: wish,
             })
         }));
     }
--- a/crates/relay/src/duties/store_sight.rs
+++ b/crates/relay/src/singleton_tasks/store_health.rs
@@ -14,15 +14,15 @@
 
 /// What calls to the store have shown.
 #[derive(Debug, Default)]
-pub struct StoreSight {
+pub struct StoreHealth {
     answered_ms: Cell<u64>,
     last_failed: Cell<bool>,
     log_failed_ms: Cell<Option<u64>>,
 }
 
-impl StoreSight {
+impl StoreHealth {
     /// A call was answered, or was not; `is_log` if it was for the log of duties.
-    pub fn called(&self, now_ms: u64, is_log: bool, was_answered: bool) {
+    pub fn record_call(&self, now_ms: u64, is_log: bool, was_answered: bool) {
         self.last_failed.set(!was_answered);
         if was_answered {
             self.answered_ms.set(now_ms);
@@ -33,7 +33,7 @@
     }
 
     /// Whether another instance should act.
-    pub fn is_lost(&self, now_ms: u64) -> bool {
+    pub fn is_unavailable(&self, now_ms: u64) -> bool {
         let is_silent = self.last_failed.get() && now_ms >= self.answered_ms.get() + SILENT_MS;
         let log_failed = self.log_failed_ms.get();
         is_silent || log_failed.is_some_and(|at_ms| now_ms < at_ms + REST_MS)
--- a/crates/relay/src/duties/acts.rs
+++ b/crates/relay/src/singleton_tasks/tasks.rs
@@ -13,18 +13,19 @@
 
 /// A call as it stands in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyRecord {
+pub struct TaskRecord {
     /// Life of the process that may make it.
     pub holder: u64,
     /// Name of its instance, for people.
     pub instance: String,
     /// What is called for.
-    pub act: Act,
+    #[serde(rename = "act")]
+    pub task: Task,
 }
 
 /// What one call says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Act {
+pub enum Task {
     /// What ran for whom in a window.
     Usage(Report),
     /// Engines that a zone is to have.
@@ -39,7 +40,8 @@
     /// Engines that the service is to have in all zones.
     pub wanted: usize,
     /// The order.
-    pub wish: Wish,
+    #[serde(rename = "wish")]
+    pub target: Wish,
 }
 
 /// What came of a call.
@@ -61,59 +63,59 @@
     },
 }
 
-impl Act {
+impl Task {
     /// Key under which it stands in the log.
     pub fn key(&self) -> String {
         match self {
             Self::Usage(report) => format!("usage/{}", report.window % WINDOWS_KEPT),
             Self::Scale(order) => {
-                let kind = match order.wish.kind {
+                let kind = match order.target.kind {
                     scale::Kind::OnDemand => "on-demand",
                     scale::Kind::Spot => "spot",
                 };
-                format!("scale/{}/{}/{kind}", order.service, order.wish.zone)
+                format!("scale/{}/{}/{kind}", order.service, order.target.zone)
             }
         }
     }
 }
 
 /// The record of a call that this instance is to make.
-pub fn record(relay: &Relay, act: &Act) -> DutyRecord {
-    DutyRecord {
-        holder: relay.duties.turns.borrow().holder(),
+pub fn task_record(relay: &Relay, act: &Task) -> TaskRecord {
+    TaskRecord {
+        holder: relay.singleton_tasks.turns.borrow().holder(),
         instance: relay.settings.borrow().name.clone(),
-        act: act.clone(),
+        task: act.clone(),
     }
 }
 
 /// A record of this instance stands in the log: what it says is fixed from now on, whether it is heard or not.
-pub fn begin(relay: &Relay, record: DutyRecord, ticket: Ticket) {
-    relay.duties.last_fence.set(ticket.fence);
-    take_record(relay, record);
+pub fn task_logged(relay: &Relay, record: TaskRecord, ticket: Ticket) {
+    relay.singleton_tasks.last_fence.set(ticket.fence);
+    apply_record(relay, record);
 }
 
 /// Takes in a record of the log.
-pub fn take_record(relay: &Relay, record: DutyRecord) {
-    let duties = &relay.duties;
+pub fn apply_record(relay: &Relay, record: TaskRecord) {
+    let duties = &relay.singleton_tasks;
     let is_own = record.holder == duties.turns.borrow().holder();
-    match record.act {
-        Act::Usage(report) => {
+    match record.task {
+        Task::Usage(report) => {
             if let Some(reports) = duties.reports.borrow_mut().as_mut() {
                 reports.fixed(report, is_own);
             }
         }
-        Act::Scale(order) if !is_own => {
+        Task::Scale(order) if !is_own => {
             let mut all = duties.scaling.borrow_mut();
             let scaling = all.entry(order.service).or_default();
-            scaling.adopt(order.wanted, &order.wish);
+            scaling.adopt(order.wanted, &order.target);
         }
-        Act::Scale(_) => {}
+        Task::Scale(_) => {}
     }
 }
 
 /// A call was made under a token.
-pub fn done(relay: &Relay, act: &Act, fence: u64, outcome: &Outcome) {
-    let duties = &relay.duties;
+pub fn task_finished(relay: &Relay, act: &Task, fence: u64, outcome: &Outcome) {
+    let duties = &relay.singleton_tasks;
     let was_heard = !matches!(outcome, Outcome::Unanswered { .. });
     let failed = if was_heard {
         0
@@ -127,20 +129,24 @@
         duties.yields_until_ms.set(relay.now_ms() + YIELD_MS);
     }
     let (call, label) = match act {
-        Act::Usage(report) => {
+        Task::Usage(report) => {
             note_usage(relay, report, fence, outcome);
             ("usage", outcome.label())
         }
-        Act::Scale(order) => {
+        Task::Scale(order) => {
             note_scale(relay, order, fence, outcome);
             ("scale", outcome.label())
         }
     };
-    relay.metrics.duties.with_label_values(&[call, label]).inc();
+    relay
+        .metrics
+        .singleton_calls
+        .with_label_values(&[call, label])
+        .inc();
 }
 
 fn note_usage(relay: &Relay, report: &Report, fence: u64, outcome: &Outcome) {
-    let duties = &relay.duties;
+    let duties = &relay.singleton_tasks;
     let now_ms = duties.fleet_ms();
     if let Some(reports) = duties.reports.borrow_mut().as_mut() {
         reports.sent(now_ms, report.window, *outcome == Outcome::Accepted);
@@ -159,12 +165,12 @@
         Outcome::Refused { .. } => scale::Outcome::Refused,
         Outcome::Unanswered { .. } => scale::Outcome::Unanswered,
     };
-    let mut all = relay.duties.scaling.borrow_mut();
+    let mut all = relay.singleton_tasks.scaling.borrow_mut();
     if let Some(scaling) = all.get_mut(&order.service) {
-        scaling.ordered(relay.now_ms(), &order.wish, came);
+        scaling.ordered(relay.now_ms(), &order.target, came);
     }
     log::info!(
-        service = order.service, zone = order.wish.zone, kind:? = order.wish.kind, desired = order.wish.desired,
+        service = order.service, zone = order.target.zone, kind:? = order.target.kind, desired = order.target.desired,
         wanted = order.wanted, fence, outcome:?;
         "engines ordered"
     );
@@ -183,8 +189,8 @@
 
 /// The log may have lost what was written last.
 pub fn log_was_lost(relay: &Relay) {
-    let now_ms = relay.duties.fleet_ms();
-    if let Some(reports) = relay.duties.reports.borrow_mut().as_mut() {
+    let now_ms = relay.singleton_tasks.fleet_ms();
+    if let Some(reports) = relay.singleton_tasks.reports.borrow_mut().as_mut() {
         Reports::log_was_lost(reports, now_ms);
     }
 }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/snapshot.rs
@@ -21,7 +21,7 @@
 use crate::config::{Access, Config, Limits, Route, Service};
 use crate::pool::call_on_new_connection;
 use crate::relay::{Origin, Relay};
-use crate::upstreams::Doubt;
+use crate::upstreams::Unconfirmed;
 
 /// Path at which instances tell each other their state.
 pub const PATH: &str = "/state";
@@ -34,7 +34,7 @@
 
 /// A configuration as instances tell it to each other.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ConfigState {
+pub struct ConfigSnapshot {
     version: u64,
     routes: Vec<Route>,
     services: HashMap<String, Service>,
@@ -43,7 +43,7 @@
     access: Access,
 }
 
-impl From<&Config> for ConfigState {
+impl From<&Config> for ConfigSnapshot {
     fn from(config: &Config) -> Self {
         Self {
             version: config.version,
@@ -55,8 +55,8 @@
     }
 }
 
-impl From<ConfigState> for Config {
-    fn from(state: ConfigState) -> Self {
+impl From<ConfigSnapshot> for Config {
+    fn from(state: ConfigSnapshot) -> Self {
         Self::new(state.version, state.routes, state.services, state.limits)
             .with_access(state.access)
     }
@@ -64,14 +64,14 @@
 
 /// What an instance knows.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct State {
+pub struct Snapshot {
     /// The configuration in force.
-    pub config: Option<ConfigState>,
+    pub config: Option<ConfigSnapshot>,
     /// Upstreams.
     pub upstreams: Vec<Entry>,
     /// Those among them whose entries went, by the last record that was taken in.
-    #[serde(default)]
-    pub doubted: Vec<Doubt>,
+    #[serde(default, rename = "doubted")]
+    pub unconfirmed: Vec<Unconfirmed>,
     /// Time since the list of upstreams stood so in the store, if the instance has taken in all that it
     /// knows of.
     pub list_age_ms: Option<u64>,
@@ -93,30 +93,30 @@
 
 /// When other instances were last asked.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct LastQuery {
     at_ms: Cell<Option<u64>>,
 }
 
 /// Asks another instance what it knows, unless one was asked just now.
-pub async fn catch_up(relay: &Rc<Relay>) {
+pub async fn query_peer(relay: &Rc<Relay>) {
     let now_ms = relay.now_ms();
     let recent = |at_ms: u64| now_ms < at_ms + ASK_MS;
-    if relay.asked.at_ms.get().is_some_and(recent) {
+    if relay.last_query.at_ms.get().is_some_and(recent) {
         return;
     }
-    relay.asked.at_ms.set(Some(now_ms));
+    relay.last_query.at_ms.set(Some(now_ms));
     let Some(peer) = somebody(relay) else {
         return;
     };
     match ask(relay, peer).await {
-        Ok(state) => take(relay, &state, peer),
+        Ok(state) => merge(relay, &state, peer),
         Err(why) => log::info!(peer:%, why; "another instance could not be asked"),
     }
 }
 
 /// One that told of what this instance lacks, or else any.
 fn somebody(relay: &Relay) -> Option<SocketAddr> {
-    if let Some(peer) = relay.shared.borrow().informed() {
+    if let Some(peer) = relay.gossip.borrow().informed() {
         return Some(peer);
     }
     let settings = relay.settings.borrow();
@@ -129,7 +129,7 @@
     all.choose(&mut rand::rng()).copied()
 }
 
-async fn ask(relay: &Relay, peer: SocketAddr) -> Result<State, String> {
+async fn ask(relay: &Relay, peer: SocketAddr) -> Result<Snapshot, String> {
     let request = Request::builder()
         .uri(PATH)
         .header(header::HOST, peer.to_string())
@@ -141,7 +141,7 @@
 }
 
 /// Takes over what another instance knows and this one does not.
-pub fn take(relay: &Relay, state: &State, peer: SocketAddr) {
+pub fn merge(relay: &Relay, state: &Snapshot, peer: SocketAddr) {
     let version = state.config.as_ref().map_or(0, |config| config.version);
     log::info!(
         peer:%, version, upstreams = state.upstreams.len(),
@@ -150,7 +150,7 @@
     );
     take_config(relay, state);
     take_list(relay, state);
-    relay.told_poisonous(&state.poisonous);
+    relay.learn_poison_requests(&state.poisonous);
     let now_ms = relay.now_ms();
     let mut members = relay.members.borrow_mut();
     for member in &state.members {
@@ -158,12 +158,12 @@
     }
 }
 
-fn take_config(relay: &Relay, state: &State) {
+fn take_config(relay: &Relay, state: &Snapshot) {
     let Some(config) = &state.config else {
         return;
     };
     relay.configure(config.clone().into());
-    let mut configs = relay.configs.borrow_mut();
+    let mut configs = relay.config_position.borrow_mut();
     if let (Some(age_ms), Some(next)) = (state.config_age_ms, state.config_next)
         && configs.is_short_of(next)
     {
@@ -179,19 +179,19 @@
 /// An entry that the other instance doubts has gone, by the last record that it took in. Taken for one that is
 /// there, it would never be doubted here, and the upstream would get work for as long as it answers; so the
 /// doubt comes along with the list.
-fn take_list(relay: &Relay, state: &State) {
-    let is_doubted = |entry: &&Entry| state.doubted.iter().any(|doubt| doubt.id == entry.id);
+fn take_list(relay: &Relay, state: &Snapshot) {
+    let is_doubted = |entry: &&Entry| state.unconfirmed.iter().any(|doubt| doubt.id == entry.id);
     let all = state.upstreams.iter();
     let certain: Vec<Entry> = all.filter(|entry| !is_doubted(entry)).cloned().collect();
-    let is_further = |next: &u64| relay.list.borrow().is_short_of(*next);
+    let is_further = |next: &u64| relay.list_position.borrow().is_short_of(*next);
     let Some(next) = state.list_next.filter(is_further) else {
         return;
     };
-    relay.said.borrow_mut().replace(&certain);
-    relay.replace(state.upstreams.clone(), Origin::Asked);
-    relay.doubt(&state.doubted);
+    relay.last_listed.borrow_mut().replace(&certain);
+    relay.replace_list(state.upstreams.clone(), Origin::Asked);
+    relay.mark_unconfirmed(&state.unconfirmed);
     let as_of_ms = as_of_ms(state.list_age_ms);
-    relay.list.borrow_mut().read_whole(as_of_ms, next);
+    relay.list_position.borrow_mut().read_whole(as_of_ms, next);
 }
 
 /// The time as of which something is known that is so old; before all others if nobody knows.
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/sse.rs
@@ -16,12 +16,12 @@
 /// An upstream may break off in the middle of an event. What is passed on ends with a whole one,
 /// so that another upstream can go on after it without the caller seeing the seam.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buffer: BytesMut,
     searched: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes in bytes as they came.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -37,7 +37,7 @@
     }
 
     /// Whether bytes of an unfinished event are left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -14,12 +14,12 @@
 use crate::attribution::{ensure_not_poison, note_lost_answer};
 use crate::call::{Call, strip_hop_by_hop};
 use crate::dialect::SendOptions;
-use crate::events::Splitter;
 use crate::forward::{may_repeat, note_answer};
 use crate::placement;
 use crate::pool::PooledConnection;
 use crate::relay::Relay;
 use crate::send::{Checked, Sent, send};
+use crate::sse::EventSplitter;
 use crate::upstream::{InFlight, Work};
 use crate::urgency::Urgency;
 
@@ -35,7 +35,7 @@
     relay: Rc<Relay>,
     call: Rc<Call>,
     source: Option<Source>,
-    splitter: Splitter,
+    splitter: EventSplitter,
     ready: VecDeque<Bytes>,
     last_event: Option<u64>,
     tried: Vec<String>,
@@ -70,7 +70,7 @@
     ) -> Response<AnswerBody> {
         let (mut head, body) = checked.response.into_parts();
         strip_hop_by_hop(&mut head.headers, |_| false);
-        if call.route.is_repeatable() {
+        if call.route.is_retryable() {
             // The rest may come from elsewhere and be of another length.
             head.headers.remove(header::CONTENT_LENGTH);
         }
@@ -89,7 +89,7 @@
                 lease: checked.lease,
                 guard,
             }),
-            splitter: Splitter::default(),
+            splitter: EventSplitter::default(),
             ready: VecDeque::new(),
             last_event: call.head.last_event,
             tried,
@@ -114,12 +114,12 @@
                 return Some(Ok(bytes));
             }
             match self.wait().await {
-                Next::Data(bytes) if !self.call.route.is_repeatable() => return Some(Ok(bytes)),
+                Next::Data(bytes) if !self.call.route.is_retryable() => return Some(Ok(bytes)),
                 Next::Data(bytes) => {
                     self.splitter.push(&bytes);
                     self.take_events();
                 }
-                Next::End if !self.splitter.has_rest() => {
+                Next::End if !self.splitter.has_partial_event() => {
                     self.finish("200");
                     return None;
                 }
@@ -162,7 +162,7 @@
     async fn wait(&mut self) -> Next {
         let left_ms = self.call.left_ms(self.relay.now_ms());
         let silent_ms = (self.call.route.gap_goal_ms * SILENT_GAPS).max(SILENT_MS);
-        let may_move = self.call.route.is_repeatable()
+        let may_move = self.call.route.is_retryable()
             && self.call.attempts.get() < self.call.route.max_attempts;
         let wait_ms = if may_move {
             left_ms.min(silent_ms)
@@ -205,7 +205,7 @@
     async fn go_on(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
         if let Some(source) = self.source.take() {
             source.guard.upstream().note_failure(self.relay.now_ms());
-            if self.relay.failed_lines.take(self.relay.now_ms()) {
+            if self.relay.failure_log_limit.take(self.relay.now_ms()) {
                 log::info!(
                     request = self.call.id(), key:% = self.call.key,
                     upstream = source.guard.upstream().id, why, last_event = self.last_event.unwrap_or(0);
@@ -218,7 +218,7 @@
         let Some(prompt) = call.head.prompt.as_ref() else {
             return Err(self.broken(why));
         };
-        if !call.route.is_repeatable() || ensure_not_poison(&self.relay, &call).await.is_err() {
+        if !call.route.is_retryable() || ensure_not_poison(&self.relay, &call).await.is_err() {
             return Err(self.broken(why));
         }
         if !may_repeat(&self.relay, &call) {
@@ -261,7 +261,7 @@
             Ok(Sent::Answer(checked)) if checked.response.status() == StatusCode::OK => {
                 guard.note_prefilled();
                 guard.note_head(self.relay.now_ms());
-                if self.relay.failed_lines.take(self.relay.now_ms()) {
+                if self.relay.failure_log_limit.take(self.relay.now_ms()) {
                     log::info!(request = call.id(), upstream = maker.id; "stream goes on");
                 }
                 self.source = Some(Source {
@@ -283,9 +283,9 @@
         let first_ms = self.call.prior_wait_ms + self.first_ms;
         let in_time = first_ms <= route.goal_ms && self.longest_gap_ms <= route.gap_goal_ms;
         note_answer(&self.relay, &self.call, in_time);
-        self.relay.answered(&self.call);
+        self.relay.record_answered(&self.call);
         if let Some(source) = self.source.take() {
-            if self.relay.served_lines.take(self.relay.now_ms()) {
+            if self.relay.success_log_limit.take(self.relay.now_ms()) {
                 log::info!(
                     request = self.call.id(), route = route.name, workspace = self.call.workspace_name(),
                     upstream = source.guard.upstream().id,
@@ -299,7 +299,7 @@
 
     fn broken(&self, why: &str) -> TruncatedAnswer {
         self.call.is_finished.set(true);
-        if self.relay.failed_lines.take(self.relay.now_ms()) {
+        if self.relay.failure_log_limit.take(self.relay.now_ms()) {
             log::info!(
                 request = self.call.id(), key:% = self.call.key, route = self.call.route.name,
                 workspace = self.call.workspace_name(), why, took_ms = self.relay.now_ms() - self.call.arrived_ms;
@@ -345,7 +345,7 @@
             }
             Ok(None) => {
                 state.lease.release();
-                state.relay.answered(&state.call);
+                state.relay.record_answered(&state.call);
                 return None;
             }
             Ok(Some(Err(error))) => {
@@ -354,7 +354,7 @@
             }
             Err(_) => "out of time".to_owned(),
         };
-        if state.relay.failed_lines.take(state.relay.now_ms()) {
+        if state.relay.failure_log_limit.take(state.relay.now_ms()) {
             let upstream = state.guard.upstream();
             log::info!(
                 request = state.call.id(), key:% = state.call.key, upstream = upstream.id, why;
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -32,14 +32,14 @@
     /// It is no longer used.
     Left,
     /// It is used on for a short time, since its entry may have lapsed with the store.
-    Doubted,
+    Unconfirmed,
     /// Nothing new.
-    Same,
+    Unchanged,
 }
 
 /// An entry that went, and whose upstream is used on since it may have lapsed with the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doubt {
+pub struct Unconfirmed {
     /// The upstream's id.
     pub id: String,
     /// Time for which it is used on, in ms.
@@ -81,7 +81,7 @@
     by_id: HashMap<String, Rc<Upstream>>,
     by_key: HashMap<UpstreamKey, Rc<Upstream>>,
     by_service: HashMap<String, Vec<Rc<Upstream>>>,
-    doubted: HashMap<String, u64>,
+    unconfirmed: HashMap<String, u64>,
     left: VecDeque<Left>,
     unreachable_until_ms: u64,
 }
@@ -97,7 +97,7 @@
     }
 
     /// The list's store did not answer at `now_ms`.
-    pub fn unreachable(&mut self, now_ms: u64) {
+    pub fn store_unreachable(&mut self, now_ms: u64) {
         self.unreachable_until_ms = now_ms + LAPSE_MS;
     }
 
@@ -131,10 +131,10 @@
     }
 
     /// Drops what lapsed and did not come back; gives what was dropped.
-    pub fn settle(&mut self, now_ms: u64) -> Vec<String> {
+    pub fn remove_lapsed(&mut self, now_ms: u64) -> Vec<String> {
         let over = |until_ms: &u64| *until_ms <= now_ms;
         let lapsed: Vec<String> = self
-            .doubted
+            .unconfirmed
             .iter()
             .filter(|(_, until_ms)| over(until_ms))
             .map(|(id, _)| id.clone())
@@ -155,13 +155,13 @@
     ) -> impl Iterator<Item = &'a Rc<Upstream>> {
         let all = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         all.iter().filter(move |each| {
-            let until_ms = self.doubted.get(&each.id);
+            let until_ms = self.unconfirmed.get(&each.id);
             each.is_ready() && until_ms.is_none_or(|&until_ms| now_ms < until_ms)
         })
     }
 
     /// An incarnation that turned out to be gone, before the list says so.
-    pub fn found_gone(&mut self, id: &str) {
+    pub fn remove_replaced(&mut self, id: &str) {
         self.remove(id);
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The incarnation of an id that left last, by its short name.
-    pub fn last_left(&self, id: &str) -> Option<UpstreamKey> {
+    pub fn last_removed(&self, id: &str) -> Option<UpstreamKey> {
         let left = self.left.iter().rev().find(|left| left.id == id)?;
         Some(UpstreamKey::of(&left.id, left.born_ms))
     }
@@ -182,7 +182,7 @@
     }
 
     /// Time for which the list's store may still have lost entries of upstreams that live, in ms.
-    pub fn doubt_ms(&self, now_ms: u64) -> u64 {
+    pub fn may_have_lapsed_ms(&self, now_ms: u64) -> u64 {
         self.unreachable_until_ms.saturating_sub(now_ms)
     }
 
@@ -192,7 +192,7 @@
     /// An entry lapses with the store only when nobody reaches it, and then both doubt. If only this
     /// instance was turned away, the other knows that the upstream has left; if only the other was, this
     /// one knows that nothing can have lapsed. Either doubt alone kept leaving upstreams in use.
-    pub fn apply_told(&mut self, now_ms: u64, change: Change, doubt_ms: u64) -> Effect {
+    pub fn apply_from_peer(&mut self, now_ms: u64, change: Change, doubt_ms: u64) -> Effect {
         match change {
             Change::Put(entry) => self.put(&entry),
             Change::Gone(id) => {
@@ -204,19 +204,23 @@
 
     /// The entries that are in use, those that are doubted included.
     pub fn entries(&self, now_ms: u64) -> Vec<Entry> {
-        let has_lapsed = |id: &str| self.doubted.get(id).is_some_and(|&until| until <= now_ms);
+        let has_lapsed = |id: &str| {
+            self.unconfirmed
+                .get(id)
+                .is_some_and(|&until| until <= now_ms)
+        };
         let used = self.by_id.values().filter(|each| !has_lapsed(&each.id));
         used.map(|each| each.entry()).collect()
     }
 
     /// The entries that went and may have lapsed with the store.
-    pub fn doubts(&self, now_ms: u64) -> Vec<Doubt> {
+    pub fn unconfirmed_entries(&self, now_ms: u64) -> Vec<Unconfirmed> {
         let doubted = self
-            .doubted
+            .unconfirmed
             .iter()
             .filter(|(_, until_ms)| **until_ms > now_ms);
         doubted
-            .map(|(id, until_ms)| Doubt {
+            .map(|(id, until_ms)| Unconfirmed {
                 id: id.clone(),
                 left_ms: until_ms - now_ms,
             })
@@ -224,7 +228,7 @@
     }
 
     /// Takes over what another instance doubts of the list that it told.
-    pub fn doubt(&mut self, now_ms: u64, doubts: &[Doubt]) {
+    pub fn mark_unconfirmed(&mut self, now_ms: u64, doubts: &[Unconfirmed]) {
         for doubt in doubts {
             self.gone(now_ms, &doubt.id, now_ms + doubt.left_ms);
         }
@@ -251,12 +255,12 @@
             left.id == entry.id && (entry.born_ms, entry.seq) <= (left.born_ms, left.seq)
         };
         if self.left.iter().any(is_old) {
-            return Effect::Same;
+            return Effect::Unchanged;
         }
-        self.doubted.remove(&entry.id);
+        self.unconfirmed.remove(&entry.id);
         if let Some(known) = self.by_id.get(&entry.id) {
             if entry.born_ms < known.born_ms {
-                return Effect::Same;
+                return Effect::Unchanged;
             }
             // One that started again under its id counts anew and holds nothing of before. Taken for
             // the same, its entries would seem old for as long as the first one had lived.
@@ -267,7 +271,7 @@
                 return if known.update(entry) {
                     Effect::Changed
                 } else {
-                    Effect::Same
+                    Effect::Unchanged
                 };
             }
             self.remove(&entry.id);
@@ -289,18 +293,18 @@
 
     fn gone(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Effect {
         let Some(known) = self.by_id.get(id) else {
-            return Effect::Same;
+            return Effect::Unchanged;
         };
         if now_ms < until_ms && known.is_ready() {
-            self.doubted.entry(id.to_owned()).or_insert(until_ms);
-            return Effect::Doubted;
+            self.unconfirmed.entry(id.to_owned()).or_insert(until_ms);
+            return Effect::Unconfirmed;
         }
         self.remove(id);
         Effect::Left
     }
 
     fn remove(&mut self, id: &str) {
-        self.doubted.remove(id);
+        self.unconfirmed.remove(id);
         let Some(known) = self.by_id.remove(id) else {
             return;
         };
--- a/crates/relay/tests/access.rs
+++ b/crates/relay/tests/access.rs
@@ -7,8 +7,8 @@
 use common::{Act, Bed, Seen, StandIn, config, request};
 use http::{HeaderValue, Method, Request};
 use keys::KeyHash;
-use relay::config::{Access, Config, Kind, Limits, Route, Workspace};
-use relay::state::State;
+use relay::config::{Access, Config, Limits, Route, RouteKind, Workspace};
+use relay::snapshot::Snapshot;
 use relay::upstream::Stage;
 
 /// Headers that a caller adds.
@@ -29,7 +29,7 @@
 fn keyed(version: u64, workspaces: Vec<Workspace>) -> Config {
     let usual = config(version);
     let mut routes: Vec<Route> = usual.all_routes().cloned().collect();
-    let mut public = common::route("/open/", Kind::Safe, "desk");
+    let mut public = common::route("/open/", RouteKind::Safe, "desk");
     public.is_public = true;
     routes.push(public);
     let services = usual.services().clone();
@@ -221,7 +221,7 @@
         let response = bed.ask(asked).await.unwrap();
         write!(said, "{:?}", response.headers()).unwrap();
     }
-    let state = serde_json::to_string(&bed.relay.state()).unwrap();
+    let state = serde_json::to_string(&bed.relay.snapshot()).unwrap();
     let metrics = String::from_utf8(bed.relay.metrics_text()).unwrap();
     let config = format!("{:?}", bed.relay.config());
     for text in [&state, &metrics, &said, &config] {
@@ -237,16 +237,16 @@
 async fn who_may_ask_goes_along_with_a_configuration_that_is_told() {
     let desk = desk();
     let bed = bed(&desk);
-    let told = serde_json::to_value(bed.relay.state()).unwrap();
-    let state: State = serde_json::from_value(told.clone()).unwrap();
+    let told = serde_json::to_value(bed.relay.snapshot()).unwrap();
+    let state: Snapshot = serde_json::from_value(told.clone()).unwrap();
     let new = Bed::knowing_nothing(common::settings());
-    relay::state::take(&new.relay, &state, desk.address);
+    relay::snapshot::merge(&new.relay, &state, desk.address);
     let asked = request(Method::POST, "/claims/x", "1");
     assert_eq!(new.get(asked).await.0, 401);
     // One of a version that knows of no keys is not believed.
     let mut older = told;
     older["config"].as_object_mut().unwrap().remove("access");
-    assert!(serde_json::from_value::<State>(older).is_err());
+    assert!(serde_json::from_value::<Snapshot>(older).is_err());
 }
 
 /// Guards against a workspace whose own priority is passed over for that of the route.
--- a/crates/relay/tests/audit.rs
+++ b/crates/relay/tests/audit.rs
@@ -3,13 +3,13 @@
 use std::io::Write;
 use std::sync::mpsc::channel;
 
-use relay::audit::{LineBudget, Queue};
+use relay::logging::{LogQueue, LogRateLimit};
 
 /// Whoever reads standard output has stopped. Lines are written on without waiting, as many as
 /// fit are kept, and the first after it says how many were left out.
 #[test]
 fn a_reader_that_stops_holds_nobody_up() {
-    let (mut queue, drain) = Queue::new(4);
+    let (mut queue, drain) = LogQueue::new(4);
     for line in 0..40 {
         queue.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
@@ -30,7 +30,7 @@
 /// second begins anew.
 #[test]
 fn ten_times_the_load_writes_no_more_than_the_budget() {
-    let budget = LineBudget::new("served", 60);
+    let budget = LogRateLimit::new("served", 60);
     let written = (0..50_000_u64).filter(|line| budget.take(line / 5)).count();
     assert_eq!(written, 600);
 }
--- a/crates/relay/tests/beliefs.rs
+++ b/crates/relay/tests/beliefs.rs
@@ -6,7 +6,7 @@
 
 use common::{AGE, Wire, config, settings};
 use relay::Relay;
-use relay::config::{Config, Kind, Limits, Route, Target};
+use relay::config::{Config, Limits, Route, RouteKind, Target};
 use relay::directory::addresses;
 use relay::members::{Member, Members};
 use relay::upstream::{Entry, Reading, Stage, Standing};
@@ -58,11 +58,11 @@
     upstreams.apply(0, Change::Put(entry("a", 5, Standing::Leaving)));
     assert_eq!(
         upstreams.apply(0, Change::Put(entry("a", 4, Standing::Ready))),
-        Effect::Same
+        Effect::Unchanged
     );
     assert_eq!(
         upstreams.apply(0, Change::Put(entry("a", 6, Standing::Ready))),
-        Effect::Same
+        Effect::Unchanged
     );
     assert!(ready(&upstreams, 0).is_empty());
 }
@@ -79,7 +79,7 @@
     );
     assert_eq!(
         upstreams.apply(0, Change::Put(entry("a", 3, Standing::Ready))),
-        Effect::Same
+        Effect::Unchanged
     );
     assert!(ready(&upstreams, 0).is_empty());
     assert_eq!(
@@ -96,16 +96,16 @@
     for id in ["a", "b"] {
         upstreams.apply(0, Change::Put(entry(id, 1, Standing::Ready)));
     }
-    upstreams.unreachable(10_000);
+    upstreams.store_unreachable(10_000);
     for id in ["a", "b"] {
         let effect = upstreams.apply(10_100, Change::Gone(id.to_owned()));
-        assert_eq!(effect, Effect::Doubted);
+        assert_eq!(effect, Effect::Unconfirmed);
     }
     assert_eq!(ready(&upstreams, 11_000).len(), 2);
     upstreams.apply(11_000, Change::Put(entry("a", 2, Standing::Ready)));
     assert_eq!(ready(&upstreams, 12_500).len(), 2);
     assert_eq!(ready(&upstreams, 12_700), ["a"]);
-    assert_eq!(upstreams.settle(12_700), ["b"]);
+    assert_eq!(upstreams.remove_lapsed(12_700), ["b"]);
 }
 
 /// An upstream leaves without a word 1.5 s after the store is back: its entry just goes. It must
@@ -114,7 +114,7 @@
 fn an_entry_that_goes_after_the_return_is_not_used_for_long() {
     let mut upstreams = Upstreams::new("here", Clock::default());
     upstreams.apply(0, Change::Put(entry("a", 1, Standing::Ready)));
-    upstreams.unreachable(10_000);
+    upstreams.store_unreachable(10_000);
     upstreams.apply(11_500, Change::Gone("a".to_owned()));
     assert!(ready(&upstreams, 12_700).is_empty());
 }
@@ -125,7 +125,7 @@
     let mut upstreams = Upstreams::new("here", Clock::default());
     upstreams.apply(0, Change::Put(entry("a", 1, Standing::Ready)));
     upstreams.apply(0, Change::Put(entry("a", 2, Standing::Leaving)));
-    upstreams.unreachable(100);
+    upstreams.store_unreachable(100);
     assert_eq!(
         upstreams.apply(150, Change::Gone("a".to_owned())),
         Effect::Left
@@ -185,7 +185,7 @@
     let route = |prefix: &str, targets: Vec<(&str, u32)>| Route {
         host: "h.test".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         targets: targets
             .into_iter()
             .map(|(service, weight)| Target {
@@ -279,11 +279,11 @@
 #[test]
 fn an_instance_that_knows_nobody_repeats_nothing() {
     let relay = Relay::new(settings(), Rc::new(Wire), Clock::of_age(AGE));
-    relay.sent_first("desk");
-    assert!(!relay.may_repeat("desk"));
+    relay.count_first_send("desk");
+    assert!(!relay.take_retry("desk"));
     let own = relay.heartbeat();
     relay.members.borrow_mut().heard(relay.now_ms(), own);
-    assert!(relay.may_repeat("desk"));
+    assert!(relay.take_retry("desk"));
 }
 
 /// An upstream starts again under its id and counts its entries from one. Callers are served by it as
@@ -307,7 +307,7 @@
     assert_eq!(ready(&upstreams, 0), ["a"]);
     assert!(upstreams.get("a").unwrap().cached_tokens(7) < 1.0);
     let late = upstreams.apply(0, Change::Put(born(1_000, 92, Standing::Leaving)));
-    assert_eq!(late, Effect::Same);
+    assert_eq!(late, Effect::Unchanged);
     assert_eq!(ready(&upstreams, 0), ["a"]);
     assert!(
         !first.is_ready(),
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use plan::RetryBudgetSettings;
-use relay::config::{Config, EngineLimits, Kind, Limits, Route, Service, Target};
+use relay::config::{Config, EngineLimits, Limits, Route, RouteKind, Service, Target};
 use relay::listener::{ListenerKind, bind, serve};
 use relay::pool::{ExchangeError, Pool, exchange};
 use relay::upstream::Entry;
@@ -46,7 +46,7 @@
 }
 
 /// A route of these tests.
-pub fn route(prefix: &str, kind: Kind, service: &str) -> Route {
+pub fn route(prefix: &str, kind: RouteKind, service: &str) -> Route {
     Route {
         name: prefix.trim_matches('/').to_owned(),
         host: "host.test".to_owned(),
@@ -59,8 +59,8 @@
             service: service.to_owned(),
             weight: 1,
         }],
-        max_attempts: if kind == Kind::Unsafe { 1 } else { 2 },
-        resumable: kind == Kind::Stream,
+        max_attempts: if kind == RouteKind::Unsafe { 1 } else { 2 },
+        resumable: kind == RouteKind::Stream,
         gap_goal_ms: 300,
         is_public: false,
     }
@@ -68,13 +68,13 @@
 
 /// Version 1 of a configuration with the usual routes.
 pub fn config(version: u64) -> Config {
-    let mut once = route("/once/", Kind::Stream, "llm");
+    let mut once = route("/once/", RouteKind::Stream, "llm");
     once.resumable = false;
     once.max_attempts = 1;
     let routes = vec![
-        route("/claims/", Kind::Unsafe, "desk"),
-        route("/reads/", Kind::Safe, "desk"),
-        route("/grades/", Kind::Stream, "llm"),
+        route("/claims/", RouteKind::Unsafe, "desk"),
+        route("/reads/", RouteKind::Safe, "desk"),
+        route("/grades/", RouteKind::Stream, "llm"),
         once,
     ];
     let engine = Service {
@@ -105,7 +105,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
         peer: None,
         seeds: Vec::new(),
-        repeats: RetryBudgetSettings {
+        retry_budget: RetryBudgetSettings {
             ratio: 0.2,
             window_ms: 10_000,
             slack: 50.0,
@@ -113,7 +113,7 @@
         addresses_ttl_ms: 2_000,
         lease_ms: 3_000,
         link_mbps: 20,
-        duties: relay::duties::Terms::default(),
+        singleton_tasks: relay::singleton_tasks::TaskSettings::default(),
     }
 }
 
@@ -131,7 +131,8 @@
         let now_ms = bed.relay.now_ms();
         bed.relay.members.borrow_mut().heard(now_ms, own);
         for entry in entries {
-            bed.relay.apply(Change::Put(entry), relay::Origin::Read);
+            bed.relay
+                .apply_change(Change::Put(entry), relay::Origin::Read);
         }
         bed
     }
@@ -221,8 +222,8 @@
     let other = listener();
     let address = other.address;
     from.members.borrow_mut().heard(from.now_ms(), other);
-    from.wrote(from.heartbeat());
-    for (_, told) in from.told_now() {
-        to.heard(&told, address);
+    from.heartbeat_stored(from.heartbeat());
+    for (_, told) in from.due_gossip() {
+        to.receive_gossip(&told, address);
     }
 }
--- a/crates/relay/tests/common/wire.rs
+++ b/crates/relay/tests/common/wire.rs
@@ -8,7 +8,7 @@
     Dialect, EngineReport, KvHandle, PresentedKey, Prompt, PromptPart, ReportedLoad, RequestHead,
     ResponseHead, SendOptions, Step,
 };
-use relay::orders::Order;
+use relay::role_orders::RoleOrder;
 
 /// Names on the wire of these tests.
 pub struct Wire;
@@ -137,7 +137,7 @@
         None
     }
 
-    fn order_request(&self, order: &Order) -> (String, Vec<u8>) {
+    fn order_request(&self, order: &RoleOrder) -> (String, Vec<u8>) {
         ("/order".to_owned(), order.fence.to_string().into_bytes())
     }
 
--- a/crates/relay/tests/engines.rs
+++ b/crates/relay/tests/engines.rs
@@ -91,7 +91,7 @@
     let seen = Rc::clone(&reader.seen);
     actix_rt::spawn(async move {
         until(|| !seen.borrow().is_empty()).await;
-        relay.apply(leaving(near_entry), relay::Origin::Read);
+        relay.apply_change(leaving(near_entry), relay::Origin::Read);
     });
     let (status, body) = bed.get(asked).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
@@ -403,11 +403,12 @@
         }],
         ..Told::new(InstanceKey::of("b"), Kind::Sum)
     };
-    bed.relay.heard(&told, "127.0.0.1:2".parse().unwrap());
+    bed.relay
+        .receive_gossip(&told, "127.0.0.1:2".parse().unwrap());
     let answer = bed.ask(generation("/grades/x", SHORT)).await.unwrap();
     assert_eq!(answer.status().as_u16(), 200);
     assert_eq!((turning.count(), other.count()), (0, 1));
-    bed.relay.apply(
+    bed.relay.apply_change(
         Change::Put(Entry {
             seq: 2,
             ..turning.entry("turning", "llm", Stage::Prefill)
--- a/crates/relay/tests/events.rs
+++ b/crates/relay/tests/events.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use relay::events::{Event, Splitter};
+use relay::sse::{Event, EventSplitter};
 
 /// Gives the whole events, and whether bytes of another are left.
 fn split(chunks: &[&[u8]]) -> (Vec<Event>, bool) {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for chunk in chunks {
         splitter.push(chunk);
@@ -14,7 +14,7 @@
             events.push(event);
         }
     }
-    (events, splitter.has_rest())
+    (events, splitter.has_partial_event())
 }
 
 proptest! {
--- a/crates/relay/tests/learned.rs
+++ b/crates/relay/tests/learned.rs
@@ -59,7 +59,7 @@
     assert!(usual.yields_to_longer(17_000.0));
     assert!(!usual.yields_to_longer(30_000.0));
     assert!(!usual.yields_to_longer(400.0));
-    let mut route = common::route("/grades/", relay::config::Kind::Stream, "llm");
+    let mut route = common::route("/grades/", relay::config::RouteKind::Stream, "llm");
     let mut ranks = Vec::new();
     for priority in [0, 1, 2, 3, 255] {
         route.priority = priority;
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -43,14 +43,20 @@
 /// A relay that has read a list with one engine, whose entry stands at offset 0.
 fn knowing_one(name: &str) -> Rc<Relay> {
     let relay = relay(name);
-    relay.apply(Change::Put(entry(1)), Origin::Read);
-    relay.list.borrow_mut().read(since_boot_ms(), 1, Some(1));
+    relay.apply_change(Change::Put(entry(1)), Origin::Read);
+    relay
+        .list_position
+        .borrow_mut()
+        .read(since_boot_ms(), 1, Some(1));
     relay
 }
 
 /// The engine's entry goes; its reader could not reach the store shortly before, and neither could `relay`.
 fn lapses(relay: &Relay) {
-    relay.upstreams.borrow_mut().unreachable(relay.now_ms());
+    relay
+        .upstreams
+        .borrow_mut()
+        .store_unreachable(relay.now_ms());
     hears_that_it_went(relay, DOUBT_MS);
 }
 
@@ -65,12 +71,12 @@
         news: vec![news],
         ..Told::new(InstanceKey::of("reader"), Kind::Sum)
     };
-    relay.heard(&told, peer());
+    relay.receive_gossip(&told, peer());
 }
 
 /// One asks the other, uses the engine as long as that one doubts, and no longer.
 async fn asks_and_doubts(asking: &Relay, asked: &Relay) {
-    relay::state::take(asking, &asked.state(), peer());
+    relay::snapshot::merge(asking, &asked.snapshot(), peer());
     assert_eq!(ready(asking), 1, "it may have lapsed with the store");
     doubt_ends().await;
     assert_eq!(ready(asking), 0);
@@ -121,7 +127,7 @@
     lapses(&asked);
     doubt_ends().await;
     assert_eq!(ready(&asked), 0);
-    relay::state::take(&asking, &asked.state(), peer());
+    relay::snapshot::merge(&asking, &asked.snapshot(), peer());
     assert_eq!(ready(&asking), 0);
 }
 
@@ -131,10 +137,10 @@
 #[actix_rt::test]
 async fn an_older_answer_does_not_bring_back_what_went() {
     let (asking, asked) = (knowing_one("a"), knowing_one("b"));
-    asked.apply(Change::Put(entry(7)), Origin::Read);
-    let answer = asked.state();
+    asked.apply_change(Change::Put(entry(7)), Origin::Read);
+    let answer = asked.snapshot();
     hears_that_it_went(&asking, 0);
-    relay::state::take(&asking, &answer, peer());
+    relay::snapshot::merge(&asking, &answer, peer());
     assert_eq!(ready(&asking), 0);
 }
 
@@ -143,9 +149,9 @@
 #[actix_rt::test]
 async fn an_older_answer_does_not_end_a_doubt() {
     let (asking, asked) = (knowing_one("a"), knowing_one("b"));
-    let answer = asked.state();
+    let answer = asked.snapshot();
     lapses(&asking);
-    relay::state::take(&asking, &answer, peer());
+    relay::snapshot::merge(&asking, &answer, peer());
     doubt_ends().await;
     assert_eq!(ready(&asking), 0);
 }
--- a/crates/relay/tests/metrics.rs
+++ b/crates/relay/tests/metrics.rs
@@ -33,14 +33,14 @@
     });
     let bed = Bed::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     bed.relay
-        .configs
+        .config_position
         .borrow_mut()
         .read(since_boot_ms(), 1, Some(1));
     for (path, id) in [("/reads/x", "1"), ("/reads/late", "2")] {
         let (status, _) = bed.get(request(Method::GET, path, id)).await;
         assert_eq!(status, 200);
     }
-    bed.relay.replace(Vec::new(), relay::Origin::Whole);
+    bed.relay.replace_list(Vec::new(), relay::Origin::Whole);
     let (status, _) = bed.get(request(Method::GET, "/reads/x", "3")).await;
     assert_eq!(status, 503);
     let (status, _) = bed.get(request(Method::GET, "/nowhere/x", "4")).await;
@@ -90,11 +90,11 @@
     let key = InstanceKey::of("b");
     bed.relay.members.borrow_mut().told(now_ms, key);
     bed.relay
-        .configs
+        .config_position
         .borrow_mut()
         .read(since_boot_ms(), 1, Some(1));
     bed.relay
-        .list
+        .list_position
         .borrow_mut()
         .read(since_boot_ms(), 1, Some(1));
     assert!(ages().iter().all(|age_ms| *age_ms < 1e6), "{:?}", ages());
@@ -110,7 +110,7 @@
 async fn lines_left_out_are_counted() {
     let bed = Bed::start(Vec::new());
     for _ in 0..260 {
-        bed.relay.failed_lines.take(1);
+        bed.relay.failure_log_limit.take(1);
     }
     let lines = lines(&bed, "chicoryrack_lines_left_out");
     assert!(
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -9,7 +9,7 @@
 use relay::gossip;
 use relay::listener::{ListenerKind, bind, serve};
 use relay::members::Member;
-use relay::state::catch_up;
+use relay::snapshot::query_peer;
 use relay::upstream::{InFlight, Stage, Work};
 use relay::{Phase, Relay};
 use tick::{Clock, since_boot_ms};
@@ -23,7 +23,10 @@
 async fn an_instance_that_starts_without_the_store_asks_another() {
     let desk = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
     let old = Bed::start(vec![desk.entry("one", "desk", Stage::Whole)]);
-    old.relay.list.borrow_mut().read_whole(since_boot_ms(), 1);
+    old.relay
+        .list_position
+        .borrow_mut()
+        .read_whole(since_boot_ms(), 1);
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let peer = listener.local_addr().unwrap();
     let (_phase, phases) = watch::channel(Phase::Serving);
@@ -39,7 +42,7 @@
     let new = Bed::knowing_nothing(told);
     let (status, _) = new.get(request(Method::GET, "/reads/x", "1")).await;
     assert_eq!(status, 503);
-    catch_up(&new.relay).await;
+    query_peer(&new.relay).await;
     assert!(new.relay.is_ready());
     let (status, _) = new.get(request(Method::GET, "/reads/x", "2")).await;
     assert_eq!(status, 200);
@@ -58,12 +61,12 @@
     let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
     let (one, two) = (relay("a"), relay("b"));
     let sockets = [
-        gossip::open("127.0.0.1:0".parse().unwrap()).await.unwrap(),
-        gossip::open("127.0.0.1:0".parse().unwrap()).await.unwrap(),
+        gossip::bind("127.0.0.1:0".parse().unwrap()).await.unwrap(),
+        gossip::bind("127.0.0.1:0".parse().unwrap()).await.unwrap(),
     ];
     for relay in [&one, &two] {
         let entry = engine.entry("one", "llm", Stage::Prefill);
-        relay.apply(relay::upstreams::Change::Put(entry), relay::Origin::Read);
+        relay.apply_change(relay::upstreams::Change::Put(entry), relay::Origin::Read);
         let member = Member {
             name: "b".to_owned(),
             address: "127.0.0.1:2".parse().unwrap(),
@@ -75,8 +78,11 @@
         };
         relay.members.borrow_mut().heard(relay.now_ms(), member);
     }
-    actix_rt::spawn(gossip::tell(Rc::clone(&one), Rc::clone(&sockets[0])));
-    actix_rt::spawn(gossip::hear(Rc::clone(&two), Rc::clone(&sockets[1])));
+    actix_rt::spawn(gossip::send_periodically(
+        Rc::clone(&one),
+        Rc::clone(&sockets[0]),
+    ));
+    actix_rt::spawn(gossip::receive(Rc::clone(&two), Rc::clone(&sockets[1])));
     let seen = |relay: &Relay| {
         let upstreams = relay.upstreams.borrow();
         let now_ms = relay.now_ms();
@@ -104,12 +110,15 @@
     let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
     let relay = relay("a");
     let entry = engine.entry("one", "llm", Stage::Prefill);
-    relay.apply(relay::upstreams::Change::Put(entry), relay::Origin::Read);
-    relay.list.borrow_mut().read(since_boot_ms(), 1, Some(1));
-    let mut told = relay.state();
+    relay.apply_change(relay::upstreams::Change::Put(entry), relay::Origin::Read);
+    relay
+        .list_position
+        .borrow_mut()
+        .read(since_boot_ms(), 1, Some(1));
+    let mut told = relay.snapshot();
     told.upstreams.clear();
     told.list_age_ms = Some(1_000);
-    relay::state::take(&relay, &told, "127.0.0.1:1".parse().unwrap());
+    relay::snapshot::merge(&relay, &told, "127.0.0.1:1".parse().unwrap());
     assert_eq!(relay.upstreams.borrow().len(), 1);
 }
 
@@ -130,11 +139,14 @@
 fn knowing_one() -> (StandIn, Rc<Relay>) {
     let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
     let relay = relay("a");
-    relay.apply(
+    relay.apply_change(
         Change::Put(engine.entry("one", "llm", Stage::Prefill)),
         relay::Origin::Read,
     );
-    relay.list.borrow_mut().read(since_boot_ms(), 1, Some(1));
+    relay
+        .list_position
+        .borrow_mut()
+        .read(since_boot_ms(), 1, Some(1));
     (engine, relay)
 }
 
@@ -150,9 +162,9 @@
 async fn what_a_reader_saw_go_is_gone_for_one_that_is_cut_off() {
     let (_engine, relay) = knowing_one();
     let now_ms = relay.now_ms();
-    relay.upstreams.borrow_mut().unreachable(now_ms);
+    relay.upstreams.borrow_mut().store_unreachable(now_ms);
     let gone = Change::Gone("one".to_owned());
-    relay.heard(&told("b", gone, 0), "127.0.0.1:1".parse().unwrap());
+    relay.receive_gossip(&told("b", gone, 0), "127.0.0.1:1".parse().unwrap());
     assert_eq!(ready(&relay), 0);
 }
 
@@ -162,9 +174,9 @@
 async fn what_may_have_lapsed_for_all_is_kept() {
     let (_engine, relay) = knowing_one();
     let now_ms = relay.now_ms();
-    relay.upstreams.borrow_mut().unreachable(now_ms);
+    relay.upstreams.borrow_mut().store_unreachable(now_ms);
     let gone = Change::Gone("one".to_owned());
-    relay.heard(&told("b", gone, 2_000), "127.0.0.1:1".parse().unwrap());
+    relay.receive_gossip(&told("b", gone, 2_000), "127.0.0.1:1".parse().unwrap());
     assert_eq!(ready(&relay), 1);
 }
 
@@ -175,6 +187,6 @@
 async fn the_doubt_of_one_that_was_turned_away_is_not_shared() {
     let (_engine, relay) = knowing_one();
     let gone = Change::Gone("one".to_owned());
-    relay.heard(&told("b", gone, 2_200), "127.0.0.1:1".parse().unwrap());
+    relay.receive_gossip(&told("b", gone, 2_200), "127.0.0.1:1".parse().unwrap());
     assert_eq!(ready(&relay), 0);
 }
--- a/crates/relay/tests/places.rs
+++ b/crates/relay/tests/places.rs
@@ -12,7 +12,7 @@
 use relay::Relay;
 use relay::members::Member;
 use relay::relay::ChangesRead;
-use relay::state::State;
+use relay::snapshot::Snapshot;
 use relay::upstream::{Entry, Stage, Standing};
 use tick::{Clock, since_boot_ms};
 use view::{Change, Told};
@@ -143,7 +143,7 @@
     list: List,
     all: Vec<Rc<Relay>>,
     readings: Vec<Option<Reading>>,
-    answers: Vec<Option<(usize, State)>>,
+    answers: Vec<Option<(usize, Snapshot)>>,
     datagrams: Vec<(usize, usize, Told)>,
 }
 
@@ -162,22 +162,22 @@
         match *step {
             Step::Write(upstream, standing) => self.list.write(upstream, standing),
             Step::Read(who) => {
-                let next = self.all[who].list.borrow().next();
+                let next = self.all[who].list_position.borrow().next();
                 self.readings[who].get_or_insert_with(|| self.list.read(next));
             }
             Step::TakeReading(who) => self.take_reading(who),
             Step::Ask(who, other) => {
-                let answer = (other, self.all[other].state());
+                let answer = (other, self.all[other].snapshot());
                 self.answers[who].get_or_insert(answer);
             }
             Step::TakeAnswer(who) => {
                 if let Some((other, answer)) = self.answers[who].take() {
-                    relay::state::take(&self.all[who], &answer, address(other));
+                    relay::snapshot::merge(&self.all[who], &answer, address(other));
                 }
             }
             Step::Tell(who) => {
                 // One in some datagrams says all there is; the others are left out where nothing changed.
-                let mut out = (0..WHOLE_PERIODS).map(|_| self.all[who].told_now());
+                let mut out = (0..WHOLE_PERIODS).map(|_| self.all[who].due_gossip());
                 let told = out
                     .find(|told| !told.is_empty())
                     .unwrap_or_default()
@@ -191,18 +191,21 @@
             }
             Step::Deliver(which) => {
                 let (from, to, told) = self.datagrams.remove(which % self.datagrams.len());
-                self.all[to].heard(&told, address(from));
+                self.all[to].receive_gossip(&told, address(from));
             }
             Step::Lose(which) => {
                 self.datagrams.remove(which % self.datagrams.len());
             }
             Step::Cut(who) => {
                 let now_ms = self.all[who].now_ms();
-                self.all[who].upstreams.borrow_mut().unreachable(now_ms);
+                self.all[who]
+                    .upstreams
+                    .borrow_mut()
+                    .store_unreachable(now_ms);
             }
             Step::LoseHistory(who) => {
                 self.readings[who] = None;
-                self.all[who].list.borrow_mut().lost();
+                self.all[who].list_position.borrow_mut().lost();
             }
             Step::Restart(who) => {
                 self.all[who] = instance(who);
@@ -217,19 +220,19 @@
         match self.readings[who].take() {
             None => {}
             Some(Reading::Whole(next, entries)) => {
-                self.all[who].read_whole_list(now_ms, next, entries);
+                self.all[who].take_whole_list(now_ms, next, entries);
             }
-            Some(Reading::Changes(read)) => self.all[who].read_changes(now_ms, read),
+            Some(Reading::Changes(read)) => self.all[who].take_changes(now_ms, read),
         }
     }
 
     /// An instance that holds something else than the list said at its place.
     fn wrong(&self) -> Option<String> {
         self.all.iter().find_map(|relay| {
-            let next = relay.list.borrow().next()?;
+            let next = relay.list_position.borrow().next()?;
             let now_ms = relay.now_ms();
             let upstreams = relay.upstreams.borrow();
-            let doubts = upstreams.doubts(now_ms);
+            let doubts = upstreams.unconfirmed_entries(now_ms);
             let is_doubted = |id: &str| doubts.iter().any(|doubt| doubt.id == id);
             let ready = upstreams.ready("llm", now_ms).map(|each| each.id.clone());
             let ready: BTreeSet<String> = ready.filter(|id| !is_doubted(id)).collect();
--- a/crates/relay/tests/poison.rs
+++ b/crates/relay/tests/poison.rs
@@ -186,7 +186,7 @@
     let ended = crashed(&fleet);
     let new = Bed::start(all);
     let peer = "127.0.0.1:1".parse().expect("an address");
-    relay::state::take(&new.relay, &old.relay.state(), peer);
+    relay::snapshot::merge(&new.relay, &old.relay.snapshot(), peer);
     assert_eq!(new.get(poisoned_question(9)).await.0, 503);
     assert_eq!(crashed(&fleet), ended);
 }
@@ -231,7 +231,7 @@
         statuses.push(bed.get(poison("/claims/1", attempt)).await.0);
         looked(&bed).await;
         bed.relay
-            .apply(Change::Put(entry(1 + attempt as u64)), relay::Origin::Read);
+            .apply_change(Change::Put(entry(1 + attempt as u64)), relay::Origin::Read);
     }
     assert_eq!(statuses, [502, 502, 503, 503]);
 }
@@ -258,7 +258,7 @@
     });
     assert!(until(|| reader.count() == 1).await);
     let key = RequestKey::of("host.test", "POST", "/grades/1", POISON.as_bytes());
-    bed.relay.told_poisonous(&[key]);
+    bed.relay.learn_poison_requests(&[key]);
     assert_eq!(answer.await.expect("an answer"), 503);
     assert_eq!(crashed(&makers), 0);
 }
--- a/crates/relay/tests/repeats.rs
+++ b/crates/relay/tests/repeats.rs
@@ -81,7 +81,7 @@
     let mut all = entries(readers, "reader", Stage::Prefill);
     all.extend(entries(makers, "maker", Stage::Decode));
     let settings = relay::Settings {
-        repeats: TERMS,
+        retry_budget: TERMS,
         ..settings()
     };
     Bed::start_with(settings, all)
@@ -126,13 +126,13 @@
 
 /// Repeats that an instance may make without a request to pay for them.
 fn unpaid(relay: &Relay) -> usize {
-    (0..100).filter(|_| relay.may_repeat("desk")).count()
+    (0..100).filter(|_| relay.take_retry("desk")).count()
 }
 
 /// Guards against a part of the allowance that is there anew each time a process is killed and starts again.
 #[test]
 fn a_process_that_starts_again_takes_no_second_part() {
-    let part = settings().repeats.slack / 7.0;
+    let part = settings().retry_budget.slack / 7.0;
     let before = unpaid(&one_of_seven(AGE));
     let after = unpaid(&one_of_seven(Duration::ZERO));
     assert!(before > 0);
@@ -153,7 +153,7 @@
     }
     assert!(members.count() < 7, "silence is noticed");
     drop(members);
-    let part = settings().repeats.slack / 7.0;
+    let part = settings().retry_budget.slack / 7.0;
     let taken = unpaid(&relay);
     assert!(taken > 0 && taken as f64 <= part, "{taken} of {part}");
 }
@@ -172,7 +172,7 @@
         };
         relay.members.borrow_mut().heard(now_ms, starting);
     }
-    let part = settings().repeats.slack / 7.0;
+    let part = settings().retry_budget.slack / 7.0;
     let taken = unpaid(&relay);
     assert!(taken > 0 && taken as f64 <= part, "{taken} of {part}");
 }
--- a/crates/relay/tests/usage.rs
+++ b/crates/relay/tests/usage.rs
@@ -11,14 +11,14 @@
 use http_body_util::Full;
 use keys::KeyHash;
 use relay::config::{Access, Workspace};
-use relay::duties::Terms;
+use relay::singleton_tasks::TaskSettings;
 use relay::upstream::{Entry, Stage};
 use relay::{Origin, Settings};
 use view::{Change, WorkspaceKey};
 
 fn bed(entries: Vec<Entry>) -> Bed {
     let bed = Bed::knowing_nothing(Settings {
-        duties: Terms {
+        singleton_tasks: TaskSettings {
             usage: Some(Windows {
                 length_ms: 3_600_000,
             }),
@@ -39,7 +39,7 @@
         .borrow_mut()
         .heard(bed.relay.now_ms(), own);
     for entry in entries {
-        bed.relay.apply(Change::Put(entry), Origin::Read);
+        bed.relay.apply_change(Change::Put(entry), Origin::Read);
     }
     bed
 }
@@ -55,10 +55,10 @@
 async fn counted(bed: &Bed) -> BTreeMap<&'static str, u32> {
     let relay = &bed.relay;
     relay.members.borrow_mut().heard(relay.now_ms(), listener());
-    relay.wrote(relay.heartbeat());
+    relay.heartbeat_stored(relay.heartbeat());
     let mut counts = BTreeMap::new();
     for _ in 0..20 {
-        let told = relay.told_now();
+        let told = relay.due_gossip();
         let tallies = told.iter().flat_map(|(_, told)| &told.tallies);
         for (key, count) in tallies.flat_map(|tally| &tally.counts) {
             let mut names = ["one", "other"].into_iter();
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -4,7 +4,7 @@
 pub fn start(default_level: &str) {
     let env = env_logger::Env::default().default_filter_or(default_level);
     let started = env_logger::Builder::from_env(env)
-        .format(relay::audit::write_line)
+        .format(relay::logging::write_line)
         .try_init();
     if let Err(error) = started {
         eprintln!("logging was started before: {error}");
