--- a/crates/duty/src/ledger.rs
+++ b/crates/duty/src/ledger.rs
@@ -32,12 +32,12 @@
 
 /// All tallies that this instance knows of.
 #[derive(Debug, Clone)]
-pub struct Ledger {
+pub struct UsageLedger {
     own: u32,
     windows: BTreeMap<u64, HashMap<u32, Counted>>,
 }
 
-impl Ledger {
+impl UsageLedger {
     /// Of a process whose life has this number.
     pub fn new(own: u32) -> Self {
         Self {
@@ -47,7 +47,7 @@
     }
 
     /// A request of a workspace began to run.
-    pub fn began(&mut self, window: u64, workspace: WorkspaceKey) {
+    pub fn record_start(&mut self, window: u64, workspace: WorkspaceKey) {
         let lives = self.windows.entry(window).or_default();
         let counted = lives.entry(self.own).or_default();
         *counted.counts.entry(workspace).or_default() += 1;
@@ -58,7 +58,7 @@
 
     /// Another instance told a tally while `now` is the present window; `passes_on` if it is this one's to tell to those
     /// that report.
-    pub fn heard(&mut self, now: u64, tally: &Tally, passes_on: bool) {
+    pub fn receive(&mut self, now: u64, tally: &Tally, passes_on: bool) {
         if tally.window > now + AHEAD || tally.window + REMEMBERED < now {
             return;
         }
@@ -68,8 +68,8 @@
             .map(|(_, count)| u64::from(*count))
             .sum();
         let lives = self.windows.entry(tally.window).or_default();
-        let counted = lives.entry(tally.origin).or_default();
-        if tally.origin == self.own || total <= counted.total {
+        let counted = lives.entry(tally.incarnation).or_default();
+        if tally.incarnation == self.own || total <= counted.total {
             return;
         }
         counted.counts = tally.counts.iter().copied().collect();
@@ -79,7 +79,7 @@
     }
 
     /// A new receiver has not heard what was told before.
-    pub fn tell_again(&mut self) {
+    pub fn resend_own(&mut self) {
         let recent = self.windows.values_mut().rev().take(2);
         for counted in recent.filter_map(|lives| lives.get_mut(&self.own)) {
             counted.untold = TIMES;
@@ -87,13 +87,13 @@
     }
 
     /// Tallies that are to be told in the next datagram.
-    pub fn told(&mut self) -> Vec<Tally> {
+    pub fn to_send(&mut self) -> Vec<Tally> {
         let mut told = Vec::new();
         for (window, lives) in &mut self.windows {
             for (origin, counted) in lives.iter_mut().filter(|(_, it)| it.untold > 0) {
                 counted.untold -= 1;
                 told.push(Tally {
-                    origin: *origin,
+                    incarnation: *origin,
                     window: *window,
                     counts: counted
                         .counts
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,7 +1,7 @@
 //! What one instance does for the whole fleet.
 //!
-//! Every instance counts what runs for whom, and what it has counted reaches a few others soon ([`Ledger`]). Of these
-//! one reports each window of time once ([`Reports`]) and orders engines ([`scale`]). Who that is, and that no two are
+//! Every instance counts what runs for whom, and what it has counted reaches a few others soon ([`UsageLedger`]). Of these
+//! one reports each window of time once ([`UsageReports`]) and orders engines ([`scale`]). Who that is, and that no two are
 //! heard at a time, rests on `lease::Turns`. Nothing here does input or output. See docs/design/duties.md.
 
 mod ledger;
@@ -9,6 +9,6 @@
 pub mod scale;
 mod windows;
 
-pub use ledger::Ledger;
-pub use reports::{Due, Report, Reports};
-pub use windows::Windows;
+pub use ledger::UsageLedger;
+pub use reports::{ReportAction, UsageReport, UsageReports};
+pub use windows::UsageWindows;
--- a/crates/duty/src/reports.rs
+++ b/crates/duty/src/reports.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Windows;
+use crate::UsageWindows;
 
 /// Time after a window's end in which tallies of it still come, in ms: what was counted last reaches the hub and from
 /// there those that report, several times each.
@@ -27,7 +27,7 @@
 
 /// A window's counts as they stand in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct UsageReport {
     /// Number of the window.
     pub window: u64,
     /// Requests by name of the workspace.
@@ -36,16 +36,16 @@
 
 /// What is to be done now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Due {
+pub enum ReportAction {
     /// Its counts are to be fixed and sent.
     Fix(u64),
     /// It is to be sent as it was fixed.
-    Send(Report),
+    Send(UsageReport),
 }
 
 #[derive(Debug, Clone)]
 struct Fixed {
-    report: Report,
+    report: UsageReport,
     is_accepted: bool,
     is_own: bool,
     tried_ms: Option<u64>,
@@ -53,16 +53,16 @@
 
 /// What is known of the reports so far. All times are the fleet's, in ms since 1970.
 #[derive(Debug, Clone)]
-pub struct Reports {
-    windows: Windows,
+pub struct UsageReports {
+    windows: UsageWindows,
     /// Windows from this one on are this instance's to tell: it has been there for all of them.
     first: u64,
     fixed: BTreeMap<u64, Fixed>,
 }
 
-impl Reports {
+impl UsageReports {
     /// Of an instance that starts now.
-    pub fn new(windows: Windows, now_ms: u64) -> Self {
+    pub fn new(windows: UsageWindows, now_ms: u64) -> Self {
         Self {
             windows,
             first: windows.at(now_ms) + 1,
@@ -71,7 +71,7 @@
     }
 
     /// The log holds a report; the first of a window counts.
-    pub fn fixed(&mut self, report: Report, is_own: bool) {
+    pub fn record_fixed(&mut self, report: UsageReport, is_own: bool) {
         let window = report.window;
         self.fixed.entry(window).or_insert(Fixed {
             report,
@@ -88,7 +88,7 @@
     }
 
     /// A window was sent, and accepted or not.
-    pub fn sent(&mut self, now_ms: u64, window: u64, is_accepted: bool) {
+    pub fn record_sent(&mut self, now_ms: u64, window: u64, is_accepted: bool) {
         if let Some(fixed) = self.fixed.get_mut(&window) {
             fixed.tried_ms = Some(now_ms);
             fixed.is_accepted |= is_accepted;
@@ -96,7 +96,11 @@
     }
 
     /// The oldest window for which something is to be done; `is_known` tells whether anything is known of what ran in one.
-    pub fn due(&mut self, now_ms: u64, is_known: impl Fn(u64) -> bool) -> Option<Due> {
+    pub fn next_action(
+        &mut self,
+        now_ms: u64,
+        is_known: impl Fn(u64) -> bool,
+    ) -> Option<ReportAction> {
         let oldest = self.windows.at(now_ms.saturating_sub(LATE_MS));
         self.fixed = self.fixed.split_off(&oldest);
         let is_over = |window: &u64| now_ms >= self.windows.end_ms(*window) + SETTLE_MS;
@@ -105,8 +109,10 @@
             .find_map(|window| match self.fixed.get(&window) {
                 Some(fixed) => self
                     .is_to_be_sent(now_ms, fixed)
-                    .then(|| Due::Send(fixed.report.clone())),
-                None => (window >= self.first || is_known(window)).then_some(Due::Fix(window)),
+                    .then(|| ReportAction::Send(fixed.report.clone())),
+                None => {
+                    (window >= self.first || is_known(window)).then_some(ReportAction::Fix(window))
+                }
             })
     }
 
--- a/crates/duty/src/scale.rs
+++ b/crates/duty/src/scale.rs
@@ -29,7 +29,7 @@
 
 /// How an engine is paid for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum CapacityKind {
     /// It stays until it is given back.
     OnDemand,
     /// It costs less, and may be taken back.
@@ -38,11 +38,13 @@
 
 /// Bounds on a service's engines, as the operators set them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Terms {
+pub struct ScalingBounds {
     /// Least engines of a zone, of both kinds together.
-    pub least: usize,
+    #[serde(rename = "least")]
+    pub min_per_zone: usize,
     /// Most engines of a zone, of both kinds together.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max_per_zone: usize,
     /// Price of an engine that may be taken back, as a part of that of another one; 0 where there are none.
     pub spot_price: f64,
     /// Price of an engine in each zone, relative to the others.
@@ -51,7 +53,7 @@
 
 /// Engines of a zone now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Zone {
+pub struct ZoneCapacity {
     /// Its name.
     pub name: String,
     /// Those on demand that serve.
@@ -59,23 +61,23 @@
     /// Those that may be taken back and serve.
     pub spot: usize,
     /// Those that were taken back and leave.
-    pub spot_leaving: usize,
+    pub spot_reclaimed: usize,
 }
 
 /// An order that is wished for: a zone is to have so many engines of a kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct ZoneTarget {
     /// The zone.
     pub zone: String,
     /// The kind.
-    pub kind: Kind,
+    pub kind: CapacityKind,
     /// Engines that it is to have.
     pub desired: usize,
 }
 
 /// What came of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum OrderOutcome {
     /// It was taken.
     Taken,
     /// There are none to be had.
@@ -103,34 +105,34 @@
 
 /// Plans the engines of one service.
 #[derive(Debug, Clone, Default)]
-pub struct Scaling {
+pub struct ScalePlanner {
     /// Engines that the service is to have in all zones.
     wanted: usize,
     seen_since_ms: Option<u64>,
     is_adopted: bool,
-    ordered: HashMap<(String, Kind), Ordered>,
+    ordered: HashMap<(String, CapacityKind), Ordered>,
     dry_until_ms: HashMap<String, u64>,
     taken_back_until_ms: HashMap<String, u64>,
 }
 
-impl Scaling {
+impl ScalePlanner {
     /// Engines that the service is to have; nothing while that is not known.
-    pub fn wanted(&self) -> Option<usize> {
+    pub fn target_size(&self) -> Option<usize> {
         (self.wanted > 0).then_some(self.wanted)
     }
 
     /// Another instance has ordered so that the service is to have so many engines.
-    pub fn adopt(&mut self, wanted: usize, wish: &Wish) {
+    pub fn adopt(&mut self, wanted: usize, wish: &ZoneTarget) {
         self.wanted = wanted;
         self.is_adopted = true;
         self.order(wish).desired = Some(wish.desired);
     }
 
     /// An order was given.
-    pub fn ordered(&mut self, now_ms: u64, wish: &Wish, outcome: Outcome) {
+    pub fn record_order(&mut self, now_ms: u64, wish: &ZoneTarget, outcome: OrderOutcome) {
         let rest_ms = match outcome {
-            Outcome::Taken | Outcome::Dry | Outcome::Unanswered => RETRY_MS,
-            Outcome::Refused => DRY_MS,
+            OrderOutcome::Taken | OrderOutcome::Dry | OrderOutcome::Unanswered => RETRY_MS,
+            OrderOutcome::Refused => DRY_MS,
         };
         let order = self.order(wish);
         order.tried = Some(Tried {
@@ -139,25 +141,30 @@
             rest_ms,
         });
         match outcome {
-            Outcome::Taken => order.desired = Some(wish.desired),
-            Outcome::Dry => {
+            OrderOutcome::Taken => order.desired = Some(wish.desired),
+            OrderOutcome::Dry => {
                 self.dry_until_ms.insert(wish.zone.clone(), now_ms + DRY_MS);
             }
-            Outcome::Refused | Outcome::Unanswered => {}
+            OrderOutcome::Refused | OrderOutcome::Unanswered => {}
         }
     }
 
-    fn order(&mut self, wish: &Wish) -> &mut Ordered {
+    fn order(&mut self, wish: &ZoneTarget) -> &mut Ordered {
         let key = (wish.zone.clone(), wish.kind);
         self.ordered.entry(key).or_default()
     }
 
-    fn desired(&self, zone: &str, kind: Kind) -> Option<usize> {
+    fn desired(&self, zone: &str, kind: CapacityKind) -> Option<usize> {
         self.ordered.get(&(zone.to_owned(), kind))?.desired
     }
 
     /// The orders that should be given now.
-    pub fn next(&mut self, now_ms: u64, terms: &Terms, zones: &[Zone]) -> Vec<Wish> {
+    pub fn due_orders(
+        &mut self,
+        now_ms: u64,
+        terms: &ScalingBounds,
+        zones: &[ZoneCapacity],
+    ) -> Vec<ZoneTarget> {
         self.note_size(now_ms, zones);
         self.note_taken_back(now_ms, zones);
         if self.wanted == 0 {
@@ -172,7 +179,7 @@
 
     /// The fleet that the operators set up is the size that is wanted. Its engines come into the list one after the other,
     /// and each that is there can be replaced already.
-    fn note_size(&mut self, now_ms: u64, zones: &[Zone]) {
+    fn note_size(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
         let on_demand: usize = zones.iter().map(|zone| zone.on_demand).sum();
         let spot: usize = zones.iter().map(|zone| zone.spot).sum();
         if on_demand + spot == 0 {
@@ -197,10 +204,10 @@
             .is_some_and(|since_ms| now_ms < since_ms + GROWING_MS)
     }
 
-    fn note_taken_back(&mut self, now_ms: u64, zones: &[Zone]) {
+    fn note_taken_back(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
         for zone in zones {
-            let had = zone.spot + zone.spot_leaving;
-            if had > 0 && zone.spot_leaving as f64 > had as f64 * TAKEN_BACK_SHARE {
+            let had = zone.spot + zone.spot_reclaimed;
+            if had > 0 && zone.spot_reclaimed as f64 > had as f64 * TAKEN_BACK_SHARE {
                 let until_ms = now_ms + DRY_MS;
                 self.dry_until_ms.insert(zone.name.clone(), until_ms);
                 self.taken_back_until_ms.insert(zone.name.clone(), until_ms);
@@ -223,7 +230,7 @@
     /// Engines of the cheaper kind that are to be had: as many as leave what is wanted when all of a zone are taken back
     /// at once. New ones take seconds to come, and longer until they hold what those that went had read. None where so
     /// many cost more than those on demand.
-    fn spot_wanted(&self, terms: &Terms, zones: usize) -> usize {
+    fn spot_wanted(&self, terms: &ScalingBounds, zones: usize) -> usize {
         let wanted = match zones {
             0 | 1 => self.wanted,
             _ => (self.wanted * zones).div_ceil(zones - 1),
@@ -238,19 +245,26 @@
 
     /// As many as are wanted, in the zones that give them: what is there stays, and what is lacking comes where there
     /// are fewest, so that the loss of a zone takes the least along, and of these where they cost least.
-    fn spot_wished(&self, now_ms: u64, terms: &Terms, zones: &[Zone]) -> Vec<Wish> {
+    fn spot_wished(
+        &self,
+        now_ms: u64,
+        terms: &ScalingBounds,
+        zones: &[ZoneCapacity],
+    ) -> Vec<ZoneTarget> {
         let mut wished: Vec<(usize, usize, f64)> = zones
             .iter()
             .map(|zone| {
                 let is_dry = self.is_dry(now_ms, &zone.name);
-                let told = self.desired(&zone.name, Kind::Spot).unwrap_or_default();
+                let told = self
+                    .desired(&zone.name, CapacityKind::Spot)
+                    .unwrap_or_default();
                 let count = match (is_dry, self.is_taken_back(now_ms, &zone.name)) {
                     (_, true) => 0,
                     (true, false) => zone.spot.min(told),
                     (false, false) => told,
                 };
                 // Both kinds together keep within the bound, those on demand that are still to go included.
-                let room = terms.most.saturating_sub(zone.on_demand);
+                let room = terms.max_per_zone.saturating_sub(zone.on_demand);
                 let price = terms.zone_prices.get(&zone.name).copied();
                 (count, if is_dry { 0 } else { room }, price.unwrap_or(1.0))
             })
@@ -268,9 +282,9 @@
             }
         }
         let all = zones.iter().zip(wished);
-        all.map(|(zone, (desired, ..))| Wish {
+        all.map(|(zone, (desired, ..))| ZoneTarget {
             zone: zone.name.clone(),
-            kind: Kind::Spot,
+            kind: CapacityKind::Spot,
             desired,
         })
         .collect()
@@ -281,12 +295,12 @@
     fn on_demand_wished(
         &self,
         now_ms: u64,
-        terms: &Terms,
-        zones: &[Zone],
-        spot: &[Wish],
-    ) -> Vec<Wish> {
-        let there = |zone: &Zone| {
-            let told = self.desired(&zone.name, Kind::OnDemand);
+        terms: &ScalingBounds,
+        zones: &[ZoneCapacity],
+        spot: &[ZoneTarget],
+    ) -> Vec<ZoneTarget> {
+        let there = |zone: &ZoneCapacity| {
+            let told = self.desired(&zone.name, CapacityKind::OnDemand);
             told.unwrap_or(zone.on_demand)
         };
         let mut wished: Vec<usize> = zones.iter().map(there).collect();
@@ -310,19 +324,19 @@
         }
         let all = zones.iter().zip(spot).zip(wished);
         all.map(|((zone, spot), desired)| {
-            let is_bare = spot.desired < terms.least || self.is_dry(now_ms, &zone.name);
-            let least = if is_bare { terms.least } else { 0 };
-            let most = terms.most.saturating_sub(spot.desired).max(least);
-            Wish {
+            let is_bare = spot.desired < terms.min_per_zone || self.is_dry(now_ms, &zone.name);
+            let least = if is_bare { terms.min_per_zone } else { 0 };
+            let most = terms.max_per_zone.saturating_sub(spot.desired).max(least);
+            ZoneTarget {
                 zone: zone.name.clone(),
-                kind: Kind::OnDemand,
+                kind: CapacityKind::OnDemand,
                 desired: desired.clamp(least, most),
             }
         })
         .collect()
     }
 
-    fn is_due(&self, now_ms: u64, wish: &Wish, zones: &[Zone]) -> bool {
+    fn is_due(&self, now_ms: u64, wish: &ZoneTarget, zones: &[ZoneCapacity]) -> bool {
         let ordered = self.ordered.get(&(wish.zone.clone(), wish.kind));
         let ordered = ordered.copied().unwrap_or_default();
         let rests = ordered.tried.is_some_and(|tried| {
@@ -335,8 +349,8 @@
         });
         let there = zones.iter().find(|zone| zone.name == wish.zone);
         let as_it_is = there.map_or(0, |zone| match wish.kind {
-            Kind::OnDemand => zone.on_demand,
-            Kind::Spot => zone.spot,
+            CapacityKind::OnDemand => zone.on_demand,
+            CapacityKind::Spot => zone.spot,
         });
         !rests && ordered.desired.unwrap_or(as_it_is) != wish.desired
     }
--- a/crates/duty/tests/scale.rs
+++ b/crates/duty/tests/scale.rs
@@ -1,12 +1,14 @@
 //! Engines that are ordered, taken back, not to be had, or late.
 
-use duty::scale::{Kind, Outcome, Scaling, Terms, Wish, Zone};
+use duty::scale::{
+    CapacityKind, OrderOutcome, ScalePlanner, ScalingBounds, ZoneCapacity, ZoneTarget,
+};
 
-fn terms() -> Terms {
+fn terms() -> ScalingBounds {
     let prices = [("a", 1.0), ("b", 0.8), ("c", 1.25)];
-    Terms {
-        least: 1,
-        most: 76,
+    ScalingBounds {
+        min_per_zone: 1,
+        max_per_zone: 76,
         spot_price: 0.22,
         zone_prices: prices.map(|(name, price)| (name.to_owned(), price)).into(),
     }
@@ -15,9 +17,9 @@
 /// A platform that gives what is ordered after the boot time, unless a zone is dry.
 struct Platform {
     now_ms: u64,
-    scaling: Scaling,
-    zones: Vec<Zone>,
-    coming: Vec<(u64, Wish)>,
+    scaling: ScalePlanner,
+    zones: Vec<ZoneCapacity>,
+    coming: Vec<(u64, ZoneTarget)>,
     dry: Vec<&'static str>,
     least: usize,
     most_of_a_zone: usize,
@@ -26,14 +28,14 @@
 
 impl Platform {
     fn with(engines: usize) -> Self {
-        let zone = |name: &str| Zone {
+        let zone = |name: &str| ZoneCapacity {
             name: name.to_owned(),
             on_demand: engines / 3,
-            ..Zone::default()
+            ..ZoneCapacity::default()
         };
         Self {
             now_ms: 0,
-            scaling: Scaling::default(),
+            scaling: ScalePlanner::default(),
             zones: ["a", "b", "c"].map(zone).into(),
             coming: Vec::new(),
             dry: Vec::new(),
@@ -57,11 +59,11 @@
                     .find(|zone| zone.name == wish.zone)
                     .unwrap();
                 match wish.kind {
-                    Kind::OnDemand => zone.on_demand = wish.desired,
-                    Kind::Spot => zone.spot = wish.desired,
+                    CapacityKind::OnDemand => zone.on_demand = wish.desired,
+                    CapacityKind::Spot => zone.spot = wish.desired,
                 }
             }
-            let wishes = self.scaling.next(self.now_ms, &terms(), &self.zones);
+            let wishes = self.scaling.due_orders(self.now_ms, &terms(), &self.zones);
             for wish in wishes {
                 self.order(&wish);
             }
@@ -76,7 +78,7 @@
         }
     }
 
-    fn order(&mut self, wish: &Wish) {
+    fn order(&mut self, wish: &ZoneTarget) {
         self.orders += 1;
         let zone = self
             .zones
@@ -84,18 +86,18 @@
             .find(|zone| zone.name == wish.zone)
             .unwrap();
         let there = match wish.kind {
-            Kind::OnDemand => zone.on_demand,
-            Kind::Spot => zone.spot,
+            CapacityKind::OnDemand => zone.on_demand,
+            CapacityKind::Spot => zone.spot,
         };
-        let is_dry = wish.kind == Kind::Spot && self.dry.contains(&wish.zone.as_str());
+        let is_dry = wish.kind == CapacityKind::Spot && self.dry.contains(&wish.zone.as_str());
         let outcome = if is_dry && wish.desired > there {
-            Outcome::Dry
+            OrderOutcome::Dry
         } else {
             let wait_ms = if wish.desired > there { 4_000 } else { 0 };
             self.coming.push((self.now_ms + wait_ms, wish.clone()));
-            Outcome::Taken
+            OrderOutcome::Taken
         };
-        self.scaling.ordered(self.now_ms, wish, outcome);
+        self.scaling.record_order(self.now_ms, wish, outcome);
     }
 
     fn take_back(&mut self, name: &str) {
@@ -104,7 +106,7 @@
             .iter_mut()
             .find(|zone| zone.name == name)
             .unwrap();
-        zone.spot_leaving = std::mem::take(&mut zone.spot);
+        zone.spot_reclaimed = std::mem::take(&mut zone.spot);
     }
 
     fn counts(&self) -> Vec<(usize, usize)> {
@@ -157,7 +159,7 @@
     platform
         .zones
         .iter_mut()
-        .for_each(|zone| zone.spot_leaving = 0);
+        .for_each(|zone| zone.spot_reclaimed = 0);
     platform.run(20_000);
     assert_eq!(platform.counts(), [(0, 56), (0, 56), (0, 55)]);
 }
@@ -165,53 +167,53 @@
 /// Guards against an order that is given again at each look while the API does not answer.
 #[test]
 fn an_order_without_an_answer_rests_before_it_is_given_again() {
-    let mut scaling = Scaling::default();
-    let zone = |name: &str| Zone {
+    let mut scaling = ScalePlanner::default();
+    let zone = |name: &str| ZoneCapacity {
         name: name.to_owned(),
         on_demand: 4,
-        ..Zone::default()
+        ..ZoneCapacity::default()
     };
     let zones = ["a", "b", "c"].map(zone);
-    scaling.next(0, &terms(), &zones);
-    let wishes = scaling.next(1_000, &terms(), &zones);
+    scaling.due_orders(0, &terms(), &zones);
+    let wishes = scaling.due_orders(1_000, &terms(), &zones);
     assert_eq!(wishes.len(), 3);
     for wish in &wishes {
-        scaling.ordered(1_000, wish, Outcome::Unanswered);
+        scaling.record_order(1_000, wish, OrderOutcome::Unanswered);
     }
-    assert!(scaling.next(2_400, &terms(), &zones).is_empty());
-    assert_eq!(scaling.next(2_500, &terms(), &zones), wishes);
+    assert!(scaling.due_orders(2_400, &terms(), &zones).is_empty());
+    assert_eq!(scaling.due_orders(2_500, &terms(), &zones), wishes);
 }
 
 /// Guards against a successor that takes the half of a fleet which is left for the size that is wanted.
 #[test]
 fn a_successor_goes_on_with_the_size_that_was_wanted() {
-    let mut scaling = Scaling::default();
-    let wish = Wish {
+    let mut scaling = ScalePlanner::default();
+    let wish = ZoneTarget {
         zone: "a".to_owned(),
-        kind: Kind::Spot,
+        kind: CapacityKind::Spot,
         desired: 37,
     };
     scaling.adopt(111, &wish);
-    let zone = |name: &str| Zone {
+    let zone = |name: &str| ZoneCapacity {
         name: name.to_owned(),
         spot: if name == "a" { 37 } else { 0 },
-        ..Zone::default()
+        ..ZoneCapacity::default()
     };
-    let wishes = scaling.next(0, &terms(), &["a", "b", "c"].map(zone));
+    let wishes = scaling.due_orders(0, &terms(), &["a", "b", "c"].map(zone));
     let spot: usize = wishes
         .iter()
-        .filter(|wish| wish.kind == Kind::Spot)
+        .filter(|wish| wish.kind == CapacityKind::Spot)
         .map(|wish| wish.desired)
         .sum();
-    assert_eq!((scaling.wanted(), spot), (Some(111), 167));
+    assert_eq!((scaling.target_size(), spot), (Some(111), 167));
 }
 
-fn fleet(on_demand: usize, spot: usize) -> [Zone; 3] {
-    ["a", "b", "c"].map(|name| Zone {
+fn fleet(on_demand: usize, spot: usize) -> [ZoneCapacity; 3] {
+    ["a", "b", "c"].map(|name| ZoneCapacity {
         name: name.to_owned(),
         on_demand,
         spot,
-        ..Zone::default()
+        ..ZoneCapacity::default()
     })
 }
 
@@ -219,13 +221,13 @@
 #[test]
 fn nothing_is_replaced_where_it_would_not_cost_less() {
     for spot_price in [0.0, 0.7, 1.0] {
-        let terms = Terms {
+        let terms = ScalingBounds {
             spot_price,
             ..terms()
         };
-        let mut scaling = Scaling::default();
+        let mut scaling = ScalePlanner::default();
         assert!(
-            scaling.next(0, &terms, &fleet(10, 0)).is_empty(),
+            scaling.due_orders(0, &terms, &fleet(10, 0)).is_empty(),
             "{spot_price}"
         );
     }
@@ -234,19 +236,19 @@
 /// Guards against a fleet that grows by half with each restart of all instances, when the log has lost what was wanted.
 #[test]
 fn a_fleet_that_was_replaced_before_keeps_its_size() {
-    let mut scaling = Scaling::default();
-    assert!(scaling.next(0, &terms(), &fleet(0, 56)).is_empty());
-    assert_eq!(scaling.wanted(), Some(112));
+    let mut scaling = ScalePlanner::default();
+    assert!(scaling.due_orders(0, &terms(), &fleet(0, 56)).is_empty());
+    assert_eq!(scaling.target_size(), Some(112));
 }
 
 /// Guards against an order that the API refuses for good and that is given again every other second.
 #[test]
 fn an_order_that_was_refused_rests_for_long() {
-    let mut scaling = Scaling::default();
-    let wishes = scaling.next(0, &terms(), &fleet(4, 0));
+    let mut scaling = ScalePlanner::default();
+    let wishes = scaling.due_orders(0, &terms(), &fleet(4, 0));
     for wish in &wishes {
-        scaling.ordered(0, wish, Outcome::Refused);
+        scaling.record_order(0, wish, OrderOutcome::Refused);
     }
-    assert!(scaling.next(7_999, &terms(), &fleet(4, 0)).is_empty());
-    assert_eq!(scaling.next(8_000, &terms(), &fleet(4, 0)), wishes);
+    assert!(scaling.due_orders(7_999, &terms(), &fleet(4, 0)).is_empty());
+    assert_eq!(scaling.due_orders(8_000, &terms(), &fleet(4, 0)), wishes);
 }
--- a/crates/entry/src/app.rs
+++ b/crates/entry/src/app.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64;
 use tick::{Clock, Timers};
 use tokio::sync::{Notify, oneshot, watch};
-use view::Suspects;
+use view::PoisonTracker;
 use wire::{Body, Condition};
 
 use crate::control::Control;
@@ -53,7 +53,7 @@
     pub(crate) forecast: RefCell<Forecast>,
     pub(crate) retries: RefCell<RetryBudget>,
     pub(crate) workspaces: RefCell<WorkspaceLimiter>,
-    pub(crate) suspects: RefCell<Suspects>,
+    pub(crate) suspects: RefCell<PoisonTracker>,
     pub(crate) home: RefCell<Home>,
     pub(crate) witness: RefCell<Witness>,
     pub(crate) call_ended: watch::Sender<u64>,
--- a/crates/entry/src/pump/blame.rs
+++ b/crates/entry/src/pump/blame.rs
@@ -1,9 +1,9 @@
 //! What is held against a prompt, and not against the engines that end under it.
 //!
-//! The same rule as on the platform (`view::suspects`), by what this instance sees itself: a prompt under which two engines
+//! The same rule as on the platform (`view::poison`), by what this instance sees itself: a prompt under which two engines
 //! have ended is asked of no third one.
 
-use view::{Fate, UpstreamKey};
+use view::{FailureEvidence, UpstreamKey};
 
 use super::Pump;
 use super::stream::Attempt;
@@ -15,10 +15,10 @@
     pub(super) fn admit(&self) -> Result<(), Refusal> {
         let now_ms = self.app.now_ms();
         let mut suspects = self.app.suspects.borrow_mut();
-        if !suspects.is_poisonous(now_ms, self.work.key) {
+        if !suspects.is_poison(now_ms, self.work.key) {
             return Ok(());
         }
-        suspects.refused(now_ms, self.work.key);
+        suspects.record_refusal(now_ms, self.work.key);
         let text = "engines end under this request";
         Err(Refusal::new(Code::NoUpstream, text))
     }
@@ -40,8 +40,8 @@
         let upstream = UpstreamKey::of(&attempt.name, 0);
         let request = self.work.key;
         let mut suspects = self.app.suspects.borrow_mut();
-        suspects.saw(now_ms, Fate::Lost { request, upstream });
-        suspects.saw(now_ms, Fate::Ended(upstream));
+        suspects.observe(now_ms, FailureEvidence::Lost { request, upstream });
+        suspects.observe(now_ms, FailureEvidence::Ended(upstream));
         log::info!(
             step = "stream", request_id = attempt.request_id.as_str(),
             peer = attempt.name.as_str(), key:% = request; "engine has ended"
@@ -51,8 +51,8 @@
     /// The answer is whole, so the prompt is none that ends engines.
     pub(super) fn note_answered(&self) {
         let mut suspects = self.app.suspects.borrow_mut();
-        if suspects.is_suspected(self.work.key) {
-            suspects.saw(self.app.now_ms(), Fate::Answered(self.work.key));
+        if suspects.is_tracked(self.work.key) {
+            suspects.observe(self.app.now_ms(), FailureEvidence::Answered(self.work.key));
         }
     }
 }
--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -1,14 +1,14 @@
 //! What is noted when a connection ends under a request.
 //!
 //! A loss alone says little: an upstream may have closed one connection, or have ended with all of them. Only
-//! the second is held against a request that meets it twice (`view::suspects`), so it is found out at once by
+//! the second is held against a request that meets it twice (`view::poison`), so it is found out at once by
 //! opening another connection. One that is opened serves the next request; one that is refused spares the
 //! next request the finding out.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use view::Fate;
+use view::FailureEvidence;
 
 use crate::answer::Refusal;
 use crate::call::Call;
@@ -34,7 +34,7 @@
 
 /// An upstream's connection ended under a request, without a whole answer.
 pub fn note_lost_answer(relay: &Rc<Relay>, call: &Call, upstream: &Rc<Upstream>) {
-    relay.record_attribution(Fate::Lost {
+    relay.record_attribution(FailureEvidence::Lost {
         request: call.key,
         upstream: upstream.key,
     });
@@ -57,6 +57,6 @@
     note_unsent(relay, upstream, &fault);
     if let ExchangeError::Connect { .. } = fault {
         log::info!(upstream = upstream.id, fault:%; "upstream has ended");
-        relay.record_attribution(Fate::Ended(upstream.key));
+        relay.record_attribution(FailureEvidence::Ended(upstream.key));
     }
 }
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -94,7 +94,7 @@
     pub engine: Option<EngineLimits>,
     /// Set for services whose upstreams are ordered.
     #[serde(default)]
-    pub scale: Option<scale::Terms>,
+    pub scale: Option<scale::ScalingBounds>,
 }
 
 /// Limits of a service's engines.
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use http::{Response, StatusCode};
-use view::PartRead;
+use view::PrefilledPart;
 
 use crate::answer::{AnswerBody, Refusal};
 use crate::attribution::ensure_not_poison;
@@ -16,7 +16,7 @@
 use crate::retry::refuse_rejected;
 use crate::send::{Sent, note_sign, send};
 use crate::stream::Streaming;
-use crate::upstream::{InFlight, MIN_CACHED_TOKENS, Reading, Upstream, Work};
+use crate::upstream::{InFlight, MIN_CACHED_TOKENS, PrefillProgress, Upstream, Work};
 use crate::urgency::Urgency;
 
 /// Places, sends and answers it.
@@ -155,7 +155,7 @@
     note_sign(relay, &guard, &sent);
     if let Sent::Answer(_) = &sent {
         guard.note_prefilled();
-        keep_parts(relay, call, prompt, maker, Reading::Done);
+        keep_parts(relay, call, prompt, maker, PrefillProgress::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
@@ -183,20 +183,20 @@
     call: &Call,
     prompt: &Prompt,
     engine: &Upstream,
-    reading: Reading,
+    reading: PrefillProgress,
 ) {
     let kv_tokens = relay.engine_limits(&call.service).kv_tokens;
     let long = |part: &&PromptPart| part.tokens >= MIN_CACHED_TOKENS;
     for part in prompt.parts.iter().filter(long) {
-        let is_news = reading == Reading::Done || engine.cached_tokens(part.id) == 0.0;
+        let is_news = reading == PrefillProgress::Done || engine.cached_tokens(part.id) == 0.0;
         let tokens = f64::from(part.tokens);
         engine.note_cached_part(part.id, tokens, reading, kv_tokens as f64);
         if is_news {
-            relay.prefix_news.borrow_mut().push(PartRead {
+            relay.prefix_news.borrow_mut().push(PrefilledPart {
                 upstream: engine.key,
                 part: part.id,
                 tokens: part.tokens,
-                reading,
+                progress: reading,
             });
         }
     }
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use tokio::net::UdpSocket;
-use view::shared::PERIOD_MS;
+use view::gossip::PERIOD_MS;
 use view::{decode, encode};
 
 use crate::relay::Relay;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod access;
 pub mod answer;
 pub mod attribution;
-pub mod audit;
 pub mod call;
 pub mod config;
 pub mod dialect;
@@ -16,8 +15,8 @@
 pub mod generation;
 pub mod gossip;
 pub mod learned;
-pub mod logging;
 pub mod listener;
+pub mod logging;
 pub mod metrics;
 pub mod placement;
 pub mod pool;
@@ -40,4 +39,4 @@
 
 pub use plan::RetryBudgetSettings;
 pub use relay::{Origin, Phase, Relay, Settings};
-pub use view::{cadence, followed, members};
+pub use view::{log_follower, members, polling};
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -17,7 +17,7 @@
 use crate::pool::{ExchangeError, PooledConnection, exchange};
 use crate::relay::Relay;
 use crate::send::{has_no_room, note_misdirected, note_told, note_unsent, raw_send};
-use crate::upstream::{InFlight, Reading, Upstream, Work};
+use crate::upstream::{InFlight, PrefillProgress, Upstream, Work};
 
 /// Times the predicted time after which a prompt's answer may have been lost.
 const PATIENCE: f64 = 3.0;
@@ -111,7 +111,7 @@
     let own_tokens = reader.tokens;
     let reader = &reader.engine;
     let before = reader.view(relay.now_ms(), 0.0, rank).queued_tokens;
-    keep_parts(relay, call, prompt, reader, Reading::Begun);
+    keep_parts(relay, call, prompt, reader, PrefillProgress::Begun);
     call.current_upstream.borrow_mut().clone_from(&reader.id);
     let sending = SendOptions {
         instance: &reader.id,
@@ -150,7 +150,7 @@
     drop(guard);
     if handed.is_some() {
         call.read_is_accepted();
-        keep_parts(relay, call, prompt, reader, Reading::Done);
+        keep_parts(relay, call, prompt, reader, PrefillProgress::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -16,9 +16,9 @@
 
 use plan::{FleetRetryBudget, RetryBudgetSettings};
 use tick::{Clock, since_boot_ms};
-use view::hubs::Ranks;
-use view::shared::Shared;
-use view::{Followed, InstanceKey, Members, PartRead, Said, Suspects};
+use view::gossip::GossipState;
+use view::hubs::HubRanking;
+use view::{InstanceKey, ListedEntries, LogFollower, Members, PoisonTracker, PrefilledPart};
 
 use crate::config::{Config, EngineLimits};
 use crate::dialect::Dialect;
@@ -90,16 +90,16 @@
     /// Requests whose answers are not out yet.
     pub in_flight: Rc<Cell<usize>>,
     /// Prompt parts to be told to other instances.
-    pub(crate) prefix_news: RefCell<Vec<PartRead>>,
+    pub(crate) prefix_news: RefCell<Vec<PrefilledPart>>,
     /// What others told, and what goes on to them.
-    pub(crate) gossip: RefCell<Shared>,
+    pub(crate) gossip: RefCell<GossipState>,
     /// When other instances were last asked.
     pub last_query: LastQuery,
     /// Lines on requests that went well.
     pub success_log_limit: LogRateLimit,
     /// Lines on requests that did not.
     pub failure_log_limit: LogRateLimit,
-    ranks: RefCell<Ranks>,
+    ranks: RefCell<HubRanking>,
     ranks_seen: Cell<(u64, u64)>,
     phase: Cell<Phase>,
     beat: Cell<u64>,
@@ -107,17 +107,17 @@
     retries: RefCell<HashMap<String, FleetRetryBudget>>,
     /// What answers and requests have taught.
     pub learned: Learned,
-    suspects: RefCell<Suspects>,
+    suspects: RefCell<PoisonTracker>,
     /// Orders to engines.
     pub role_orders: RoleOrders,
     /// What one instance does for all.
     pub singleton_tasks: SingletonTasks,
     /// How far the list of upstreams was read.
-    pub list_position: RefCell<Followed>,
+    pub list_position: RefCell<LogFollower>,
     /// What the list last said.
-    pub(crate) last_listed: RefCell<Said>,
+    pub(crate) last_listed: RefCell<ListedEntries>,
     /// How far the configuration was read.
-    pub config_position: RefCell<Followed>,
+    pub config_position: RefCell<LogFollower>,
 }
 
 impl Relay {
@@ -151,9 +151,9 @@
             suspects: RefCell::default(),
             role_orders: orders,
             singleton_tasks: duties,
-            list_position: RefCell::new(Followed::new(own)),
+            list_position: RefCell::new(LogFollower::new(own)),
             last_listed: RefCell::default(),
-            config_position: RefCell::new(Followed::new(own)),
+            config_position: RefCell::new(LogFollower::new(own)),
         })
     }
 
@@ -267,10 +267,10 @@
             upstreams: self.upstreams.borrow().entries(self.now_ms()),
             unconfirmed: self.upstreams.borrow().unconfirmed_entries(self.now_ms()),
             list_age_ms: known_age_ms(&self.list_position.borrow()),
-            list_next: self.list_position.borrow().held(),
+            list_next: self.list_position.borrow().held_offset(),
             config_age_ms: known_age_ms(&self.config_position.borrow()),
-            config_next: self.config_position.borrow().held(),
-            members: self.members.borrow().all(),
+            config_next: self.config_position.borrow().held_offset(),
+            members: self.members.borrow().snapshot(),
             poisonous: self.poison_requests(),
         }
     }
@@ -286,16 +286,18 @@
 
     /// Instances that serve now, among which connections are split.
     pub fn instance_count(&self) -> usize {
-        self.members.borrow().count()
+        self.members.borrow().reachable_count()
     }
 }
 
 /// Age of what this instance could tell another one, if it has taken in all that it knows of.
-fn known_age_ms(followed: &Followed) -> Option<u64> {
+fn known_age_ms(followed: &LogFollower) -> Option<u64> {
     let is_behind = followed.is_behind();
     age_ms(followed).filter(|_| !is_behind)
 }
 
-fn age_ms(followed: &Followed) -> Option<u64> {
-    followed.next().map(|_| followed.age_ms(since_boot_ms()))
+fn age_ms(followed: &LogFollower) -> Option<u64> {
+    followed
+        .next_offset()
+        .map(|_| followed.age_ms(since_boot_ms()))
 }
--- a/crates/relay/src/relay/limits.rs
+++ b/crates/relay/src/relay/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that upstreams name for all instances together, and this instance's part of them.
 
 use plan::InstancePosition;
-use view::{LimitTold, Told};
+use view::{GossipMessage, UpstreamLimit};
 
 use super::Relay;
 use crate::upstream::Upstream;
@@ -25,7 +25,7 @@
             note_changed(upstream, per_s, "answer");
         }
         if let Some(at_ms) = learned.gossip_as_of_ms {
-            self.gossip.borrow_mut().add_limit(LimitTold {
+            self.gossip.borrow_mut().add_limit(UpstreamLimit {
                 upstream: upstream.key,
                 per_s,
                 at_ms,
@@ -34,7 +34,7 @@
     }
 
     /// Takes in limits that other instances were told.
-    pub(super) fn take_limits(&self, now_ms: u64, told: &Told) {
+    pub(super) fn take_limits(&self, now_ms: u64, told: &GossipMessage) {
         let upstreams = self.upstreams.borrow();
         for word in &told.limits {
             let Some(upstream) = upstreams.get_by_key(word.upstream) else {
@@ -50,7 +50,7 @@
             if before != word.per_s {
                 note_changed(upstream, word.per_s, "another instance");
             }
-            self.gossip.borrow_mut().pass_on_limit(*word, told.kind);
+            self.gossip.borrow_mut().forward_limit(*word, told.kind);
         }
     }
 
--- a/crates/relay/src/relay/list.rs
+++ b/crates/relay/src/relay/list.rs
@@ -4,8 +4,8 @@
 //! overtake each other, so whatever comes has its place in the log, and counts only beyond what was taken in
 //! before: else an older one would bring back an upstream that left. See docs/design/views.md.
 
-use view::cadence::{Bounds, Duty};
-use view::{Change, Entry, Mark, News};
+use view::polling::{FreshnessBounds, ReaderRole};
+use view::{GossipedChange, ListChange, LogPosition, UpstreamEntry};
 
 use super::{Relay, age_ms};
 use crate::upstream::Upstream;
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct ChangesRead {
     /// Changes, each with the offset of its record.
-    pub changes: Vec<(u64, Change)>,
+    pub changes: Vec<(u64, ListChange)>,
     /// Offset after the last record.
     pub next: u64,
     /// Offset at which the log ended; beyond `next` if one answer could not bring all.
@@ -45,14 +45,14 @@
     }
 
     /// Takes in a change of the list of upstreams.
-    pub fn apply_change(&self, change: Change, origin: Origin) {
+    pub fn apply_change(&self, change: ListChange, origin: Origin) {
         let id = changed_id(&change);
         let effect = self.upstreams.borrow_mut().apply(self.now_ms(), change);
         self.note_effect(&id, effect, origin);
     }
 
     /// Takes in the whole list of upstreams.
-    pub fn replace_list(&self, entries: Vec<Entry>, origin: Origin) {
+    pub fn replace_list(&self, entries: Vec<UpstreamEntry>, origin: Origin) {
         let effects = self.upstreams.borrow_mut().replace(self.now_ms(), entries);
         for (id, effect) in effects {
             self.note_effect(&id, effect, origin);
@@ -67,30 +67,32 @@
     }
 
     /// Another instance told a change, which counts if nothing before it was missed.
-    pub(super) fn take_change(&self, now_ms: u64, news: &News) {
-        if !self.list_position.borrow_mut().heard_news(news) {
+    pub(super) fn take_change(&self, now_ms: u64, news: &GossipedChange) {
+        if !self.list_position.borrow_mut().apply_change(news) {
             return;
         }
-        self.last_listed.borrow_mut().is_news(&news.change);
-        let (change, doubt_ms) = (news.change.clone(), news.doubt_ms.into());
+        self.last_listed.borrow_mut().apply(&news.change);
+        let (change, doubt_ms) = (news.change.clone(), news.unconfirmed_ms.into());
         let id = changed_id(&change);
         let effect = self
             .upstreams
             .borrow_mut()
             .apply_from_peer(now_ms, change, doubt_ms);
         self.note_effect(&id, effect, Origin::Told);
-        self.gossip.borrow_mut().add_news(now_ms, news.clone());
+        self.gossip
+            .borrow_mut()
+            .add_list_change(now_ms, news.clone());
     }
 
     /// Another instance told where the list stands.
-    pub(super) fn take_mark(&self, since_boot_ms: u64, mark: &Mark) {
+    pub(super) fn take_mark(&self, since_boot_ms: u64, mark: &LogPosition) {
         let mut list = self.list_position.borrow_mut();
-        let was_sure = list.is_sure();
-        list.heard(since_boot_ms, mark);
-        if !was_sure && list.is_sure() {
+        let was_sure = list.knows_last_change();
+        list.receive_position(since_boot_ms, mark);
+        if !was_sure && list.knows_last_change() {
             log::info!(
-                changed = mark.changed, taken = list.taken(), mark_age_ms = mark.age_ms,
-                reader:? = mark.source.reader;
+                changed = mark.last_change, taken = list.last_applied_change(), mark_age_ms = mark.age_ms,
+                reader:? = mark.read_id.reader;
                 "last change of the list heard of"
             );
         }
@@ -100,8 +102,8 @@
     ///
     /// While others vouch for it, the store is there and only turns this instance away: nothing can have
     /// lapsed with it, and doubting that entries have left would keep leaving upstreams in use.
-    pub fn list_read_failed(&self, bounds: &Bounds) {
-        let most_ms = bounds.list_age_ms(Duty::Other);
+    pub fn list_read_failed(&self, bounds: &FreshnessBounds) {
+        let most_ms = bounds.max_list_age_ms(ReaderRole::Other);
         if self.list_age_ms().is_none_or(|age_ms| age_ms >= most_ms) {
             self.upstreams.borrow_mut().store_unreachable(self.now_ms());
         }
@@ -119,18 +121,20 @@
     ///
     /// Another instance may have told more while the answer was on its way. The entries in it are older
     /// then, and would bring back an upstream whose entry went; the record that says so would not be read again.
-    pub fn take_whole_list(&self, as_of_ms: u64, next: u64, entries: Vec<Entry>) {
+    pub fn take_whole_list(&self, as_of_ms: u64, next: u64, entries: Vec<UpstreamEntry>) {
         let is_older = self
             .list_position
             .borrow()
-            .next()
+            .next_offset()
             .is_some_and(|own| own >= next);
         if is_older {
             return;
         }
         self.last_listed.borrow_mut().replace(&entries);
         self.replace_list(entries, Origin::Whole);
-        self.list_position.borrow_mut().read_whole(as_of_ms, next);
+        self.list_position
+            .borrow_mut()
+            .record_snapshot(as_of_ms, next);
     }
 
     /// Records of the list were read, as it stood at `as_of_ms`. What another instance told while they were on
@@ -138,7 +142,10 @@
     pub fn take_changes(&self, as_of_ms: u64, read: ChangesRead) {
         let (from, mut before) = {
             let list = self.list_position.borrow();
-            (list.next().unwrap_or_default(), list.taken())
+            (
+                list.next_offset().unwrap_or_default(),
+                list.last_applied_change(),
+            )
         };
         let mut changed = None;
         for (offset, change) in read.changes {
@@ -156,24 +163,26 @@
         }
         self.list_position
             .borrow_mut()
-            .read(as_of_ms, read.next, changed);
+            .record_read(as_of_ms, read.next, changed);
     }
 
     /// Takes in a change that was read at an offset, `before` being the one after the last change before it;
     /// gives the offset after it if it says something new.
-    fn read_change(&self, before: u64, offset: u64, change: Change) -> Option<u64> {
-        let is_news = self.last_listed.borrow_mut().is_news(&change);
+    fn read_change(&self, before: u64, offset: u64, change: ListChange) -> Option<u64> {
+        let is_news = self.last_listed.borrow_mut().apply(&change);
         let doubt_ms = self.upstreams.borrow().may_have_lapsed_ms(self.now_ms());
         self.apply_change(change.clone(), Origin::Read);
         let after = offset + 1;
-        let news = News {
-            before,
-            after,
+        let news = GossipedChange {
+            previous_offset: before,
+            offset: after,
             change,
-            doubt_ms: doubt_ms as u32,
+            unconfirmed_ms: doubt_ms as u32,
         };
         is_news.then(|| {
-            self.gossip.borrow_mut().add_news(self.now_ms(), news);
+            self.gossip
+                .borrow_mut()
+                .add_list_change(self.now_ms(), news);
             after
         })
     }
@@ -217,20 +226,20 @@
         let list = self.list_position.borrow();
         log::info!(
             upstream = id, origin:? = origin,
-            standing:? = entry.as_ref().map(|entry| entry.standing),
+            standing:? = entry.as_ref().map(|entry| entry.state),
             stage:? = entry.as_ref().map(|entry| entry.stage),
             seq = entry.as_ref().map_or(0, |entry| entry.seq),
-            list_next = list.next().unwrap_or_default(),
-            list_taken = list.taken(),
+            list_next = list.next_offset().unwrap_or_default(),
+            list_taken = list.last_applied_change(),
             list_age_ms = age_ms(&list).unwrap_or(u64::MAX);
             "{what}"
         );
     }
 }
 
-fn changed_id(change: &Change) -> String {
+fn changed_id(change: &ListChange) -> String {
     match change {
-        Change::Put(entry) => entry.id.clone(),
-        Change::Gone(id) => id.clone(),
+        ListChange::Put(entry) => entry.id.clone(),
+        ListChange::Gone(id) => id.clone(),
     }
 }
--- a/crates/relay/src/relay/peers.rs
+++ b/crates/relay/src/relay/peers.rs
@@ -5,10 +5,10 @@
 use std::time::SystemTime;
 
 use tick::since_boot_ms;
-use view::cadence::{Duty, duty};
-use view::hubs::Ranks;
-use view::shared::{Heard, Own};
-use view::{Followed, InstanceKey, Member, Told};
+use view::gossip::{ChangedLoads, LocalState};
+use view::hubs::HubRanking;
+use view::polling::{ReaderRole, reader_role};
+use view::{GossipMessage, InstanceKey, LogFollower, Member};
 
 use super::Relay;
 use crate::{role_orders, singleton_tasks};
@@ -19,14 +19,14 @@
 
 impl Relay {
     /// How this instance follows the store's logs.
-    pub fn reader_role(&self) -> Duty {
+    pub fn reader_role(&self) -> ReaderRole {
         // One that knows nobody yet has read everything itself just now, and soon hears from others.
-        if !self.members.borrow().is_known() {
-            return Duty::Other;
+        if !self.members.borrow().has_members() {
+            return ReaderRole::Other;
         }
         self.look_at_ranks();
         let ranks = self.ranks.borrow();
-        duty(ranks.rank, ranks.instances, ranks.hubs.len())
+        reader_role(ranks.rank, ranks.instances, ranks.hubs.len())
     }
 
     /// Sees to it that the ranks are those of the moment.
@@ -36,7 +36,7 @@
         let seen = (members.version(), now_ms / RANKS_MS);
         if self.ranks_seen.replace(seen) != seen {
             let own = &self.settings.borrow().name;
-            *self.ranks.borrow_mut() = Ranks::of(own, &members);
+            *self.ranks.borrow_mut() = HubRanking::of(own, &members);
         }
     }
 
@@ -45,12 +45,16 @@
         // A process that starts anew must not seem older than it was before, or its word would be
         // passed over; the time of day may have been set back meanwhile.
         let own = self.settings.borrow().name.clone();
-        let before = self.members.borrow().beat_of(&own).unwrap_or_default();
+        let before = self
+            .members
+            .borrow()
+            .heartbeat_seq(&own)
+            .unwrap_or_default();
         let beat = unix_ms().max(before + 1).max(self.beat.get() + 1);
         self.beat.set(beat);
         let member = self.own_member();
         let now_ms = self.now_ms();
-        self.gossip.borrow_mut().joined(now_ms, member.clone());
+        self.gossip.borrow_mut().add_member(now_ms, member.clone());
         member
     }
 
@@ -60,8 +64,8 @@
     /// for the only one.
     pub fn heartbeat_stored(&self, member: Member) {
         let mut members = self.members.borrow_mut();
-        if members.is_known() {
-            members.heard(self.now_ms(), member);
+        if members.has_members() {
+            members.record_heartbeat(self.now_ms(), member);
         }
     }
 
@@ -71,16 +75,16 @@
         Member {
             name: settings.name.clone(),
             address: settings.address,
-            peer: settings.peer,
+            gossip_address: settings.peer,
             zone: settings.zone.clone(),
             ready: self.is_ready(),
-            beat: self.beat.get(),
+            heartbeat_seq: self.beat.get(),
             link_mbps: settings.link_mbps,
         }
     }
 
     /// What other instances are to be told now, and where they are.
-    pub fn due_gossip(&self) -> Vec<(SocketAddr, Told)> {
+    pub fn due_gossip(&self) -> Vec<(SocketAddr, GossipMessage)> {
         let now_ms = self.now_ms();
         let expired = self.gossip.borrow_mut().expire(now_ms);
         self.take_loads(&expired);
@@ -88,14 +92,14 @@
         self.note_poisonous();
         let own = self.own();
         let key = InstanceKey::of(&own.member.name);
-        if own.member.ready && self.members.borrow().is_known() {
-            self.members.borrow_mut().lives(now_ms, key);
+        if own.member.ready && self.members.borrow().has_members() {
+            self.members.borrow_mut().record_self_alive(now_ms, key);
         }
         self.look_at_ranks();
         let ranks = self.ranks.borrow();
         let mut out = self.gossip.borrow_mut().tick(now_ms, own, &ranks);
         let keepers = ranks.hubs.iter().take(singleton_tasks::LEADER_CANDIDATES);
-        let keepers: Vec<SocketAddr> = keepers.filter_map(|keeper| keeper.peer).collect();
+        let keepers: Vec<SocketAddr> = keepers.filter_map(|keeper| keeper.gossip_address).collect();
         self.singleton_tasks.add_tallies(now_ms, &mut out, &keepers);
         out
     }
@@ -106,37 +110,38 @@
         self.ranks.borrow().rank
     }
 
-    fn own(&self) -> Own {
+    fn own(&self) -> LocalState {
         let now_ms = self.now_ms();
         let since_boot_ms = since_boot_ms();
         let duty = self.reader_role();
         let reads_for_others = duty.is_reader();
         let upstreams = self.upstreams.borrow();
-        let mark = |log: &RefCell<Followed>| log.borrow().mark(since_boot_ms, reads_for_others);
-        Own {
+        let mark =
+            |log: &RefCell<LogFollower>| log.borrow().position(since_boot_ms, reads_for_others);
+        LocalState {
             member: self.own_member(),
             loads: upstreams.iter().filter_map(|it| it.outstanding()).collect(),
-            reads: self.prefix_news.take(),
-            turning: upstreams
+            prefilled_parts: self.prefix_news.take(),
+            role_changes: upstreams
                 .iter()
                 .filter_map(|each| each.own_role_change(now_ms))
                 .collect(),
             demand: self.role_orders.demand(now_ms),
-            gives_after: role_orders::leader_fence(self, duty),
-            holds_after: singleton_tasks::leader_fence(self),
+            last_order_token: role_orders::leader_fence(self, duty),
+            last_task_token: singleton_tasks::leader_fence(self),
             clock_ms: unix_ms(),
-            fleet_ms: self.singleton_tasks.fleet_ms(),
-            list: mark(&self.list_position),
-            config: mark(&self.config_position),
-            poisonous: self.poison_requests(),
+            fleet_clock_ms: self.singleton_tasks.fleet_ms(),
+            list_position: mark(&self.list_position),
+            config_position: mark(&self.config_position),
+            poison: self.poison_requests(),
         }
     }
 
     /// Another instance told something.
-    pub fn receive_gossip(&self, told: &Told, peer: SocketAddr) {
+    pub fn receive_gossip(&self, told: &GossipMessage, peer: SocketAddr) {
         let now_ms = self.now_ms();
         self.take_members(now_ms, told);
-        let heard = self.gossip.borrow_mut().heard(now_ms, told, peer);
+        let heard = self.gossip.borrow_mut().receive(now_ms, told, peer);
         self.take_loads(&heard);
         self.take_news(now_ms, told);
         self.take_fates(now_ms, told);
@@ -144,41 +149,46 @@
         self.singleton_tasks
             .receive_gossip(self.settings.borrow().singleton_tasks, told);
         let upstreams = self.upstreams.borrow();
-        for turning in &told.turning {
+        for turning in &told.role_changes {
             if let Some(upstream) = upstreams.get_by_key(turning.upstream) {
-                upstream.begin_role_change(now_ms, turning.stage, turning.left_ms.into(), false);
+                upstream.begin_role_change(
+                    now_ms,
+                    turning.stage,
+                    turning.remaining_ms.into(),
+                    false,
+                );
             }
         }
-        for read in &told.reads {
+        for read in &told.prefilled_parts {
             if let Some(upstream) = upstreams.get_by_key(read.upstream) {
                 let kv_tokens = self.engine_limits(&upstream.service).kv_tokens;
                 let tokens = f64::from(read.tokens);
-                upstream.note_cached_part(read.part, tokens, read.reading, kv_tokens as f64);
+                upstream.note_cached_part(read.part, tokens, read.progress, kv_tokens as f64);
             }
         }
     }
 
-    fn take_members(&self, now_ms: u64, told: &Told) {
+    fn take_members(&self, now_ms: u64, told: &GossipMessage) {
         let mut members = self.members.borrow_mut();
         for member in &told.members {
-            if members.heard_from_another(now_ms, member) {
-                self.gossip.borrow_mut().joined(now_ms, member.clone());
+            if members.receive_heartbeat(now_ms, member) {
+                self.gossip.borrow_mut().add_member(now_ms, member.clone());
             }
         }
         for key in &told.alive {
-            members.told(now_ms, *key);
+            members.record_alive(now_ms, *key);
         }
     }
 
-    fn take_loads(&self, heard: &Heard) {
+    fn take_loads(&self, heard: &ChangedLoads) {
         let shared = self.gossip.borrow();
         let upstreams = self.upstreams.borrow();
-        if !shared.hears() {
+        if !shared.has_senders() {
             upstreams.iter().for_each(|each| each.set_peer_load(None));
             return;
         }
         for upstream in heard
-            .loads
+            .upstreams
             .iter()
             .filter_map(|key| upstreams.get_by_key(*key))
         {
@@ -186,16 +196,18 @@
         }
     }
 
-    fn take_news(&self, now_ms: u64, told: &Told) {
+    fn take_news(&self, now_ms: u64, told: &GossipMessage) {
         let since_boot_ms = since_boot_ms();
-        for news in &told.news {
+        for news in &told.list_changes {
             self.take_change(now_ms, news);
         }
-        if let Some(mark) = &told.list {
+        if let Some(mark) = &told.list_position {
             self.take_mark(since_boot_ms, mark);
         }
-        if let Some(mark) = &told.config {
-            self.config_position.borrow_mut().heard(since_boot_ms, mark);
+        if let Some(mark) = &told.config_position {
+            self.config_position
+                .borrow_mut()
+                .receive_position(since_boot_ms, mark);
         }
     }
 }
--- a/crates/relay/src/relay/poison.rs
+++ b/crates/relay/src/relay/poison.rs
@@ -1,8 +1,8 @@
 //! Requests that end the upstreams that run them, as far as this instance knows.
 
 use serde::{Deserialize, Serialize};
-use view::suspects::REMEMBERED_MS;
-use view::{Fate, RequestKey, Told};
+use view::poison::RETENTION_MS;
+use view::{FailureEvidence, GossipMessage, RequestKey};
 
 use super::Relay;
 use super::peers::unix_ms;
@@ -21,7 +21,7 @@
 impl Relay {
     /// Whether it is being found out if one more upstream has ended under a request that has met one end.
     pub fn is_attribution_pending(&self, call: &Call) -> bool {
-        let deciding = self.suspects.borrow().deciding(call.key);
+        let deciding = self.suspects.borrow().undecided_upstreams(call.key);
         let upstreams = self.upstreams.borrow();
         let known = deciding.iter().filter_map(|key| upstreams.get_by_key(*key));
         known
@@ -33,18 +33,18 @@
     pub fn check_poison(&self, call: &Call) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
-        if !suspects.is_poisonous(now_ms, call.key) {
+        if !suspects.is_poison(now_ms, call.key) {
             return Ok(());
         }
-        suspects.refused(now_ms, call.key);
+        suspects.record_refusal(now_ms, call.key);
         Err(Refusal::new(Reason::PoisonRequest))
     }
 
     /// Something was seen that tells whether a request or its upstream is to blame.
-    pub fn record_attribution(&self, fate: Fate) {
+    pub fn record_attribution(&self, fate: FailureEvidence) {
         let now_ms = self.now_ms();
-        if self.suspects.borrow_mut().saw(now_ms, fate) {
-            self.gossip.borrow_mut().add_fate(fate);
+        if self.suspects.borrow_mut().observe(now_ms, fate) {
+            self.gossip.borrow_mut().add_evidence(fate);
         }
     }
 
@@ -52,21 +52,23 @@
     pub(super) fn note_left(&self, id: &str) {
         let left = self.upstreams.borrow().last_removed(id);
         if let Some(upstream) = left {
-            self.suspects.borrow_mut().left(self.now_ms(), upstream);
+            self.suspects
+                .borrow_mut()
+                .upstream_unlisted(self.now_ms(), upstream);
         }
     }
 
     /// A request was answered whole by an upstream.
     pub fn record_answered(&self, call: &Call) {
-        let is_suspected = self.suspects.borrow().is_suspected(call.key);
+        let is_suspected = self.suspects.borrow().is_tracked(call.key);
         if is_suspected {
-            self.record_attribution(Fate::Answered(call.key));
+            self.record_attribution(FailureEvidence::Answered(call.key));
         }
     }
 
     /// The requests under which upstreams end, those that came last.
     pub fn poison_requests(&self) -> Vec<RequestKey> {
-        self.suspects.borrow().poisonous(self.now_ms())
+        self.suspects.borrow().recent_poison(self.now_ms())
     }
 
     /// Another instance, or the store, says that upstreams end under these requests.
@@ -74,18 +76,18 @@
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
         for request in requests {
-            suspects.told(now_ms, *request);
+            suspects.mark_poison(now_ms, *request);
         }
     }
 
     /// Requests that were found out here and of which the store does not know yet.
     pub fn unsaved_poison_requests(&self) -> Vec<RequestKey> {
-        self.suspects.borrow().unkept(self.now_ms())
+        self.suspects.borrow().unsaved(self.now_ms())
     }
 
     /// Whether there are other instances, and none of them says what it knows.
     pub fn hears_no_peer(&self) -> bool {
-        !self.gossip.borrow().hears() && self.instance_count() > 1
+        !self.gossip.borrow().has_senders() && self.instance_count() > 1
     }
 
     /// What the store is told of such a request.
@@ -97,7 +99,7 @@
 
     /// The store says that upstreams ended under a request.
     pub fn load_poison_record(&self, request: RequestKey, record: PoisonRecord) {
-        if unix_ms() < record.found_unix_ms.saturating_add(REMEMBERED_MS) {
+        if unix_ms() < record.found_unix_ms.saturating_add(RETENTION_MS) {
             self.learn_poison_requests(&[request]);
             self.poison_request_saved(request);
         }
@@ -105,31 +107,31 @@
 
     /// The store may have lost what it knew, and is to be told again.
     pub fn poison_records_may_be_lost(&self) {
-        self.suspects.borrow_mut().may_be_lost();
+        self.suspects.borrow_mut().mark_all_unsaved();
     }
 
     /// The store knows of such a request.
     pub fn poison_request_saved(&self, request: RequestKey) {
-        self.suspects.borrow_mut().kept(request);
+        self.suspects.borrow_mut().mark_saved(request);
     }
 
     /// Writes a line on each request that is refused from now on.
     pub(super) fn note_poisonous(&self) {
-        let found = self.suspects.borrow_mut().newly_poisonous(self.now_ms());
+        let found = self.suspects.borrow_mut().take_new_poison(self.now_ms());
         for (request, upstreams_lost) in found {
             log::warn!(key:% = request, upstreams_lost; "request refused from now on: upstreams end under it");
         }
     }
 
-    pub(super) fn take_fates(&self, now_ms: u64, told: &Told) {
+    pub(super) fn take_fates(&self, now_ms: u64, told: &GossipMessage) {
         let mut suspects = self.suspects.borrow_mut();
-        for fate in &told.fates {
-            if suspects.heard(now_ms, *fate) {
-                self.gossip.borrow_mut().pass_on_fate(*fate, told.kind);
+        for fate in &told.evidence {
+            if suspects.receive(now_ms, *fate) {
+                self.gossip.borrow_mut().forward_evidence(*fate, told.kind);
             }
         }
-        for request in &told.poisonous {
-            suspects.told(now_ms, *request);
+        for request in &told.poison {
+            suspects.mark_poison(now_ms, *request);
         }
     }
 }
--- a/crates/relay/src/relay/retries.rs
+++ b/crates/relay/src/relay/retries.rs
@@ -18,7 +18,7 @@
     pub fn take_retry(&self, service: &str) -> bool {
         // An instance that has just started does not know among how many the budget is split;
         // were all to take it whole, a restart of many during a failure would break the bound.
-        if !self.members.borrow().is_known() {
+        if !self.members.borrow().has_members() {
             return false;
         }
         let terms = self.settings.borrow().retry_budget;
@@ -34,7 +34,7 @@
     /// Its share in the fixed allowance.
     pub(super) fn share(&self) -> BudgetShare {
         BudgetShare {
-            instances: self.members.borrow().sharing(),
+            instances: self.members.borrow().share_count(),
             age_ms: self.now_ms(),
         }
     }
--- a/crates/relay/src/role_orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -18,7 +18,7 @@
 };
 use rand::Rng;
 use serde::{Deserialize, Serialize};
-use view::cadence::Duty;
+use view::polling::ReaderRole;
 use view::{InstanceKey, ServiceDemand};
 
 use crate::relay::Relay;
@@ -136,9 +136,9 @@
         let all = self.asked.borrow();
         let told = all.iter().map(|(service, asked)| ServiceDemand {
             service: service.clone(),
-            reading: asked.reading.per_ms(now_ms) as f32,
-            making: asked.making.per_ms(now_ms) as f32,
-            requests_a_s: (asked.requests.per_ms(now_ms) * 1_000.0) as f32,
+            prefill_engines: asked.reading.per_ms(now_ms) as f32,
+            decode_engines: asked.making.per_ms(now_ms) as f32,
+            requests_per_s: (asked.requests.per_ms(now_ms) * 1_000.0) as f32,
         });
         told.collect()
     }
@@ -163,9 +163,9 @@
 
 /// Fencing token of the last order that this instance gave, if it may give the next: it is a hub, so that
 /// it hears what all are asked, and has not lost the store.
-pub fn leader_fence(relay: &Relay, duty: Duty) -> Option<u64> {
-    let is_alone = !relay.members.borrow().is_known();
-    let hears_all = duty <= Duty::Hub || is_alone;
+pub fn leader_fence(relay: &Relay, duty: ReaderRole) -> Option<u64> {
+    let is_alone = !relay.members.borrow().has_members();
+    let hears_all = duty <= ReaderRole::Hub || is_alone;
     let may = relay.is_ready() && hears_all && !relay.role_orders.lost_store.get();
     may.then(|| relay.role_orders.last_fence.get())
 }
@@ -177,7 +177,7 @@
         return false;
     };
     let own = InstanceKey::of(&relay.settings.borrow().name);
-    has_precedence((own, fence), relay.gossip.borrow().givers())
+    has_precedence((own, fence), relay.gossip.borrow().order_candidates())
 }
 
 /// Whether one instance goes before the others, each with the token of what it did last: the one that acted last, or
@@ -223,13 +223,14 @@
     /// The most that all instances were asked of late; nothing while too little is seen.
     fn demand(&mut self, now_ms: u64, others: Option<&ServiceDemand>) -> Option<Demand> {
         let others = others.cloned().unwrap_or_default();
-        let requests_a_s = self.requests.per_ms(now_ms) * 1_000.0 + f64::from(others.requests_a_s);
+        let requests_a_s =
+            self.requests.per_ms(now_ms) * 1_000.0 + f64::from(others.requests_per_s);
         if self.requests.observed_ms(now_ms) < SEEN_MS || requests_a_s < LEAST_REQUESTS_A_S {
             return None;
         }
         let now = Demand {
-            prefill: self.reading.per_ms(now_ms) + f64::from(others.reading),
-            decode: self.making.per_ms(now_ms) + f64::from(others.making),
+            prefill: self.reading.per_ms(now_ms) + f64::from(others.prefill_engines),
+            decode: self.making.per_ms(now_ms) + f64::from(others.decode_engines),
         };
         Some(self.peak.record(now_ms, &now))
     }
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -12,12 +12,12 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use duty::scale::Scaling;
-use duty::{Ledger, Reports, Windows};
+use duty::scale::ScalePlanner;
+use duty::{UsageLedger, UsageReports, UsageWindows};
 use lease::{TurnTimes, Turns};
 use rand::Rng;
 use tick::since_boot_ms;
-use view::{FleetClock, InstanceKey, Kind, Told, WorkspaceKey};
+use view::{FleetClock, GossipMessage, InstanceKey, MessageKind, WorkspaceKey};
 
 use crate::call::Call;
 use crate::config::{Access, RouteKind};
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TaskSettings {
     /// Windows for which usage is reported.
-    pub usage: Option<Windows>,
+    pub usage: Option<UsageWindows>,
     /// Whether engines are ordered.
     pub scales: bool,
 }
@@ -80,9 +80,9 @@
 /// Duties of one instance.
 pub struct SingletonTasks {
     turns: RefCell<Turns>,
-    ledger: RefCell<Ledger>,
-    reports: RefCell<Option<Reports>>,
-    scaling: RefCell<HashMap<String, Scaling>>,
+    ledger: RefCell<UsageLedger>,
+    reports: RefCell<Option<UsageReports>>,
+    scaling: RefCell<HashMap<String, ScalePlanner>>,
     names: RefCell<HashMap<WorkspaceKey, String>>,
     clock: RefCell<FleetClock>,
     last_fence: Cell<u64>,
@@ -102,7 +102,7 @@
         let mut rng = rand::rng();
         Self {
             turns: RefCell::new(Turns::new(rng.random(), TurnTimes::of_calls(lease_ms))),
-            ledger: RefCell::new(Ledger::new(rng.random())),
+            ledger: RefCell::new(UsageLedger::new(rng.random())),
             reports: RefCell::default(),
             scaling: RefCell::default(),
             names: RefCell::default(),
@@ -150,7 +150,7 @@
         }
         let window = windows.at(self.fleet_ms());
         let key = WorkspaceKey::of(&workspace.name);
-        self.ledger.borrow_mut().began(window, key);
+        self.ledger.borrow_mut().record_start(window, key);
     }
 
     /// A request is over that no answer came to. A plain service begins at once with what reaches it, an engine with
@@ -162,9 +162,9 @@
     }
 
     /// Takes in what another instance told.
-    pub fn receive_gossip(&self, terms: TaskSettings, told: &Told) {
-        self.clock.borrow_mut().heard(since_boot_ms(), told);
-        if let Some(fence) = told.holds_after {
+    pub fn receive_gossip(&self, terms: TaskSettings, told: &GossipMessage) {
+        self.clock.borrow_mut().receive(since_boot_ms(), told);
+        if let Some(fence) = told.last_task_token {
             self.turns.borrow_mut().heard(since_boot_ms(), fence);
         }
         let Some(windows) = terms.usage.filter(|_| !told.tallies.is_empty()) else {
@@ -173,13 +173,18 @@
         let now = windows.at(self.fleet_ms());
         let mut ledger = self.ledger.borrow_mut();
         for tally in &told.tallies {
-            ledger.heard(now, tally, told.kind == Kind::Report);
+            ledger.receive(now, tally, told.kind == MessageKind::Report);
         }
     }
 
     /// Adds tallies to what goes out: to the own hub, or from a hub to the keepers.
-    pub fn add_tallies(&self, now_ms: u64, out: &mut [(SocketAddr, Told)], keepers: &[SocketAddr]) {
-        let gathers = out.iter().any(|(_, told)| told.kind == Kind::Sum);
+    pub fn add_tallies(
+        &self,
+        now_ms: u64,
+        out: &mut [(SocketAddr, GossipMessage)],
+        keepers: &[SocketAddr],
+    ) {
+        let gathers = out.iter().any(|(_, told)| told.kind == MessageKind::Sum);
         let period_ms = if gathers { TELL_MANY_MS } else { TELL_MS };
         if out.is_empty() || now_ms < self.told_ms.get() + period_ms {
             return;
@@ -188,14 +193,14 @@
         let hub = (!gathers).then(|| out[0].0);
         let mut ledger = self.ledger.borrow_mut();
         if self.told_to.replace(hub) != hub {
-            ledger.tell_again();
+            ledger.resend_own();
         }
-        let tallies = ledger.told();
+        let tallies = ledger.to_send();
         for (peer, told) in out {
             let is_meant = match told.kind {
-                Kind::Report => true,
-                Kind::Sum => keepers.contains(peer),
-                Kind::Digest => false,
+                MessageKind::Report => true,
+                MessageKind::Sum => keepers.contains(peer),
+                MessageKind::Digest => false,
             };
             if is_meant {
                 told.tallies.clone_from(&tallies);
@@ -211,7 +216,7 @@
     if !relay.settings.borrow().singleton_tasks.is_any_enabled() {
         return None;
     }
-    let is_alone = !relay.members.borrow().is_known();
+    let is_alone = !relay.members.borrow().has_members();
     let is_keeper = is_alone || relay.rank() < LEADER_CANDIDATES;
     if !is_keeper {
         duties.keeper_since_ms.set(None);
@@ -219,7 +224,7 @@
     }
     let since_ms = duties.keeper_since_ms.get().unwrap_or(now_ms);
     duties.keeper_since_ms.set(Some(since_ms));
-    let has_others = relay.gossip.borrow().holders().next().is_some();
+    let has_others = relay.gossip.borrow().task_candidates().next().is_some();
     let is_new = now_ms < since_ms + NEW_MS && has_others;
     let yields = now_ms < duties.yields_until_ms.get();
     let has_begun = now_ms >= START_MS;
@@ -236,7 +241,7 @@
     let mine = leader_fence(relay);
     let holds = mine.is_some_and(|fence| {
         let own = InstanceKey::of(&relay.settings.borrow().name);
-        crate::role_orders::has_precedence((own, fence), relay.gossip.borrow().holders())
+        crate::role_orders::has_precedence((own, fence), relay.gossip.borrow().task_candidates())
     });
     if relay.singleton_tasks.holds.replace(holds) != holds {
         log::info!(
--- a/crates/relay/src/singleton_tasks/due.rs
+++ b/crates/relay/src/singleton_tasks/due.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use duty::scale::{self, Zone};
-use duty::{Due, Report, Reports, Windows};
+use duty::scale::{self, ZoneCapacity};
+use duty::{ReportAction, UsageReport, UsageReports, UsageWindows};
 
 use super::{ScaleOrder, Task, is_holder};
 use crate::relay::Relay;
@@ -24,15 +24,15 @@
     usage.into_iter().chain(scale).collect()
 }
 
-fn usage_due(relay: &Relay, windows: Windows) -> Option<Task> {
+fn usage_due(relay: &Relay, windows: UsageWindows) -> Option<Task> {
     let duties = &relay.singleton_tasks;
     let now_ms = duties.fleet_ms();
     let mut reports = duties.reports.borrow_mut();
-    let reports = reports.get_or_insert_with(|| Reports::new(windows, now_ms));
+    let reports = reports.get_or_insert_with(|| UsageReports::new(windows, now_ms));
     let has_counts = |window| duties.ledger.borrow().sum(window).is_some();
-    let report = match reports.due(now_ms, has_counts)? {
-        Due::Send(report) => report,
-        Due::Fix(window) => Report {
+    let report = match reports.next_action(now_ms, has_counts)? {
+        ReportAction::Send(report) => report,
+        ReportAction::Fix(window) => UsageReport {
             window,
             counts: counts(relay, window),
         },
@@ -77,8 +77,8 @@
         let zones = zones(relay, service, terms);
         let mut all = relay.singleton_tasks.scaling.borrow_mut();
         let scaling = all.entry(service.clone()).or_default();
-        let wishes = scaling.next(now_ms, terms, &zones);
-        let wanted = scaling.wanted().unwrap_or_default();
+        let wishes = scaling.due_orders(now_ms, terms, &zones);
+        let wanted = scaling.target_size().unwrap_or_default();
         acts.extend(wishes.into_iter().map(|wish| {
             Task::Scale(ScaleOrder {
                 service: service.clone(),
@@ -91,21 +91,21 @@
 }
 
 /// Engines of a service in each zone that may have some.
-fn zones(relay: &Relay, service: &str, terms: &scale::Terms) -> Vec<Zone> {
+fn zones(relay: &Relay, service: &str, terms: &scale::ScalingBounds) -> Vec<ZoneCapacity> {
     let mut names: Vec<&String> = terms.zone_prices.keys().collect();
     names.sort_unstable();
-    let mut zones: HashMap<&str, Zone> = HashMap::new();
+    let mut zones: HashMap<&str, ZoneCapacity> = HashMap::new();
     let upstreams = relay.upstreams.borrow();
     for upstream in upstreams.iter().filter(|each| each.service == service) {
         let zone = zones.entry(&upstream.zone).or_default();
         match (upstream.is_spot, upstream.is_ready()) {
             (true, true) => zone.spot += 1,
-            (true, false) => zone.spot_leaving += 1,
+            (true, false) => zone.spot_reclaimed += 1,
             (false, true) => zone.on_demand += 1,
             (false, false) => {}
         }
     }
-    let all = names.into_iter().map(|name| Zone {
+    let all = names.into_iter().map(|name| ZoneCapacity {
         name: name.clone(),
         ..zones.remove(name.as_str()).unwrap_or_default()
     });
--- a/crates/relay/src/singleton_tasks/tasks.rs
+++ b/crates/relay/src/singleton_tasks/tasks.rs
@@ -1,7 +1,7 @@
 //! One call for the fleet: what stands in the log before it is made, and what came of it.
 
-use duty::scale::{self, Wish};
-use duty::{Report, Reports};
+use duty::scale::{self, ZoneTarget};
+use duty::{UsageReport, UsageReports};
 use lease::Ticket;
 use serde::{Deserialize, Serialize};
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Task {
     /// What ran for whom in a window.
-    Usage(Report),
+    Usage(UsageReport),
     /// Engines that a zone is to have.
     Scale(ScaleOrder),
 }
@@ -41,7 +41,7 @@
     pub wanted: usize,
     /// The order.
     #[serde(rename = "wish")]
-    pub target: Wish,
+    pub target: ZoneTarget,
 }
 
 /// What came of a call.
@@ -70,8 +70,8 @@
             Self::Usage(report) => format!("usage/{}", report.window % WINDOWS_KEPT),
             Self::Scale(order) => {
                 let kind = match order.target.kind {
-                    scale::Kind::OnDemand => "on-demand",
-                    scale::Kind::Spot => "spot",
+                    scale::CapacityKind::OnDemand => "on-demand",
+                    scale::CapacityKind::Spot => "spot",
                 };
                 format!("scale/{}/{}/{kind}", order.service, order.target.zone)
             }
@@ -101,7 +101,7 @@
     match record.task {
         Task::Usage(report) => {
             if let Some(reports) = duties.reports.borrow_mut().as_mut() {
-                reports.fixed(report, is_own);
+                reports.record_fixed(report, is_own);
             }
         }
         Task::Scale(order) if !is_own => {
@@ -145,11 +145,11 @@
         .inc();
 }
 
-fn note_usage(relay: &Relay, report: &Report, fence: u64, outcome: &Outcome) {
+fn note_usage(relay: &Relay, report: &UsageReport, fence: u64, outcome: &Outcome) {
     let duties = &relay.singleton_tasks;
     let now_ms = duties.fleet_ms();
     if let Some(reports) = duties.reports.borrow_mut().as_mut() {
-        reports.sent(now_ms, report.window, *outcome == Outcome::Accepted);
+        reports.record_sent(now_ms, report.window, *outcome == Outcome::Accepted);
     }
     let requests: u64 = report.counts.values().sum();
     log::info!(
@@ -160,14 +160,14 @@
 
 fn note_scale(relay: &Relay, order: &ScaleOrder, fence: u64, outcome: &Outcome) {
     let came = match outcome {
-        Outcome::Accepted => scale::Outcome::Taken,
-        Outcome::NoneToBeHad => scale::Outcome::Dry,
-        Outcome::Refused { .. } => scale::Outcome::Refused,
-        Outcome::Unanswered { .. } => scale::Outcome::Unanswered,
+        Outcome::Accepted => scale::OrderOutcome::Taken,
+        Outcome::NoneToBeHad => scale::OrderOutcome::Dry,
+        Outcome::Refused { .. } => scale::OrderOutcome::Refused,
+        Outcome::Unanswered { .. } => scale::OrderOutcome::Unanswered,
     };
     let mut all = relay.singleton_tasks.scaling.borrow_mut();
     if let Some(scaling) = all.get_mut(&order.service) {
-        scaling.ordered(relay.now_ms(), &order.target, came);
+        scaling.record_order(relay.now_ms(), &order.target, came);
     }
     log::info!(
         service = order.service, zone = order.target.zone, kind:? = order.target.kind, desired = order.target.desired,
@@ -191,6 +191,6 @@
 pub fn log_was_lost(relay: &Relay) {
     let now_ms = relay.singleton_tasks.fleet_ms();
     if let Some(reports) = relay.singleton_tasks.reports.borrow_mut().as_mut() {
-        Reports::log_was_lost(reports, now_ms);
+        UsageReports::log_was_lost(reports, now_ms);
     }
 }
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -16,7 +16,7 @@
 use rand::seq::IndexedRandom;
 use serde::{Deserialize, Serialize};
 use tick::since_boot_ms;
-use view::{Entry, Member, RequestKey};
+use view::{Member, RequestKey, UpstreamEntry};
 
 use crate::config::{Access, Config, Limits, Route, Service};
 use crate::pool::call_on_new_connection;
@@ -68,7 +68,7 @@
     /// The configuration in force.
     pub config: Option<ConfigSnapshot>,
     /// Upstreams.
-    pub upstreams: Vec<Entry>,
+    pub upstreams: Vec<UpstreamEntry>,
     /// Those among them whose entries went, by the last record that was taken in.
     #[serde(default, rename = "doubted")]
     pub unconfirmed: Vec<Unconfirmed>,
@@ -116,12 +116,12 @@
 
 /// One that told of what this instance lacks, or else any.
 fn somebody(relay: &Relay) -> Option<SocketAddr> {
-    if let Some(peer) = relay.gossip.borrow().informed() {
+    if let Some(peer) = relay.gossip.borrow().informed_peer() {
         return Some(peer);
     }
     let settings = relay.settings.borrow();
     let members = relay.members.borrow();
-    let known = members.ready().filter_map(|member| member.peer);
+    let known = members.ready().filter_map(|member| member.gossip_address);
     let all: Vec<SocketAddr> = known
         .chain(settings.seeds.iter().copied())
         .filter(|peer| Some(*peer) != settings.peer)
@@ -154,7 +154,7 @@
     let now_ms = relay.now_ms();
     let mut members = relay.members.borrow_mut();
     for member in &state.members {
-        members.heard_from_another(now_ms, member);
+        members.receive_heartbeat(now_ms, member);
     }
 }
 
@@ -165,9 +165,9 @@
     relay.configure(config.clone().into());
     let mut configs = relay.config_position.borrow_mut();
     if let (Some(age_ms), Some(next)) = (state.config_age_ms, state.config_next)
-        && configs.is_short_of(next)
+        && configs.lacks_records_before(next)
     {
-        configs.read_whole(as_of_ms(Some(age_ms)), next);
+        configs.record_snapshot(as_of_ms(Some(age_ms)), next);
     }
 }
 
@@ -180,10 +180,11 @@
 /// there, it would never be doubted here, and the upstream would get work for as long as it answers; so the
 /// doubt comes along with the list.
 fn take_list(relay: &Relay, state: &Snapshot) {
-    let is_doubted = |entry: &&Entry| state.unconfirmed.iter().any(|doubt| doubt.id == entry.id);
+    let is_doubted =
+        |entry: &&UpstreamEntry| state.unconfirmed.iter().any(|doubt| doubt.id == entry.id);
     let all = state.upstreams.iter();
-    let certain: Vec<Entry> = all.filter(|entry| !is_doubted(entry)).cloned().collect();
-    let is_further = |next: &u64| relay.list_position.borrow().is_short_of(*next);
+    let certain: Vec<UpstreamEntry> = all.filter(|entry| !is_doubted(entry)).cloned().collect();
+    let is_further = |next: &u64| relay.list_position.borrow().lacks_records_before(*next);
     let Some(next) = state.list_next.filter(is_further) else {
         return;
     };
@@ -191,7 +192,10 @@
     relay.replace_list(state.upstreams.clone(), Origin::Asked);
     relay.mark_unconfirmed(&state.unconfirmed);
     let as_of_ms = as_of_ms(state.list_age_ms);
-    relay.list_position.borrow_mut().read_whole(as_of_ms, next);
+    relay
+        .list_position
+        .borrow_mut()
+        .record_snapshot(as_of_ms, next);
 }
 
 /// The time as of which something is known that is so old; before all others if nobody knows.
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -17,7 +17,9 @@
 pub use in_flight::{InFlight, Work};
 pub use prompt_cache::{CachedParts, MIN_CACHED_TOKENS};
 pub use rate_limit::RateLimit;
-pub use view::{Entry, Load, Queue, RANKS, Reading, Stage, Standing, UpstreamKey};
+pub use view::{
+    Load, PrefillProgress, PrefillQueue, RANKS, Stage, UpstreamEntry, UpstreamKey, UpstreamState,
+};
 
 /// Time over which what an upstream told of the load that others put on it fades, in ms: a few
 /// times the length of a short answer, after which it describes other requests.
@@ -82,13 +84,13 @@
     joined_ms: u64,
     turning: Cell<Option<Turning>>,
     rejecting_until_ms: Cell<u64>,
-    standing: Cell<Standing>,
+    standing: Cell<UpstreamState>,
     stage: Cell<Stage>,
     seq: Cell<u64>,
     unanswered: Cell<u32>,
     sign_ms: Cell<u64>,
     in_flight: Cell<u32>,
-    queue: RefCell<Queue>,
+    queue: RefCell<PrefillQueue>,
     context_tokens: Cell<f64>,
     answer_ms: Cell<f64>,
     told: Cell<Told>,
@@ -100,11 +102,11 @@
 
 impl Upstream {
     /// An upstream that was just heard of.
-    pub fn new(entry: &Entry, distance_ms: f64, clock: Clock) -> Self {
+    pub fn new(entry: &UpstreamEntry, distance_ms: f64, clock: Clock) -> Self {
         Self {
             id: entry.id.clone(),
-            born_ms: entry.born_ms,
-            key: UpstreamKey::of(&entry.id, entry.born_ms),
+            born_ms: entry.started_ms,
+            key: UpstreamKey::of(&entry.id, entry.started_ms),
             service: entry.service.clone(),
             address: entry.address,
             zone: entry.zone.clone(),
@@ -117,7 +119,7 @@
             turning: Cell::default(),
             rejecting_until_ms: Cell::default(),
             clock,
-            standing: Cell::new(entry.standing),
+            standing: Cell::new(entry.state),
             stage: Cell::new(entry.stage),
             seq: Cell::new(entry.seq),
             unanswered: Cell::default(),
@@ -151,7 +153,7 @@
 
     /// Whether it gets new work.
     pub fn is_ready(&self) -> bool {
-        self.standing.get() == Standing::Ready
+        self.standing.get() == UpstreamState::Ready
     }
 
     /// What it does of a generation.
@@ -175,12 +177,12 @@
     }
 
     /// Where it was ordered to by this instance, to be told to others.
-    pub fn own_role_change(&self, now_ms: u64) -> Option<view::Turning> {
+    pub fn own_role_change(&self, now_ms: u64) -> Option<view::PendingRoleChange> {
         let turning = self.turning(now_ms)?;
-        turning.is_own.then(|| view::Turning {
+        turning.is_own.then(|| view::PendingRoleChange {
             upstream: self.key,
             stage: turning.stage,
-            left_ms: (turning.until_ms - now_ms) as u32,
+            remaining_ms: (turning.until_ms - now_ms) as u32,
         })
     }
 
@@ -229,12 +231,12 @@
     ///
     /// An entry that was written earlier may come later. It is passed over, and an incarnation
     /// that was leaving stays so, or the old entry would bring it new work.
-    pub fn update(&self, entry: &Entry) -> bool {
+    pub fn update(&self, entry: &UpstreamEntry) -> bool {
         if entry.seq < self.seq.get() {
             return false;
         }
         self.seq.set(entry.seq);
-        let leaves = self.is_ready() && entry.standing == Standing::Leaving;
+        let leaves = self.is_ready() && entry.state == UpstreamState::Leaving;
         if leaves {
             self.leave();
         }
@@ -242,15 +244,15 @@
     }
 
     /// What the list says of it, as far as it was taken over.
-    pub fn entry(&self) -> Entry {
-        Entry {
+    pub fn entry(&self) -> UpstreamEntry {
+        UpstreamEntry {
             id: self.id.clone(),
-            born_ms: self.born_ms,
+            started_ms: self.born_ms,
             service: self.service.clone(),
             address: self.address,
             zone: self.zone.clone(),
             slots: self.slots,
-            standing: self.standing.get(),
+            state: self.standing.get(),
             stage: self.stage.get(),
             seq: self.seq.get(),
             is_spot: self.is_spot,
@@ -259,7 +261,7 @@
 
     /// It gets no new work from now on.
     pub fn leave(&self) {
-        self.standing.set(Standing::Leaving);
+        self.standing.set(UpstreamState::Leaving);
         self.pool.close();
     }
 
@@ -282,7 +284,7 @@
     pub fn outstanding(&self) -> Option<(UpstreamKey, Load)> {
         let load = || Load {
             requests: self.in_flight.get(),
-            queue: self.queue.borrow().whole(),
+            queue: self.queue.borrow().rounded(),
             context: self.context_tokens.get() as u32,
         };
         (self.in_flight.get() > 0).then(|| (self.key, load()))
@@ -386,11 +388,17 @@
 
     /// Work of reading prompts that it has, whoever sent it.
     pub fn queued_tokens(&self) -> f64 {
-        self.queue.borrow().and(&self.others().queue).total()
+        self.queue.borrow().plus(&self.others().queue).total()
     }
 
     /// It has read, or been sent, a prompt part, where its memory has room for `room_tokens`.
-    pub fn note_cached_part(&self, part: u64, tokens: f64, reading: Reading, room_tokens: f64) {
+    pub fn note_cached_part(
+        &self,
+        part: u64,
+        tokens: f64,
+        reading: PrefillProgress,
+        room_tokens: f64,
+    ) {
         let running = self.context_tokens.get() + f64::from(self.others().context);
         let mut kept = self.kept.borrow_mut();
         kept.add(part, tokens, reading, room_tokens - running);
@@ -409,10 +417,10 @@
     /// The upstream as a placement of a prompt sees it that would wait there at a rank.
     pub fn view(&self, now_ms: u64, cached_tokens: f64, rank: u8) -> EngineView {
         let others = self.others();
-        let queue = self.queue.borrow().and(&others.queue);
+        let queue = self.queue.borrow().plus(&others.queue);
         EngineView {
-            queued_tokens: queue.before(rank),
-            lower_priority_tokens: queue.after(rank),
+            queued_tokens: queue.tokens_up_to(rank),
+            lower_priority_tokens: queue.tokens_after(rank),
             context_tokens: self.context_tokens.get() + f64::from(others.context),
             cached_tokens,
             copy_ms: 0.0,
--- a/crates/relay/src/upstream/prompt_cache.rs
+++ b/crates/relay/src/upstream/prompt_cache.rs
@@ -1,6 +1,6 @@
 //! Prompt parts that an engine is believed to hold.
 
-use view::Reading;
+use view::PrefillProgress;
 
 /// Share of an engine's free memory that a belief about cached parts counts on; the rest goes to
 /// short prompts and output, of which nothing is noted. A belief of 1.1 did no better, one of 1.4 had
@@ -14,7 +14,7 @@
 struct Kept {
     part: u64,
     tokens: f64,
-    reading: Reading,
+    reading: PrefillProgress,
 }
 
 /// What an engine is believed to hold, least recently used first.
@@ -28,7 +28,7 @@
 
 impl CachedParts {
     /// A part was used; those used least recently yield once the memory is full.
-    pub fn add(&mut self, part: u64, tokens: f64, reading: Reading, free_tokens: f64) {
+    pub fn add(&mut self, part: u64, tokens: f64, reading: PrefillProgress, free_tokens: f64) {
         let at = self.parts.iter().position(|each| each.part == part);
         let known = at.map(|at| self.parts.remove(at).reading);
         let reading = known.map_or(reading, |known| known.max(reading));
@@ -56,7 +56,9 @@
     /// One that is still being read cannot be copied: the engine that asks for it finds nothing
     /// and reads it a second time.
     pub fn copyable_tokens(&self, part: u64) -> f64 {
-        let read = self.find(part).filter(|each| each.reading == Reading::Done);
+        let read = self
+            .find(part)
+            .filter(|each| each.reading == PrefillProgress::Done);
         read.map_or(0.0, |each| each.tokens)
     }
 
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 use tick::Clock;
-pub use view::Change;
+pub use view::ListChange;
 
-use crate::upstream::{Entry, Upstream, UpstreamKey};
+use crate::upstream::{Upstream, UpstreamEntry, UpstreamKey};
 
 /// Time after the last failed read of the list for which an entry that goes is taken to have
 /// lapsed with the list's store, in ms.
@@ -102,15 +102,15 @@
     }
 
     /// Takes in a change.
-    pub fn apply(&mut self, now_ms: u64, change: Change) -> Effect {
+    pub fn apply(&mut self, now_ms: u64, change: ListChange) -> Effect {
         match change {
-            Change::Put(entry) => self.put(&entry),
-            Change::Gone(id) => self.gone(now_ms, &id, self.unreachable_until_ms),
+            ListChange::Put(entry) => self.put(&entry),
+            ListChange::Gone(id) => self.gone(now_ms, &id, self.unreachable_until_ms),
         }
     }
 
     /// Takes in the whole list: what is not in it is gone.
-    pub fn replace(&mut self, now_ms: u64, entries: Vec<Entry>) -> Vec<(String, Effect)> {
+    pub fn replace(&mut self, now_ms: u64, entries: Vec<UpstreamEntry>) -> Vec<(String, Effect)> {
         let ids: Vec<String> = entries.iter().map(|entry| entry.id.clone()).collect();
         let missing: Vec<String> = self
             .by_id
@@ -192,10 +192,10 @@
     /// An entry lapses with the store only when nobody reaches it, and then both doubt. If only this
     /// instance was turned away, the other knows that the upstream has left; if only the other was, this
     /// one knows that nothing can have lapsed. Either doubt alone kept leaving upstreams in use.
-    pub fn apply_from_peer(&mut self, now_ms: u64, change: Change, doubt_ms: u64) -> Effect {
+    pub fn apply_from_peer(&mut self, now_ms: u64, change: ListChange, doubt_ms: u64) -> Effect {
         match change {
-            Change::Put(entry) => self.put(&entry),
-            Change::Gone(id) => {
+            ListChange::Put(entry) => self.put(&entry),
+            ListChange::Gone(id) => {
                 let until_ms = self.unreachable_until_ms.min(now_ms + doubt_ms);
                 self.gone(now_ms, &id, until_ms)
             }
@@ -203,7 +203,7 @@
     }
 
     /// The entries that are in use, those that are doubted included.
-    pub fn entries(&self, now_ms: u64) -> Vec<Entry> {
+    pub fn entries(&self, now_ms: u64) -> Vec<UpstreamEntry> {
         let has_lapsed = |id: &str| {
             self.unconfirmed
                 .get(id)
@@ -249,22 +249,22 @@
         self.by_id.is_empty()
     }
 
-    fn put(&mut self, entry: &Entry) -> Effect {
+    fn put(&mut self, entry: &UpstreamEntry) -> Effect {
         // An entry that was written before the incarnation left may come after it.
         let is_old = |left: &Left| {
-            left.id == entry.id && (entry.born_ms, entry.seq) <= (left.born_ms, left.seq)
+            left.id == entry.id && (entry.started_ms, entry.seq) <= (left.born_ms, left.seq)
         };
         if self.left.iter().any(is_old) {
             return Effect::Unchanged;
         }
         self.unconfirmed.remove(&entry.id);
         if let Some(known) = self.by_id.get(&entry.id) {
-            if entry.born_ms < known.born_ms {
+            if entry.started_ms < known.born_ms {
                 return Effect::Unchanged;
             }
             // One that started again under its id counts anew and holds nothing of before. Taken for
             // the same, its entries would seem old for as long as the first one had lived.
-            let is_same = entry.born_ms == known.born_ms
+            let is_same = entry.started_ms == known.born_ms
                 && known.address == entry.address
                 && known.service == entry.service;
             if is_same {
--- a/crates/relay/tests/beliefs.rs
+++ b/crates/relay/tests/beliefs.rs
@@ -9,23 +9,23 @@
 use relay::config::{Config, Limits, Route, RouteKind, Target};
 use relay::directory::addresses;
 use relay::members::{Member, Members};
-use relay::upstream::{Entry, Reading, Stage, Standing};
-use relay::upstreams::{Change, Effect, Upstreams};
+use relay::upstream::{PrefillProgress, Stage, UpstreamEntry, UpstreamState};
+use relay::upstreams::{Effect, ListChange, Upstreams};
 use tick::Clock;
 use view::InstanceKey;
 
-fn entry(id: &str, seq: u64, standing: Standing) -> Entry {
-    Entry {
+fn entry(id: &str, seq: u64, standing: UpstreamState) -> UpstreamEntry {
+    UpstreamEntry {
         id: id.to_owned(),
         service: "desk".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "here".to_owned(),
         slots: 4,
-        standing,
+        state: standing,
         stage: Stage::Whole,
         seq,
         is_spot: false,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
 
@@ -54,14 +54,14 @@
 #[test]
 fn a_late_entry_does_not_bring_a_leaving_upstream_back() {
     let mut upstreams = Upstreams::new("here", Clock::default());
-    upstreams.apply(0, Change::Put(entry("a", 3, Standing::Ready)));
-    upstreams.apply(0, Change::Put(entry("a", 5, Standing::Leaving)));
+    upstreams.apply(0, ListChange::Put(entry("a", 3, UpstreamState::Ready)));
+    upstreams.apply(0, ListChange::Put(entry("a", 5, UpstreamState::Leaving)));
     assert_eq!(
-        upstreams.apply(0, Change::Put(entry("a", 4, Standing::Ready))),
+        upstreams.apply(0, ListChange::Put(entry("a", 4, UpstreamState::Ready))),
         Effect::Unchanged
     );
     assert_eq!(
-        upstreams.apply(0, Change::Put(entry("a", 6, Standing::Ready))),
+        upstreams.apply(0, ListChange::Put(entry("a", 6, UpstreamState::Ready))),
         Effect::Unchanged
     );
     assert!(ready(&upstreams, 0).is_empty());
@@ -72,18 +72,18 @@
 #[test]
 fn a_late_entry_does_not_bring_back_one_that_is_gone() {
     let mut upstreams = Upstreams::new("here", Clock::default());
-    upstreams.apply(0, Change::Put(entry("a", 3, Standing::Ready)));
+    upstreams.apply(0, ListChange::Put(entry("a", 3, UpstreamState::Ready)));
     assert_eq!(
-        upstreams.apply(0, Change::Gone("a".to_owned())),
+        upstreams.apply(0, ListChange::Gone("a".to_owned())),
         Effect::Left
     );
     assert_eq!(
-        upstreams.apply(0, Change::Put(entry("a", 3, Standing::Ready))),
+        upstreams.apply(0, ListChange::Put(entry("a", 3, UpstreamState::Ready))),
         Effect::Unchanged
     );
     assert!(ready(&upstreams, 0).is_empty());
     assert_eq!(
-        upstreams.apply(0, Change::Put(entry("a", 4, Standing::Ready))),
+        upstreams.apply(0, ListChange::Put(entry("a", 4, UpstreamState::Ready))),
         Effect::Joined
     );
 }
@@ -94,15 +94,15 @@
 fn entries_that_lapse_with_the_store_are_used_for_a_while() {
     let mut upstreams = Upstreams::new("here", Clock::default());
     for id in ["a", "b"] {
-        upstreams.apply(0, Change::Put(entry(id, 1, Standing::Ready)));
+        upstreams.apply(0, ListChange::Put(entry(id, 1, UpstreamState::Ready)));
     }
     upstreams.store_unreachable(10_000);
     for id in ["a", "b"] {
-        let effect = upstreams.apply(10_100, Change::Gone(id.to_owned()));
+        let effect = upstreams.apply(10_100, ListChange::Gone(id.to_owned()));
         assert_eq!(effect, Effect::Unconfirmed);
     }
     assert_eq!(ready(&upstreams, 11_000).len(), 2);
-    upstreams.apply(11_000, Change::Put(entry("a", 2, Standing::Ready)));
+    upstreams.apply(11_000, ListChange::Put(entry("a", 2, UpstreamState::Ready)));
     assert_eq!(ready(&upstreams, 12_500).len(), 2);
     assert_eq!(ready(&upstreams, 12_700), ["a"]);
     assert_eq!(upstreams.remove_lapsed(12_700), ["b"]);
@@ -113,9 +113,9 @@
 #[test]
 fn an_entry_that_goes_after_the_return_is_not_used_for_long() {
     let mut upstreams = Upstreams::new("here", Clock::default());
-    upstreams.apply(0, Change::Put(entry("a", 1, Standing::Ready)));
+    upstreams.apply(0, ListChange::Put(entry("a", 1, UpstreamState::Ready)));
     upstreams.store_unreachable(10_000);
-    upstreams.apply(11_500, Change::Gone("a".to_owned()));
+    upstreams.apply(11_500, ListChange::Gone("a".to_owned()));
     assert!(ready(&upstreams, 12_700).is_empty());
 }
 
@@ -123,11 +123,11 @@
 #[test]
 fn a_leaving_upstream_is_not_kept_through_an_outage() {
     let mut upstreams = Upstreams::new("here", Clock::default());
-    upstreams.apply(0, Change::Put(entry("a", 1, Standing::Ready)));
-    upstreams.apply(0, Change::Put(entry("a", 2, Standing::Leaving)));
+    upstreams.apply(0, ListChange::Put(entry("a", 1, UpstreamState::Ready)));
+    upstreams.apply(0, ListChange::Put(entry("a", 2, UpstreamState::Leaving)));
     upstreams.store_unreachable(100);
     assert_eq!(
-        upstreams.apply(150, Change::Gone("a".to_owned())),
+        upstreams.apply(150, ListChange::Gone("a".to_owned())),
         Effect::Left
     );
 }
@@ -137,10 +137,10 @@
     Member {
         name: name.to_owned(),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
-        peer: None,
+        gossip_address: None,
         zone: zone.to_owned(),
         ready,
-        beat: 1,
+        heartbeat_seq: 1,
         link_mbps: 20,
     }
 }
@@ -150,16 +150,16 @@
 #[test]
 fn silent_instances_are_not_handed_out() {
     let mut members = Members::default();
-    members.read(0);
-    members.heard(0, member("a", "here", true));
-    members.heard(0, member("b", "here", true));
-    let later_ms = 4 * members.beat_ms();
-    assert_eq!(members.count(), 2, "nothing was read since");
-    members.read(later_ms);
-    members.heard(later_ms, member("a", "here", true));
+    members.record_store_read(0);
+    members.record_heartbeat(0, member("a", "here", true));
+    members.record_heartbeat(0, member("b", "here", true));
+    let later_ms = 4 * members.heartbeat_interval_ms();
+    assert_eq!(members.reachable_count(), 2, "nothing was read since");
+    members.record_store_read(later_ms);
+    members.record_heartbeat(later_ms, member("a", "here", true));
     let names: Vec<&str> = members.ready().map(|each| each.name.as_str()).collect();
     assert_eq!(names, ["a"]);
-    assert_eq!(members.count(), 1);
+    assert_eq!(members.reachable_count(), 1);
 }
 
 /// A caller hears of two instances at least: with only one, it has nowhere to go when it stops.
@@ -217,11 +217,11 @@
 fn an_instance_of_which_nobody_tells_is_not_handed_out() {
     let mut members = Members::default();
     for name in ["a", "b", "c"] {
-        members.heard(0, member(name, "here", true));
-        members.told(0, InstanceKey::of(name));
+        members.record_heartbeat(0, member(name, "here", true));
+        members.record_alive(0, InstanceKey::of(name));
     }
     for name in ["a", "b"] {
-        members.told(1_000, InstanceKey::of(name));
+        members.record_alive(1_000, InstanceKey::of(name));
     }
     let mut names: Vec<&str> = members.reachable().map(|each| each.name.as_str()).collect();
     names.sort_unstable();
@@ -234,11 +234,11 @@
 fn an_instance_that_hears_nobody_leaves_nobody_out() {
     let mut members = Members::default();
     for name in ["a", "b", "c"] {
-        members.heard(0, member(name, "here", true));
-        members.told(1_000, InstanceKey::of(name));
+        members.record_heartbeat(0, member(name, "here", true));
+        members.record_alive(1_000, InstanceKey::of(name));
     }
-    members.lives(60_000, InstanceKey::of("a"));
-    assert!(members.is_deaf(60_000));
+    members.record_self_alive(60_000, InstanceKey::of("a"));
+    assert!(members.is_isolated(60_000));
     assert_eq!(members.reachable().count(), 3);
 }
 
@@ -247,12 +247,12 @@
 #[test]
 fn the_record_of_one_that_is_gone_is_not_believed_for_long() {
     let mut members = Members::default();
-    members.read(0);
+    members.record_store_read(0);
     for name in ["a", "gone"] {
-        members.heard(0, member(name, "here", true));
+        members.record_heartbeat(0, member(name, "here", true));
     }
     for now_ms in (100..=2_000).step_by(100) {
-        members.told(now_ms, InstanceKey::of("a"));
+        members.record_alive(now_ms, InstanceKey::of("a"));
     }
     let names: Vec<&str> = members.reachable().map(|each| each.name.as_str()).collect();
     assert_eq!(names, ["a"]);
@@ -264,13 +264,13 @@
 fn an_older_word_of_an_instance_changes_nothing() {
     let mut members = Members::default();
     let says = |beat, ready| Member {
-        beat,
+        heartbeat_seq: beat,
         ..member("a", "here", ready)
     };
-    assert!(members.heard_from_another(0, &says(7, true)));
-    assert!(members.heard_from_another(10, &says(8, false)));
-    assert!(!members.heard_from_another(20, &says(7, true)));
-    members.heard(30, says(7, true));
+    assert!(members.receive_heartbeat(0, &says(7, true)));
+    assert!(members.receive_heartbeat(10, &says(8, false)));
+    assert!(!members.receive_heartbeat(20, &says(7, true)));
+    members.record_heartbeat(30, says(7, true));
     assert_eq!(members.reachable().count(), 0);
 }
 
@@ -282,7 +282,10 @@
     relay.count_first_send("desk");
     assert!(!relay.take_retry("desk"));
     let own = relay.heartbeat();
-    relay.members.borrow_mut().heard(relay.now_ms(), own);
+    relay
+        .members
+        .borrow_mut()
+        .record_heartbeat(relay.now_ms(), own);
     assert!(relay.take_retry("desk"));
 }
 
@@ -292,21 +295,21 @@
 /// nothing.
 #[test]
 fn a_restart_under_the_same_id_is_another_incarnation() {
-    let born = |born_ms, seq, standing| Entry {
-        born_ms,
+    let born = |born_ms, seq, standing| UpstreamEntry {
+        started_ms: born_ms,
         ..entry("a", seq, standing)
     };
     let mut upstreams = Upstreams::new("here", Clock::default());
-    upstreams.apply(0, Change::Put(born(1_000, 90, Standing::Ready)));
+    upstreams.apply(0, ListChange::Put(born(1_000, 90, UpstreamState::Ready)));
     let first = Rc::clone(upstreams.get("a").unwrap());
-    first.note_cached_part(7, 13_000.0, Reading::Done, 100_000.0);
-    upstreams.apply(0, Change::Put(born(1_000, 91, Standing::Leaving)));
+    first.note_cached_part(7, 13_000.0, PrefillProgress::Done, 100_000.0);
+    upstreams.apply(0, ListChange::Put(born(1_000, 91, UpstreamState::Leaving)));
     assert!(ready(&upstreams, 0).is_empty());
-    let effect = upstreams.apply(0, Change::Put(born(5_000, 1, Standing::Ready)));
+    let effect = upstreams.apply(0, ListChange::Put(born(5_000, 1, UpstreamState::Ready)));
     assert_eq!(effect, Effect::Joined);
     assert_eq!(ready(&upstreams, 0), ["a"]);
     assert!(upstreams.get("a").unwrap().cached_tokens(7) < 1.0);
-    let late = upstreams.apply(0, Change::Put(born(1_000, 92, Standing::Leaving)));
+    let late = upstreams.apply(0, ListChange::Put(born(1_000, 92, UpstreamState::Leaving)));
     assert_eq!(late, Effect::Unchanged);
     assert_eq!(ready(&upstreams, 0), ["a"]);
     assert!(
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -21,8 +21,8 @@
 use relay::config::{Config, EngineLimits, Limits, Route, RouteKind, Service, Target};
 use relay::listener::{ListenerKind, bind, serve};
 use relay::pool::{ExchangeError, Pool, exchange};
-use relay::upstream::Entry;
-use relay::upstreams::Change;
+use relay::upstream::UpstreamEntry;
+use relay::upstreams::ListChange;
 use relay::{Phase, Relay, Settings};
 use tick::Clock;
 use tokio::sync::watch;
@@ -119,20 +119,20 @@
 
 impl Bed {
     /// Starts a relay with these upstreams.
-    pub fn start(entries: Vec<Entry>) -> Self {
+    pub fn start(entries: Vec<UpstreamEntry>) -> Self {
         Self::start_with(settings(), entries)
     }
 
     /// Starts a relay with these settings and upstreams.
-    pub fn start_with(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn start_with(settings: Settings, entries: Vec<UpstreamEntry>) -> Self {
         let bed = Self::knowing_nothing(settings);
         bed.relay.configure(config(1));
         let own = bed.relay.heartbeat();
         let now_ms = bed.relay.now_ms();
-        bed.relay.members.borrow_mut().heard(now_ms, own);
+        bed.relay.members.borrow_mut().record_heartbeat(now_ms, own);
         for entry in entries {
             bed.relay
-                .apply_change(Change::Put(entry), relay::Origin::Read);
+                .apply_change(ListChange::Put(entry), relay::Origin::Read);
         }
         bed
     }
@@ -209,10 +209,10 @@
     Member {
         name: "told".to_owned(),
         address,
-        peer: Some(address),
+        gossip_address: Some(address),
         zone: "here".to_owned(),
         ready: true,
-        beat: 1,
+        heartbeat_seq: 1,
         link_mbps: 20,
     }
 }
@@ -221,7 +221,9 @@
 pub fn tell(from: &Relay, to: &Relay) {
     let other = listener();
     let address = other.address;
-    from.members.borrow_mut().heard(from.now_ms(), other);
+    from.members
+        .borrow_mut()
+        .record_heartbeat(from.now_ms(), other);
     from.heartbeat_stored(from.heartbeat());
     for (_, told) in from.due_gossip() {
         to.receive_gossip(&told, address);
--- a/crates/relay/tests/common/standin.rs
+++ b/crates/relay/tests/common/standin.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use relay::listener::bind;
-use relay::upstream::{Entry, Stage, Standing};
+use relay::upstream::{Stage, UpstreamEntry, UpstreamState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -147,18 +147,18 @@
     }
 
     /// Its entry in the list.
-    pub fn entry(&self, id: &str, service: &str, stage: Stage) -> Entry {
-        Entry {
+    pub fn entry(&self, id: &str, service: &str, stage: Stage) -> UpstreamEntry {
+        UpstreamEntry {
             id: id.to_owned(),
             service: service.to_owned(),
             address: self.address,
             zone: "here".to_owned(),
             slots: 4,
-            standing: Standing::Ready,
+            state: UpstreamState::Ready,
             stage,
             seq: 1,
             is_spot: false,
-            born_ms: 0,
+            started_ms: 0,
         }
     }
 }
--- a/crates/relay/tests/engines.rs
+++ b/crates/relay/tests/engines.rs
@@ -8,9 +8,9 @@
 use common::{Act, Bed, Seen, StandIn, request, until};
 use http::{HeaderValue, Method, Request};
 use http_body_util::{BodyExt, Full};
-use relay::upstream::{Entry, InFlight, Reading, Stage, Standing, Work};
-use relay::upstreams::Change;
-use view::{InstanceKey, Kind, Told, Turning, UpstreamKey};
+use relay::upstream::{InFlight, PrefillProgress, Stage, UpstreamEntry, UpstreamState, Work};
+use relay::upstreams::ListChange;
+use view::{GossipMessage, InstanceKey, MessageKind, PendingRoleChange, UpstreamKey};
 
 /// A prompt of 13,000 shared tokens and 4,000 of its own.
 const LONG: &str = "7:13000,8:4000";
@@ -58,9 +58,9 @@
     })
 }
 
-fn leaving(entry: Entry) -> Change {
-    Change::Put(Entry {
-        standing: Standing::Leaving,
+fn leaving(entry: UpstreamEntry) -> ListChange {
+    ListChange::Put(UpstreamEntry {
+        state: UpstreamState::Leaving,
         ..entry
     })
 }
@@ -77,7 +77,7 @@
     });
     let (near, far) = (maker(), maker());
     let near_entry = near.entry("near", "llm", Stage::Decode);
-    let far_entry = Entry {
+    let far_entry = UpstreamEntry {
         zone: "there".to_owned(),
         ..far.entry("far", "llm", Stage::Decode)
     };
@@ -132,7 +132,7 @@
     let other = maker();
     let bed = Bed::start(vec![
         engine.entry("one", "llm", Stage::Decode),
-        Entry {
+        UpstreamEntry {
             zone: "there".to_owned(),
             ..other.entry("two", "llm", Stage::Decode)
         },
@@ -240,7 +240,7 @@
 }
 
 /// An engine that reads, and how far it has come with the shared part of the long prompts.
-fn reader_with(bed: &Bed, id: &str, reading: Reading) {
+fn reader_with(bed: &Bed, id: &str, reading: PrefillProgress) {
     let upstreams = bed.relay.upstreams.borrow();
     let engine = upstreams.get(id).unwrap();
     engine.note_cached_part(7, 13_000.0, reading, 400_000.0);
@@ -257,7 +257,7 @@
         idle.entry("idle", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ]);
-    reader_with(&bed, "busy", Reading::Done);
+    reader_with(&bed, "busy", PrefillProgress::Done);
     let held = Rc::clone(bed.relay.upstreams.borrow().get("busy").unwrap());
     let work = Work {
         prefill_tokens: 100_000.0,
@@ -289,7 +289,7 @@
         idle.entry("idle", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ]);
-    reader_with(&bed, "busy", Reading::Begun);
+    reader_with(&bed, "busy", PrefillProgress::Begun);
     let (status, _) = bed.get(generation("/once/x", LONG)).await;
     assert_eq!(status, 200);
     let all = [&busy, &idle, &engine].map(|each| each.seen.borrow().clone());
@@ -361,13 +361,13 @@
     let bed = Bed::start(vec![
         reader.entry("reader", "llm", Stage::Prefill),
         turned.entry("turned", "llm", Stage::Decode),
-        Entry {
+        UpstreamEntry {
             zone: "far".to_owned(),
             ..other.entry("other", "llm", Stage::Decode)
         },
     ]);
     let own = bed.relay.heartbeat();
-    bed.relay.members.borrow_mut().heard(0, own);
+    bed.relay.members.borrow_mut().record_heartbeat(0, own);
     for _ in 0..3 {
         let answer = bed.ask(generation("/grades/x", LONG)).await.unwrap();
         assert_eq!(answer.status().as_u16(), 200);
@@ -390,18 +390,18 @@
     let (turning, other) = (maker(), maker());
     let bed = Bed::start(vec![
         turning.entry("turning", "llm", Stage::Decode),
-        Entry {
+        UpstreamEntry {
             zone: "far".to_owned(),
             ..other.entry("other", "llm", Stage::Decode)
         },
     ]);
-    let told = Told {
-        turning: vec![Turning {
+    let told = GossipMessage {
+        role_changes: vec![PendingRoleChange {
             upstream: UpstreamKey::of("turning", 0),
             stage: Stage::Prefill,
-            left_ms: 60_000,
+            remaining_ms: 60_000,
         }],
-        ..Told::new(InstanceKey::of("b"), Kind::Sum)
+        ..GossipMessage::new(InstanceKey::of("b"), MessageKind::Sum)
     };
     bed.relay
         .receive_gossip(&told, "127.0.0.1:2".parse().unwrap());
@@ -409,7 +409,7 @@
     assert_eq!(answer.status().as_u16(), 200);
     assert_eq!((turning.count(), other.count()), (0, 1));
     bed.relay.apply_change(
-        Change::Put(Entry {
+        ListChange::Put(UpstreamEntry {
             seq: 2,
             ..turning.entry("turning", "llm", Stage::Prefill)
         }),
@@ -440,7 +440,7 @@
     let other = maker();
     let bed = Bed::start(vec![
         away.entry("away", "llm", Stage::Decode),
-        Entry {
+        UpstreamEntry {
             zone: "far".to_owned(),
             ..other.entry("other", "llm", Stage::Decode)
         },
--- a/crates/relay/tests/learned.rs
+++ b/crates/relay/tests/learned.rs
@@ -3,21 +3,21 @@
 mod common;
 
 use relay::prior_wait::PriorWaitEstimator;
-use relay::upstream::{CachedParts, Queue, Reading};
+use relay::upstream::{CachedParts, PrefillProgress, PrefillQueue};
 use relay::urgency::{TypicalLength, Urgency};
 
 /// Long prompts wait at an engine, and a short question of an earlier rank comes. It is read
 /// first, so its wait counts only what is of its rank or before it.
 #[test]
 fn work_of_later_ranks_is_not_waited_for() {
-    let mut queue = Queue::default();
+    let mut queue = PrefillQueue::default();
     queue.add(0, 300.0);
     queue.add(1, 50_000.0);
     queue.add(5, 90_000.0);
     let sums = [
-        queue.before(0),
-        queue.before(1),
-        queue.after(1),
+        queue.tokens_up_to(0),
+        queue.tokens_up_to(1),
+        queue.tokens_after(1),
         queue.total(),
     ];
     assert_eq!(
@@ -26,7 +26,7 @@
     );
     queue.add(1, -60_000.0);
     assert_eq!(
-        queue.before(1) as u64,
+        queue.tokens_up_to(1) as u64,
         300,
         "a queue never falls below nothing"
     );
@@ -38,12 +38,12 @@
 fn parts_used_least_recently_yield() {
     let mut kept = CachedParts::default();
     for part in 0..4 {
-        kept.add(part, 13_000.0, Reading::Done, 60_000.0);
+        kept.add(part, 13_000.0, PrefillProgress::Done, 60_000.0);
     }
-    kept.add(1, 13_000.0, Reading::Begun, 60_000.0);
+    kept.add(1, 13_000.0, PrefillProgress::Begun, 60_000.0);
     assert!(kept.tokens(0) < 1.0);
     assert!(kept.copyable_tokens(1) > 1.0);
-    kept.add(9, 13_000.0, Reading::Begun, 60_000.0);
+    kept.add(9, 13_000.0, PrefillProgress::Begun, 60_000.0);
     assert!(kept.tokens(2) < 1.0);
     assert!(kept.tokens(9) > 1.0 && kept.copyable_tokens(9) < 1.0);
 }
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use common::{Wire, settings};
-use relay::upstream::{Entry, Stage, Standing};
+use relay::upstream::{Stage, UpstreamEntry, UpstreamState};
 use relay::{Origin, Relay};
 use tick::{Clock, since_boot_ms};
-use view::{Change, InstanceKey, Kind, News, Told};
+use view::{GossipMessage, GossipedChange, InstanceKey, ListChange, MessageKind};
 
 /// Doubt of the reader that tells of an entry that went, in ms.
 const DOUBT_MS: u32 = 150;
@@ -25,15 +25,15 @@
     Relay::new(told, Rc::new(Wire), Clock::default())
 }
 
-fn entry(seq: u64) -> Entry {
-    Entry {
+fn entry(seq: u64) -> UpstreamEntry {
+    UpstreamEntry {
         id: "one".to_owned(),
-        born_ms: 0,
+        started_ms: 0,
         service: "llm".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "here".to_owned(),
         slots: 4,
-        standing: Standing::Ready,
+        state: UpstreamState::Ready,
         stage: Stage::Prefill,
         seq,
         is_spot: false,
@@ -43,11 +43,11 @@
 /// A relay that has read a list with one engine, whose entry stands at offset 0.
 fn knowing_one(name: &str) -> Rc<Relay> {
     let relay = relay(name);
-    relay.apply_change(Change::Put(entry(1)), Origin::Read);
+    relay.apply_change(ListChange::Put(entry(1)), Origin::Read);
     relay
         .list_position
         .borrow_mut()
-        .read(since_boot_ms(), 1, Some(1));
+        .record_read(since_boot_ms(), 1, Some(1));
     relay
 }
 
@@ -61,15 +61,15 @@
 }
 
 fn hears_that_it_went(relay: &Relay, doubt_ms: u32) {
-    let news = News {
-        before: 1,
-        after: 2,
-        change: Change::Gone("one".to_owned()),
-        doubt_ms,
+    let news = GossipedChange {
+        previous_offset: 1,
+        offset: 2,
+        change: ListChange::Gone("one".to_owned()),
+        unconfirmed_ms: doubt_ms,
     };
-    let told = Told {
-        news: vec![news],
-        ..Told::new(InstanceKey::of("reader"), Kind::Sum)
+    let told = GossipMessage {
+        list_changes: vec![news],
+        ..GossipMessage::new(InstanceKey::of("reader"), MessageKind::Sum)
     };
     relay.receive_gossip(&told, peer());
 }
@@ -137,7 +137,7 @@
 #[actix_rt::test]
 async fn an_older_answer_does_not_bring_back_what_went() {
     let (asking, asked) = (knowing_one("a"), knowing_one("b"));
-    asked.apply_change(Change::Put(entry(7)), Origin::Read);
+    asked.apply_change(ListChange::Put(entry(7)), Origin::Read);
     let answer = asked.snapshot();
     hears_that_it_went(&asking, 0);
     relay::snapshot::merge(&asking, &answer, peer());
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -5,7 +5,7 @@
 use common::{Bed, Seen, StandIn, request, tell};
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
-use relay::upstream::{Entry, RateLimit, Stage};
+use relay::upstream::{RateLimit, Stage, UpstreamEntry};
 
 /// So few requests a second that no test lasts until the next one.
 const HARDLY_ANY: &str = "x-limit: 0.001\r\n";
@@ -31,10 +31,10 @@
 }
 
 /// Two upstreams of a service, of which the first is nearer and limited.
-fn limited_and_free(service: &str, stage: Stage) -> (StandIn, StandIn, Vec<Entry>) {
+fn limited_and_free(service: &str, stage: Stage) -> (StandIn, StandIn, Vec<UpstreamEntry>) {
     let (limited, free) = (answers(HARDLY_ANY), answers(""));
     let near = limited.entry("limited", service, stage);
-    let far = Entry {
+    let far = UpstreamEntry {
         zone: "there".to_owned(),
         ..free.entry("free", service, stage)
     };
@@ -121,7 +121,7 @@
 async fn a_repeat_goes_to_no_limited_upstream() {
     let (limited, _, entries) = limited_and_free("desk", Stage::Whole);
     let fails = StandIn::start(|seen| seen.answer("500 Internal Server Error", "", ""));
-    let failing = Entry {
+    let failing = UpstreamEntry {
         zone: "there".to_owned(),
         ..fails.entry("failing", "desk", Stage::Whole)
     };
--- a/crates/relay/tests/metrics.rs
+++ b/crates/relay/tests/metrics.rs
@@ -35,7 +35,7 @@
     bed.relay
         .config_position
         .borrow_mut()
-        .read(since_boot_ms(), 1, Some(1));
+        .record_read(since_boot_ms(), 1, Some(1));
     for (path, id) in [("/reads/x", "1"), ("/reads/late", "2")] {
         let (status, _) = bed.get(request(Method::GET, path, id)).await;
         assert_eq!(status, 200);
@@ -79,24 +79,27 @@
     let other = Member {
         name: "b".to_owned(),
         address: "127.0.0.1:2".parse().unwrap(),
-        peer: None,
+        gossip_address: None,
         zone: "here".to_owned(),
         ready: true,
-        beat: 1,
+        heartbeat_seq: 1,
         link_mbps: 20,
     };
     let now_ms = bed.relay.now_ms();
-    bed.relay.members.borrow_mut().heard(now_ms, other);
+    bed.relay
+        .members
+        .borrow_mut()
+        .record_heartbeat(now_ms, other);
     let key = InstanceKey::of("b");
-    bed.relay.members.borrow_mut().told(now_ms, key);
+    bed.relay.members.borrow_mut().record_alive(now_ms, key);
     bed.relay
         .config_position
         .borrow_mut()
-        .read(since_boot_ms(), 1, Some(1));
+        .record_read(since_boot_ms(), 1, Some(1));
     bed.relay
         .list_position
         .borrow_mut()
-        .read(since_boot_ms(), 1, Some(1));
+        .record_read(since_boot_ms(), 1, Some(1));
     assert!(ages().iter().all(|age_ms| *age_ms < 1e6), "{:?}", ages());
 }
 
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -14,7 +14,7 @@
 use relay::{Phase, Relay};
 use tick::{Clock, since_boot_ms};
 use tokio::sync::watch;
-use view::{Change, InstanceKey, Kind, News, Told};
+use view::{GossipMessage, GossipedChange, InstanceKey, ListChange, MessageKind};
 
 /// Callers of an instance that starts while the store is away are served: it asks one that has
 /// been running, and takes over its configuration and upstreams. Before, it refused them all
@@ -26,7 +26,7 @@
     old.relay
         .list_position
         .borrow_mut()
-        .read_whole(since_boot_ms(), 1);
+        .record_snapshot(since_boot_ms(), 1);
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let peer = listener.local_addr().unwrap();
     let (_phase, phases) = watch::channel(Phase::Serving);
@@ -66,17 +66,23 @@
     ];
     for relay in [&one, &two] {
         let entry = engine.entry("one", "llm", Stage::Prefill);
-        relay.apply_change(relay::upstreams::Change::Put(entry), relay::Origin::Read);
+        relay.apply_change(
+            relay::upstreams::ListChange::Put(entry),
+            relay::Origin::Read,
+        );
         let member = Member {
             name: "b".to_owned(),
             address: "127.0.0.1:2".parse().unwrap(),
-            peer: sockets[1].local_addr().ok(),
+            gossip_address: sockets[1].local_addr().ok(),
             zone: "here".to_owned(),
             ready: true,
-            beat: 1,
+            heartbeat_seq: 1,
             link_mbps: 20,
         };
-        relay.members.borrow_mut().heard(relay.now_ms(), member);
+        relay
+            .members
+            .borrow_mut()
+            .record_heartbeat(relay.now_ms(), member);
     }
     actix_rt::spawn(gossip::send_periodically(
         Rc::clone(&one),
@@ -110,11 +116,14 @@
     let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
     let relay = relay("a");
     let entry = engine.entry("one", "llm", Stage::Prefill);
-    relay.apply_change(relay::upstreams::Change::Put(entry), relay::Origin::Read);
+    relay.apply_change(
+        relay::upstreams::ListChange::Put(entry),
+        relay::Origin::Read,
+    );
     relay
         .list_position
         .borrow_mut()
-        .read(since_boot_ms(), 1, Some(1));
+        .record_read(since_boot_ms(), 1, Some(1));
     let mut told = relay.snapshot();
     told.upstreams.clear();
     told.list_age_ms = Some(1_000);
@@ -122,16 +131,16 @@
     assert_eq!(relay.upstreams.borrow().len(), 1);
 }
 
-fn told(sender: &str, change: Change, doubt_ms: u32) -> Told {
-    let news = News {
-        before: 1,
-        after: 2,
+fn told(sender: &str, change: ListChange, doubt_ms: u32) -> GossipMessage {
+    let news = GossipedChange {
+        previous_offset: 1,
+        offset: 2,
         change,
-        doubt_ms,
+        unconfirmed_ms: doubt_ms,
     };
-    Told {
-        news: vec![news],
-        ..Told::new(InstanceKey::of(sender), Kind::Sum)
+    GossipMessage {
+        list_changes: vec![news],
+        ..GossipMessage::new(InstanceKey::of(sender), MessageKind::Sum)
     }
 }
 
@@ -140,13 +149,13 @@
     let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
     let relay = relay("a");
     relay.apply_change(
-        Change::Put(engine.entry("one", "llm", Stage::Prefill)),
+        ListChange::Put(engine.entry("one", "llm", Stage::Prefill)),
         relay::Origin::Read,
     );
     relay
         .list_position
         .borrow_mut()
-        .read(since_boot_ms(), 1, Some(1));
+        .record_read(since_boot_ms(), 1, Some(1));
     (engine, relay)
 }
 
@@ -163,7 +172,7 @@
     let (_engine, relay) = knowing_one();
     let now_ms = relay.now_ms();
     relay.upstreams.borrow_mut().store_unreachable(now_ms);
-    let gone = Change::Gone("one".to_owned());
+    let gone = ListChange::Gone("one".to_owned());
     relay.receive_gossip(&told("b", gone, 0), "127.0.0.1:1".parse().unwrap());
     assert_eq!(ready(&relay), 0);
 }
@@ -175,7 +184,7 @@
     let (_engine, relay) = knowing_one();
     let now_ms = relay.now_ms();
     relay.upstreams.borrow_mut().store_unreachable(now_ms);
-    let gone = Change::Gone("one".to_owned());
+    let gone = ListChange::Gone("one".to_owned());
     relay.receive_gossip(&told("b", gone, 2_000), "127.0.0.1:1".parse().unwrap());
     assert_eq!(ready(&relay), 1);
 }
@@ -186,7 +195,7 @@
 #[actix_rt::test]
 async fn the_doubt_of_one_that_was_turned_away_is_not_shared() {
     let (_engine, relay) = knowing_one();
-    let gone = Change::Gone("one".to_owned());
+    let gone = ListChange::Gone("one".to_owned());
     relay.receive_gossip(&told("b", gone, 2_200), "127.0.0.1:1".parse().unwrap());
     assert_eq!(ready(&relay), 0);
 }
--- a/crates/relay/tests/places.rs
+++ b/crates/relay/tests/places.rs
@@ -13,9 +13,9 @@
 use relay::members::Member;
 use relay::relay::ChangesRead;
 use relay::snapshot::Snapshot;
-use relay::upstream::{Entry, Stage, Standing};
+use relay::upstream::{Stage, UpstreamEntry, UpstreamState};
 use tick::{Clock, since_boot_ms};
-use view::{Change, Told};
+use view::{GossipMessage, ListChange};
 
 /// Instances, each of which tells each.
 const INSTANCES: usize = 5;
@@ -29,49 +29,51 @@
 /// The list as its store keeps it.
 #[derive(Default)]
 struct List {
-    records: Vec<Change>,
+    records: Vec<ListChange>,
     seqs: BTreeMap<String, u64>,
 }
 
 impl List {
-    fn write(&mut self, upstream: usize, standing: Option<Standing>) {
+    fn write(&mut self, upstream: usize, standing: Option<UpstreamState>) {
         let id = format!("i-{upstream}");
         let stood = self.at(self.records.len() as u64).get(&id).copied();
         // One that leaves says so until its entry goes, and does not come back under its id.
         let is_over = stood.is_none() && self.seqs.contains_key(&id);
-        if is_over || stood == Some(Standing::Leaving) && standing == Some(Standing::Ready) {
+        if is_over
+            || stood == Some(UpstreamState::Leaving) && standing == Some(UpstreamState::Ready)
+        {
             return;
         }
         let change = match standing {
             None if stood.is_none() => return,
-            None => Change::Gone(id),
+            None => ListChange::Gone(id),
             Some(standing) => {
                 let seq = self.seqs.entry(id.clone()).or_default();
                 *seq += 1;
-                Change::Put(entry(id, standing, *seq))
+                ListChange::Put(entry(id, standing, *seq))
             }
         };
         self.records.push(change);
     }
 
     /// Standings up to an offset.
-    fn at(&self, next: u64) -> BTreeMap<String, Standing> {
+    fn at(&self, next: u64) -> BTreeMap<String, UpstreamState> {
         let mut all = BTreeMap::new();
         for change in &self.records[..next as usize] {
             match change {
-                Change::Put(entry) => all.insert(entry.id.clone(), entry.standing),
-                Change::Gone(id) => all.remove(id),
+                ListChange::Put(entry) => all.insert(entry.id.clone(), entry.state),
+                ListChange::Gone(id) => all.remove(id),
             };
         }
         all
     }
 
-    fn newest(&self) -> Vec<Entry> {
+    fn newest(&self) -> Vec<UpstreamEntry> {
         let mut all = BTreeMap::new();
         for change in &self.records {
             match change {
-                Change::Put(entry) => all.insert(entry.id.clone(), entry.clone()),
-                Change::Gone(id) => all.remove(id),
+                ListChange::Put(entry) => all.insert(entry.id.clone(), entry.clone()),
+                ListChange::Gone(id) => all.remove(id),
             };
         }
         all.into_values().collect()
@@ -95,19 +97,19 @@
 
 /// An answer of the store on its way.
 enum Reading {
-    Whole(u64, Vec<Entry>),
+    Whole(u64, Vec<UpstreamEntry>),
     Changes(ChangesRead),
 }
 
-fn entry(id: String, standing: Standing, seq: u64) -> Entry {
-    Entry {
+fn entry(id: String, standing: UpstreamState, seq: u64) -> UpstreamEntry {
+    UpstreamEntry {
         id,
-        born_ms: 0,
+        started_ms: 0,
         service: "llm".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "here".to_owned(),
         slots: 4,
-        standing,
+        state: standing,
         stage: Stage::Prefill,
         seq,
         is_spot: false,
@@ -127,13 +129,16 @@
         let member = Member {
             name: format!("entry-{other}"),
             address: address(other),
-            peer: Some(address(other)),
+            gossip_address: Some(address(other)),
             zone: "here".to_owned(),
             ready: true,
-            beat: 1,
+            heartbeat_seq: 1,
             link_mbps: 20,
         };
-        relay.members.borrow_mut().heard(relay.now_ms(), member);
+        relay
+            .members
+            .borrow_mut()
+            .record_heartbeat(relay.now_ms(), member);
     }
     relay
 }
@@ -144,7 +149,7 @@
     all: Vec<Rc<Relay>>,
     readings: Vec<Option<Reading>>,
     answers: Vec<Option<(usize, Snapshot)>>,
-    datagrams: Vec<(usize, usize, Told)>,
+    datagrams: Vec<(usize, usize, GossipMessage)>,
 }
 
 impl World {
@@ -162,7 +167,7 @@
         match *step {
             Step::Write(upstream, standing) => self.list.write(upstream, standing),
             Step::Read(who) => {
-                let next = self.all[who].list_position.borrow().next();
+                let next = self.all[who].list_position.borrow().next_offset();
                 self.readings[who].get_or_insert_with(|| self.list.read(next));
             }
             Step::TakeReading(who) => self.take_reading(who),
@@ -205,7 +210,7 @@
             }
             Step::LoseHistory(who) => {
                 self.readings[who] = None;
-                self.all[who].list_position.borrow_mut().lost();
+                self.all[who].list_position.borrow_mut().require_full_read();
             }
             Step::Restart(who) => {
                 self.all[who] = instance(who);
@@ -229,7 +234,7 @@
     /// An instance that holds something else than the list said at its place.
     fn wrong(&self) -> Option<String> {
         self.all.iter().find_map(|relay| {
-            let next = relay.list_position.borrow().next()?;
+            let next = relay.list_position.borrow().next_offset()?;
             let now_ms = relay.now_ms();
             let upstreams = relay.upstreams.borrow();
             let doubts = upstreams.unconfirmed_entries(now_ms);
@@ -237,7 +242,7 @@
             let ready = upstreams.ready("llm", now_ms).map(|each| each.id.clone());
             let ready: BTreeSet<String> = ready.filter(|id| !is_doubted(id)).collect();
             let said = self.list.at(next).into_iter();
-            let said = said.filter(|(_, standing)| *standing == Standing::Ready);
+            let said = said.filter(|(_, standing)| *standing == UpstreamState::Ready);
             let said: BTreeSet<String> = said.map(|(id, _)| id).collect();
             (ready != said).then(|| {
                 let name = relay.settings.borrow().name.clone();
@@ -249,7 +254,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Write(usize, Option<Standing>),
+    Write(usize, Option<UpstreamState>),
     Read(usize),
     TakeReading(usize),
     Ask(usize, usize),
@@ -265,8 +270,8 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let who = 0..INSTANCES;
     let standing = prop_oneof![
-        4 => Just(Some(Standing::Ready)),
-        1 => Just(Some(Standing::Leaving)),
+        4 => Just(Some(UpstreamState::Ready)),
+        1 => Just(Some(UpstreamState::Leaving)),
         1 => Just(None),
     ];
     let step = prop_oneof![
@@ -312,12 +317,12 @@
 fn one_that_lost_its_place_does_not_go_back() {
     let mut world = World::new();
     let steps = [
-        Step::Write(0, Some(Standing::Ready)),
+        Step::Write(0, Some(UpstreamState::Ready)),
         Step::Read(0),
         Step::TakeReading(0),
         Step::Read(1),
         Step::TakeReading(1),
-        Step::Write(0, Some(Standing::Ready)),
+        Step::Write(0, Some(UpstreamState::Ready)),
         Step::Write(0, None),
         Step::Read(0),
         Step::TakeReading(0),
@@ -339,9 +344,9 @@
     let steps = [
         Step::Read(0),
         Step::TakeReading(0),
-        Step::Write(0, Some(Standing::Ready)),
+        Step::Write(0, Some(UpstreamState::Ready)),
         Step::Read(2),
-        Step::Write(0, Some(Standing::Leaving)),
+        Step::Write(0, Some(UpstreamState::Leaving)),
         Step::Read(1),
         Step::TakeReading(1),
         Step::LoseHistory(1),
--- a/crates/relay/tests/poison.rs
+++ b/crates/relay/tests/poison.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use relay::config::{Config, Limits, Route};
 use relay::upstream::Stage;
-use relay::upstreams::Change;
+use relay::upstreams::ListChange;
 use view::RequestKey;
 
 /// Body of the request that no upstream survives.
@@ -52,7 +52,7 @@
     (0..size).map(|_| StandIn::start(fragile)).collect()
 }
 
-fn entries(fleet: &[StandIn], service: &str, stage: Stage) -> Vec<relay::upstream::Entry> {
+fn entries(fleet: &[StandIn], service: &str, stage: Stage) -> Vec<relay::upstream::UpstreamEntry> {
     let entry = |(at, each): (usize, &StandIn)| each.entry(&format!("u{at}"), service, stage);
     fleet.iter().enumerate().map(entry).collect()
 }
@@ -221,8 +221,8 @@
 #[actix_rt::test]
 async fn one_that_is_back_at_once_has_ended_all_the_same() {
     let desk = StandIn::start(|_| vec![Act::Close]);
-    let entry = |nth: u64| relay::upstream::Entry {
-        born_ms: nth,
+    let entry = |nth: u64| relay::upstream::UpstreamEntry {
+        started_ms: nth,
         ..desk.entry("desk", "desk", Stage::Whole)
     };
     let bed = Bed::start(vec![entry(0)]);
@@ -230,8 +230,10 @@
     for attempt in 0..4 {
         statuses.push(bed.get(poison("/claims/1", attempt)).await.0);
         looked(&bed).await;
-        bed.relay
-            .apply_change(Change::Put(entry(1 + attempt as u64)), relay::Origin::Read);
+        bed.relay.apply_change(
+            ListChange::Put(entry(1 + attempt as u64)),
+            relay::Origin::Read,
+        );
     }
     assert_eq!(statuses, [502, 502, 503, 503]);
 }
--- a/crates/relay/tests/repeats.rs
+++ b/crates/relay/tests/repeats.rs
@@ -118,7 +118,7 @@
     let mut members = relay.members.borrow_mut();
     let own = Member { ready: true, ..own };
     for member in others.into_iter().chain([own]) {
-        members.heard(relay.now_ms(), member);
+        members.record_heartbeat(relay.now_ms(), member);
     }
     drop(members);
     relay
@@ -149,9 +149,9 @@
     let silent_ms = relay.now_ms() + 3_000;
     let mut members = relay.members.borrow_mut();
     for name in ["b", "c"] {
-        members.told(silent_ms, InstanceKey::of(name));
+        members.record_alive(silent_ms, InstanceKey::of(name));
     }
-    assert!(members.count() < 7, "silence is noticed");
+    assert!(members.reachable_count() < 7, "silence is noticed");
     drop(members);
     let part = settings().retry_budget.slack / 7.0;
     let taken = unpaid(&relay);
@@ -170,7 +170,10 @@
             ready: false,
             ..own.clone()
         };
-        relay.members.borrow_mut().heard(now_ms, starting);
+        relay
+            .members
+            .borrow_mut()
+            .record_heartbeat(now_ms, starting);
     }
     let part = settings().retry_budget.slack / 7.0;
     let taken = unpaid(&relay);
--- a/crates/relay/tests/services.rs
+++ b/crates/relay/tests/services.rs
@@ -4,10 +4,10 @@
 
 use common::{Act, Bed, StandIn, request, until};
 use http::{HeaderValue, Method};
-use relay::upstream::{Entry, Stage};
+use relay::upstream::{Stage, UpstreamEntry};
 
-fn elsewhere(entry: Entry) -> Entry {
-    Entry {
+fn elsewhere(entry: UpstreamEntry) -> UpstreamEntry {
+    UpstreamEntry {
         zone: "there".to_owned(),
         ..entry
     }
--- a/crates/relay/tests/usage.rs
+++ b/crates/relay/tests/usage.rs
@@ -6,20 +6,20 @@
 
 use bytes::Bytes;
 use common::{Act, Bed, StandIn, config, listener, request, settings};
-use duty::Windows;
+use duty::UsageWindows;
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
 use keys::KeyHash;
 use relay::config::{Access, Workspace};
 use relay::singleton_tasks::TaskSettings;
-use relay::upstream::{Entry, Stage};
+use relay::upstream::{Stage, UpstreamEntry};
 use relay::{Origin, Settings};
-use view::{Change, WorkspaceKey};
+use view::{ListChange, WorkspaceKey};
 
-fn bed(entries: Vec<Entry>) -> Bed {
+fn bed(entries: Vec<UpstreamEntry>) -> Bed {
     let bed = Bed::knowing_nothing(Settings {
         singleton_tasks: TaskSettings {
-            usage: Some(Windows {
+            usage: Some(UsageWindows {
                 length_ms: 3_600_000,
             }),
             scales: false,
@@ -37,9 +37,9 @@
     bed.relay
         .members
         .borrow_mut()
-        .heard(bed.relay.now_ms(), own);
+        .record_heartbeat(bed.relay.now_ms(), own);
     for entry in entries {
-        bed.relay.apply_change(Change::Put(entry), Origin::Read);
+        bed.relay.apply_change(ListChange::Put(entry), Origin::Read);
     }
     bed
 }
@@ -54,7 +54,10 @@
 /// What another instance is told of what ran, by workspace.
 async fn counted(bed: &Bed) -> BTreeMap<&'static str, u32> {
     let relay = &bed.relay;
-    relay.members.borrow_mut().heard(relay.now_ms(), listener());
+    relay
+        .members
+        .borrow_mut()
+        .record_heartbeat(relay.now_ms(), listener());
     relay.heartbeat_stored(relay.heartbeat());
     let mut counts = BTreeMap::new();
     for _ in 0..20 {
--- a/crates/view/src/clock.rs
+++ b/crates/view/src/clock.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use crate::{InstanceKey, Kind, Told};
+use crate::{GossipMessage, InstanceKey, MessageKind};
 
 /// Age at which what was heard of a clock no longer counts, in ms.
 const STALE_MS: u64 = 5_000;
@@ -33,11 +33,11 @@
 
 impl FleetClock {
     /// Another instance told the time.
-    pub fn heard(&mut self, since_boot_ms: u64, told: &Told) {
+    pub fn receive(&mut self, since_boot_ms: u64, told: &GossipMessage) {
         let ahead_ms = ahead_ms(since_boot_ms, told.clock_ms);
         match told.kind {
-            Kind::Digest => self.ahead_ms = Some(ahead_ms),
-            Kind::Report | Kind::Sum => {
+            MessageKind::Digest => self.ahead_ms = Some(ahead_ms),
+            MessageKind::Report | MessageKind::Sum => {
                 let sample = Sample {
                     ahead_ms,
                     at_ms: since_boot_ms,
--- a/crates/view/src/demand.rs
+++ b/crates/view/src/demand.rs
@@ -11,11 +11,14 @@
     /// The service.
     pub service: String,
     /// Engines that would read without a pause.
-    pub reading: f32,
+    #[serde(rename = "reading")]
+    pub prefill_engines: f32,
     /// Engines whose places would all be taken.
-    pub making: f32,
+    #[serde(rename = "making")]
+    pub decode_engines: f32,
     /// Requests a second.
-    pub requests_a_s: f32,
+    #[serde(rename = "requests_a_s")]
+    pub requests_per_s: f32,
 }
 
 /// Adds what is asked of each service to a sum.
@@ -23,9 +26,9 @@
     for each in other {
         match sum.iter_mut().find(|known| known.service == each.service) {
             Some(known) => {
-                known.reading += each.reading;
-                known.making += each.making;
-                known.requests_a_s += each.requests_a_s;
+                known.prefill_engines += each.prefill_engines;
+                known.decode_engines += each.decode_engines;
+                known.requests_per_s += each.requests_per_s;
             }
             None => sum.push(each.clone()),
         }
@@ -36,9 +39,9 @@
 pub fn take(sum: &mut [ServiceDemand], other: &[ServiceDemand]) {
     for each in other {
         if let Some(known) = sum.iter_mut().find(|known| known.service == each.service) {
-            known.reading = (known.reading - each.reading).max(0.0);
-            known.making = (known.making - each.making).max(0.0);
-            known.requests_a_s = (known.requests_a_s - each.requests_a_s).max(0.0);
+            known.prefill_engines = (known.prefill_engines - each.prefill_engines).max(0.0);
+            known.decode_engines = (known.decode_engines - each.decode_engines).max(0.0);
+            known.requests_per_s = (known.requests_per_s - each.requests_per_s).max(0.0);
         }
     }
 }
--- a/crates/view/src/entry.rs
+++ b/crates/view/src/entry.rs
@@ -18,7 +18,7 @@
 
 /// Whether an upstream may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub enum Standing {
+pub enum UpstreamState {
     /// It may.
     #[default]
     Ready,
@@ -28,13 +28,14 @@
 
 /// An upstream as the list of upstreams describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct UpstreamEntry {
     /// Its name; a restart may have the same or another.
     pub id: String,
     /// When the incarnation started, by its own clock, in ms since 1970; 0 if it does not say. Only
     /// compared with that of the same id.
     #[serde(default)]
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
     /// Service that it runs.
     pub service: String,
     /// Where it listens.
@@ -44,7 +45,8 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it gets new work.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: UpstreamState,
     /// What it does of a generation.
     pub stage: Stage,
     /// Grows with each entry that the incarnation writes.
@@ -56,9 +58,9 @@
 
 /// A change of the list of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum ListChange {
     /// An upstream is there, as described.
-    Put(Entry),
+    Put(UpstreamEntry),
     /// An upstream's entry was taken away.
     Gone(String),
 }
--- a/crates/view/src/shared.rs
+++ b/crates/view/src/gossip.rs
@@ -3,18 +3,19 @@
 //! One instance reports to its hub, or is one: a hub adds up what those around it report, tells the sum
 //! to the other hubs, and gives back to each what all but it have. Nobody agrees on who is a hub. Who is
 //! reported to acts as one, and who hears nothing from its hub goes to the next. What was told counts for
-//! [`STALE_MS`], so an instance that goes takes its share along. See docs/design/views.md.
+//! [`STALE_AFTER_MS`], so an instance that goes takes its share along. See docs/design/views.md.
 
 mod outgoing;
-mod repeated;
+mod resend;
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use self::repeated::Repeated;
+use self::resend::Repeated;
 use crate::{
-    Fate, InstanceKey, Kind, LimitTold, Load, Mark, Member, News, PartRead, RecentNews, RequestKey,
-    ServiceDemand, Told, Turning, UpstreamKey, demand,
+    FailureEvidence, GossipMessage, GossipedChange, InstanceKey, Load, LogPosition, Member,
+    MessageKind, PendingRoleChange, PrefilledPart, RecentChanges, RequestKey, ServiceDemand,
+    UpstreamKey, UpstreamLimit, demand,
 };
 
 /// Time between two datagrams to one receiver, in ms: what one instance has is known to all within three,
@@ -22,42 +23,42 @@
 pub const PERIOD_MS: u64 = 50;
 
 /// Age at which what was told is no longer counted, in ms: two datagrams of an idle instance.
-pub const STALE_MS: u64 = 700;
+pub const STALE_AFTER_MS: u64 = 700;
 
 /// What this instance has to tell of itself.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct LocalState {
     /// Itself.
     pub member: Member,
     /// What it has outstanding.
     pub loads: Vec<(UpstreamKey, Load)>,
     /// Parts that it had read since it was last asked.
-    pub reads: Vec<PartRead>,
+    pub prefilled_parts: Vec<PrefilledPart>,
     /// Engines that it has ordered to another stage.
-    pub turning: Vec<Turning>,
+    pub role_changes: Vec<PendingRoleChange>,
     /// What callers ask of it.
     pub demand: Vec<ServiceDemand>,
     /// Fencing token of the last order that it gave, if it could give one now.
-    pub gives_after: Option<u64>,
+    pub last_order_token: Option<u64>,
     /// Fencing token of its last call for the fleet, if it could make one now.
-    pub holds_after: Option<u64>,
+    pub last_task_token: Option<u64>,
     /// Time of day by its own clock, in ms since 1970.
     pub clock_ms: u64,
     /// Time of day that it takes for the fleet's, in ms since 1970.
-    pub fleet_ms: u64,
+    pub fleet_clock_ms: u64,
     /// Where the list of upstreams stands.
-    pub list: Option<Mark>,
+    pub list_position: Option<LogPosition>,
     /// Where the configuration stands.
-    pub config: Option<Mark>,
+    pub config_position: Option<LogPosition>,
     /// Requests that no upstream is to get any more.
-    pub poisonous: Vec<RequestKey>,
+    pub poison: Vec<RequestKey>,
 }
 
 /// What a datagram changed.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct ChangedLoads {
     /// Upstreams at which others have something else outstanding than before.
-    pub loads: Vec<UpstreamKey>,
+    pub upstreams: Vec<UpstreamKey>,
 }
 
 type Loads = HashMap<UpstreamKey, Load>;
@@ -66,7 +67,7 @@
 struct Sender {
     peer: SocketAddr,
     at_ms: u64,
-    kind: Kind,
+    kind: MessageKind,
     /// Whether it was told all there is since it came.
     is_greeted: bool,
     loads: Loads,
@@ -84,55 +85,55 @@
 
 /// What others told, and what goes on to whom.
 #[derive(Debug, Default)]
-pub struct Shared {
+pub struct GossipState {
     senders: HashMap<InstanceKey, Sender>,
     totals: Loads,
     /// What all, and what those that report here and this instance had at the last period.
     last_all: Loads,
     last_sum: Loads,
     /// Reads of those that report here, for the other hubs.
-    up: Vec<PartRead>,
+    up: Vec<PrefilledPart>,
     /// Reads of other hubs, for those that report here.
-    down: Vec<PartRead>,
-    up_turning: Vec<Turning>,
-    down_turning: Vec<Turning>,
+    down: Vec<PrefilledPart>,
+    up_turning: Vec<PendingRoleChange>,
+    down_turning: Vec<PendingRoleChange>,
     /// Fates that were seen here or by those that report here, for all.
-    up_fates: Repeated<Fate>,
+    up_fates: Repeated<FailureEvidence>,
     /// Those that other hubs told of, for those that report here.
-    down_fates: Repeated<Fate>,
+    down_fates: Repeated<FailureEvidence>,
     /// Limits of upstreams that were named here or to those that report here, for all.
-    up_limits: Repeated<LimitTold>,
+    up_limits: Repeated<UpstreamLimit>,
     /// Those that other hubs told of, for those that report here.
-    down_limits: Repeated<LimitTold>,
+    down_limits: Repeated<UpstreamLimit>,
     joined: Vec<(u64, Member)>,
-    news: RecentNews,
+    news: RecentChanges,
     hub: Option<Hub>,
     avoided: HashMap<InstanceKey, u64>,
     ticks: u64,
     last_own: Vec<(UpstreamKey, Load)>,
 }
 
-impl Shared {
+impl GossipState {
     /// A datagram came; its reads, members and news are the caller's to take in as well.
-    pub fn heard(&mut self, now_ms: u64, told: &Told, peer: SocketAddr) -> Heard {
+    pub fn receive(&mut self, now_ms: u64, told: &GossipMessage, peer: SocketAddr) -> ChangedLoads {
         let is_hub = self.hub.is_some_and(|hub| hub.key == told.from);
-        if told.kind == Kind::Digest && !is_hub {
-            return Heard::default();
+        if told.kind == MessageKind::Digest && !is_hub {
+            return ChangedLoads::default();
         }
         let mut changed = Vec::new();
-        if told.kind == Kind::Digest {
+        if told.kind == MessageKind::Digest {
             self.drop_other_digests(told.from, &mut changed);
         }
         let (reads, turning) = match told.kind {
-            Kind::Report => (Some(&mut self.up), Some(&mut self.up_turning)),
-            Kind::Sum => (Some(&mut self.down), Some(&mut self.down_turning)),
-            Kind::Digest => (None, None),
+            MessageKind::Report => (Some(&mut self.up), Some(&mut self.up_turning)),
+            MessageKind::Sum => (Some(&mut self.down), Some(&mut self.down_turning)),
+            MessageKind::Digest => (None, None),
         };
         if let Some(reads) = reads {
-            reads.extend(&told.reads);
+            reads.extend(&told.prefilled_parts);
         }
         if let Some(turning) = turning {
-            turning.extend(&told.turning);
+            turning.extend(&told.role_changes);
         }
         let before = self.senders.remove(&told.from);
         let mut sender = Sender {
@@ -140,8 +141,8 @@
             at_ms: now_ms,
             kind: told.kind,
             is_greeted: before.as_ref().is_some_and(|before| before.is_greeted),
-            gives_after: told.gives_after,
-            holds_after: told.holds_after,
+            gives_after: told.last_order_token,
+            holds_after: told.last_task_token,
             loads: Loads::new(),
             demand: Vec::new(),
             alive: Vec::new(),
@@ -158,12 +159,17 @@
         }
         self.take_loads(&mut sender.loads, told, &mut changed);
         self.senders.insert(told.from, sender);
-        Heard { loads: changed }
+        ChangedLoads { upstreams: changed }
     }
 
     /// Takes over what a sender has now, in its own loads and in the totals.
-    fn take_loads(&mut self, loads: &mut Loads, told: &Told, changed: &mut Vec<UpstreamKey>) {
-        if told.is_whole {
+    fn take_loads(
+        &mut self,
+        loads: &mut Loads,
+        told: &GossipMessage,
+        changed: &mut Vec<UpstreamKey>,
+    ) {
+        if told.is_full {
             let named: HashSet<UpstreamKey> = told.loads.iter().map(|(key, _)| *key).collect();
             let gone: Vec<UpstreamKey> = loads
                 .keys()
@@ -177,7 +183,7 @@
             }
         }
         for (key, load) in &told.loads {
-            let old = if load.is_none() {
+            let old = if load.is_empty() {
                 loads.remove(key)
             } else {
                 loads.insert(*key, *load)
@@ -190,15 +196,15 @@
     fn change_total(&mut self, key: UpstreamKey, old: &Load, new: &Load) {
         let total = self.totals.entry(key).or_default();
         total.add(new);
-        total.take(old);
-        if total.is_none() {
+        total.subtract(old);
+        if total.is_empty() {
             self.totals.remove(&key);
         }
     }
 
     /// Drops what is too old to count.
-    pub fn expire(&mut self, now_ms: u64) -> Heard {
-        let is_old = |sender: &Sender| sender.at_ms + STALE_MS < now_ms;
+    pub fn expire(&mut self, now_ms: u64) -> ChangedLoads {
+        let is_old = |sender: &Sender| sender.at_ms + STALE_AFTER_MS < now_ms;
         let old: Vec<InstanceKey> = self
             .senders
             .iter()
@@ -209,7 +215,7 @@
         for key in old {
             self.drop_sender(key, &mut changed);
         }
-        Heard { loads: changed }
+        ChangedLoads { upstreams: changed }
     }
 
     fn drop_sender(&mut self, key: InstanceKey, changed: &mut Vec<UpstreamKey>) {
@@ -222,7 +228,7 @@
         }
     }
 
-    fn of_kind(&self, kind: Kind) -> impl Iterator<Item = (&InstanceKey, &Sender)> {
+    fn of_kind(&self, kind: MessageKind) -> impl Iterator<Item = (&InstanceKey, &Sender)> {
         self.senders
             .iter()
             .filter(move |(_, sender)| sender.kind == kind)
@@ -231,7 +237,7 @@
     /// What a former hub told would be counted beside what the present one does.
     fn drop_other_digests(&mut self, hub: InstanceKey, changed: &mut Vec<UpstreamKey>) {
         let others: Vec<InstanceKey> = self
-            .of_kind(Kind::Digest)
+            .of_kind(MessageKind::Digest)
             .map(|(key, _)| *key)
             .filter(|key| *key != hub)
             .collect();
@@ -246,7 +252,7 @@
     }
 
     /// Whether somebody speaks for the others.
-    pub fn hears(&self) -> bool {
+    pub fn has_senders(&self) -> bool {
         !self.senders.is_empty()
     }
 
@@ -260,66 +266,66 @@
     }
 
     /// Other hubs that could give orders now, each with the token of the last that it gave.
-    pub fn givers(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
+    pub fn order_candidates(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
         self.senders
             .iter()
             .filter_map(|(key, sender)| Some((*key, sender.gives_after?)))
     }
 
     /// Other instances that could make calls for the fleet now, each with the token of its last.
-    pub fn holders(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
+    pub fn task_candidates(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
         self.senders
             .iter()
             .filter_map(|(key, sender)| Some((*key, sender.holds_after?)))
     }
 
     /// Where an instance is that knows what the others tell: the own hub, or another one.
-    pub fn informed(&self) -> Option<SocketAddr> {
+    pub fn informed_peer(&self) -> Option<SocketAddr> {
         let hub = self.hub.and_then(|hub| self.senders.get(&hub.key));
         let hubs = self
             .senders
             .values()
-            .filter(|sender| sender.kind == Kind::Sum);
+            .filter(|sender| sender.kind == MessageKind::Sum);
         hub.or_else(|| hubs.max_by_key(|sender| sender.at_ms))
             .map(|sender| sender.peer)
     }
 
     /// A change of the list of upstreams was read or heard of.
-    pub fn add_news(&mut self, now_ms: u64, news: News) {
+    pub fn add_list_change(&mut self, now_ms: u64, news: GossipedChange) {
         self.news.add(now_ms, news);
     }
 
     /// Something became of a request here, which the others do not know.
-    pub fn add_fate(&mut self, fate: Fate) {
+    pub fn add_evidence(&mut self, fate: FailureEvidence) {
         self.up_fates.add(fate);
     }
 
     /// Something became of a request elsewhere that was not known here, and goes on to whom the sender's kind
     /// does not reach.
-    pub fn pass_on_fate(&mut self, fate: Fate, told_by: Kind) {
+    pub fn forward_evidence(&mut self, fate: FailureEvidence, told_by: MessageKind) {
         match told_by {
-            Kind::Report => self.up_fates.add(fate),
-            Kind::Sum => self.down_fates.add(fate),
-            Kind::Digest => {}
+            MessageKind::Report => self.up_fates.add(fate),
+            MessageKind::Sum => self.down_fates.add(fate),
+            MessageKind::Digest => {}
         }
     }
 
     /// An upstream named its limit here, or names none any more.
-    pub fn add_limit(&mut self, limit: LimitTold) {
+    pub fn add_limit(&mut self, limit: UpstreamLimit) {
         self.up_limits.add(limit);
     }
 
     /// A limit was told that was not known here, and goes on to whom the sender's kind does not reach.
-    pub fn pass_on_limit(&mut self, limit: LimitTold, told_by: Kind) {
+    pub fn forward_limit(&mut self, limit: UpstreamLimit, told_by: MessageKind) {
         match told_by {
-            Kind::Report => self.up_limits.add(limit),
-            Kind::Sum => self.down_limits.add(limit),
-            Kind::Digest => {}
+            MessageKind::Report => self.up_limits.add(limit),
+            MessageKind::Sum => self.down_limits.add(limit),
+            MessageKind::Digest => {}
         }
     }
 
     /// An instance has come or changed.
-    pub fn joined(&mut self, now_ms: u64, member: Member) {
+    pub fn add_member(&mut self, now_ms: u64, member: Member) {
         self.joined.retain(|(_, known)| known.name != member.name);
         self.joined.push((now_ms, member));
     }
--- a/crates/view/src/shared/outgoing.rs
+++ b/crates/view/src/gossip/outgoing.rs
@@ -3,10 +3,11 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use super::{Hub, Loads, Own, Shared};
-use crate::hubs::Ranks;
+use super::{GossipState, Hub, Loads, LocalState};
+use crate::hubs::HubRanking;
 use crate::{
-    InstanceKey, Kind, Load, Member, RequestKey, ServiceDemand, Told, UpstreamKey, demand, hubs,
+    GossipMessage, InstanceKey, Load, Member, MessageKind, RequestKey, ServiceDemand, UpstreamKey,
+    demand, hubs,
 };
 
 /// Periods for each datagram that says all there is, who lives and what is asked; the others say what
@@ -30,20 +31,29 @@
 /// Time for which an instance's own record is told on, in ms.
 const JOINED_MS: u64 = 500;
 
-impl Shared {
+impl GossipState {
     /// What goes out now, and where to.
-    pub fn tick(&mut self, now_ms: u64, own: Own, ranks: &Ranks) -> Vec<(SocketAddr, Told)> {
+    pub fn tick(
+        &mut self,
+        now_ms: u64,
+        own: LocalState,
+        ranks: &HubRanking,
+    ) -> Vec<(SocketAddr, GossipMessage)> {
         self.ticks += 1;
         // The first empty datagram clears what others hold against this instance; further ones only say
         // that it lives.
-        let is_news =
-            own.loads != self.last_own || !own.reads.is_empty() || !own.turning.is_empty();
+        let is_news = own.loads != self.last_own
+            || !own.prefilled_parts.is_empty()
+            || !own.role_changes.is_empty();
         let is_news = is_news || !self.up_fates.is_empty() || !self.down_fates.is_empty();
         let is_news = is_news || !self.up_limits.is_empty() || !self.down_limits.is_empty();
         let tells = is_news || self.ticks.is_multiple_of(WHOLE_PERIODS);
         self.last_own.clone_from(&own.loads);
         self.joined.retain(|(at_ms, _)| now_ms < at_ms + JOINED_MS);
-        let is_told = self.senders.values().any(|it| it.kind != Kind::Digest);
+        let is_told = self
+            .senders
+            .values()
+            .any(|it| it.kind != MessageKind::Digest);
         if ranks.is_hub() || is_told {
             self.hub = None;
             self.gather(now_ms, &own, ranks, tells)
@@ -55,10 +65,10 @@
     fn report(
         &mut self,
         now_ms: u64,
-        own: Own,
-        ranks: &Ranks,
+        own: LocalState,
+        ranks: &HubRanking,
         tells: bool,
-    ) -> Vec<(SocketAddr, Told)> {
+    ) -> Vec<(SocketAddr, GossipMessage)> {
         let Some(hub) = self.chosen(now_ms, &own.member, &ranks.hubs) else {
             return Vec::new();
         };
@@ -72,19 +82,19 @@
         if !tells && !is_new {
             return Vec::new();
         }
-        let told = Told {
+        let told = GossipMessage {
             members: self.members_told(),
             alive: ready_key(&own.member).into_iter().collect(),
             loads: own.loads,
-            reads: own.reads,
-            turning: own.turning,
+            prefilled_parts: own.prefilled_parts,
+            role_changes: own.role_changes,
             demand: own.demand,
-            gives_after: own.gives_after,
+            last_order_token: own.last_order_token,
             clock_ms: own.clock_ms,
-            fates: self.up_fates.told(),
+            evidence: self.up_fates.told(),
             limits: self.up_limits.told(),
-            poisonous: self.poisonous_told(&own.poisonous),
-            ..Told::new(InstanceKey::of(&own.member.name), Kind::Report)
+            poison: self.poisonous_told(&own.poison),
+            ..GossipMessage::new(InstanceKey::of(&own.member.name), MessageKind::Report)
         };
         vec![(hub, told)]
     }
@@ -98,7 +108,7 @@
             let is_there = hubs.iter().find(|it| InstanceKey::of(&it.name) == hub.key);
             let is_lost = now_ms > heard_ms.max(hub.since_ms) + HUB_LOST_MS;
             match is_there {
-                Some(member) if !is_lost => return member.peer,
+                Some(member) if !is_lost => return member.gossip_address,
                 _ => self.avoided.insert(hub.key, now_ms + AVOIDED_MS),
             };
         }
@@ -109,19 +119,19 @@
             key: InstanceKey::of(&nearest.name),
             since_ms: now_ms,
         });
-        nearest.peer
+        nearest.gossip_address
     }
 
     fn gather(
         &mut self,
         now_ms: u64,
-        own: &Own,
-        ranks: &Ranks,
+        own: &LocalState,
+        ranks: &HubRanking,
         tells: bool,
-    ) -> Vec<(SocketAddr, Told)> {
+    ) -> Vec<(SocketAddr, GossipMessage)> {
         let key = InstanceKey::of(&own.member.name);
         let reporters: Vec<(InstanceKey, SocketAddr)> = self
-            .of_kind(Kind::Report)
+            .of_kind(MessageKind::Report)
             .map(|(key, sender)| (*key, sender.peer))
             .collect();
         if !tells && reporters.is_empty() {
@@ -129,7 +139,7 @@
         }
         let hubs = self.other_hubs(key, &ranks.hubs);
         let (sum, digest) = self.sum_and_digest(now_ms, own, key);
-        let mut out: Vec<(SocketAddr, Told)> =
+        let mut out: Vec<(SocketAddr, GossipMessage)> =
             hubs.into_iter().map(|peer| (peer, sum.clone())).collect();
         for (reporter, peer) in reporters {
             out.push((peer, self.without(&digest, reporter)));
@@ -140,61 +150,71 @@
     /// Where the other hubs are: those that this instance takes for hubs, and those that act as such.
     fn other_hubs(&self, own: InstanceKey, hubs: &[Member]) -> HashSet<SocketAddr> {
         let known = hubs.iter().filter(|hub| InstanceKey::of(&hub.name) != own);
-        let acting = self.of_kind(Kind::Sum).map(|(_, sender)| sender.peer);
-        known.filter_map(|hub| hub.peer).chain(acting).collect()
+        let acting = self
+            .of_kind(MessageKind::Sum)
+            .map(|(_, sender)| sender.peer);
+        known
+            .filter_map(|hub| hub.gossip_address)
+            .chain(acting)
+            .collect()
     }
 
     /// What this instance and those that report to it have, for the other hubs, and what all have, from
     /// which the part of each receiver is still to be taken.
-    fn sum_and_digest(&mut self, now_ms: u64, own: &Own, key: InstanceKey) -> (Told, Told) {
+    fn sum_and_digest(
+        &mut self,
+        now_ms: u64,
+        own: &LocalState,
+        key: InstanceKey,
+    ) -> (GossipMessage, GossipMessage) {
         let is_whole = self.ticks.is_multiple_of(WHOLE_PERIODS);
         let mut loads: Loads = own.loads.iter().copied().collect();
         let mut all = self.totals.clone();
         add_all(&mut all, &loads);
-        for (_, sender) in self.of_kind(Kind::Report) {
+        for (_, sender) in self.of_kind(MessageKind::Report) {
             add_all(&mut loads, &sender.loads);
         }
-        let told = Told {
-            is_whole,
+        let told = GossipMessage {
+            is_full: is_whole,
             members: self.members_told(),
-            gives_after: own.gives_after,
-            holds_after: own.holds_after,
+            last_order_token: own.last_order_token,
+            last_task_token: own.last_task_token,
             clock_ms: own.clock_ms,
-            list: own.list,
-            config: own.config,
-            news: self.news.told(now_ms),
-            fates: self.up_fates.told(),
+            list_position: own.list_position,
+            config_position: own.config_position,
+            list_changes: self.news.to_send(now_ms),
+            evidence: self.up_fates.told(),
             limits: self.up_limits.told(),
-            poisonous: self.poisonous_told(&own.poisonous),
-            ..Told::new(key, Kind::Sum)
+            poison: self.poisonous_told(&own.poison),
+            ..GossipMessage::new(key, MessageKind::Sum)
         };
-        let mut sum = Told {
+        let mut sum = GossipMessage {
             loads: changes(&loads, &mut self.last_sum, is_whole),
-            reads: taken(&mut self.up, &own.reads),
-            turning: taken(&mut self.up_turning, &own.turning),
+            prefilled_parts: taken(&mut self.up, &own.prefilled_parts),
+            role_changes: taken(&mut self.up_turning, &own.role_changes),
             ..told.clone()
         };
-        let mut digest = Told {
-            kind: Kind::Digest,
-            clock_ms: own.fleet_ms,
-            holds_after: None,
+        let mut digest = GossipMessage {
+            kind: MessageKind::Digest,
+            clock_ms: own.fleet_clock_ms,
+            last_task_token: None,
             loads: changes(&all, &mut self.last_all, is_whole),
-            reads: taken(&mut self.down, &sum.reads),
-            turning: taken(&mut self.down_turning, &sum.turning),
+            prefilled_parts: taken(&mut self.down, &sum.prefilled_parts),
+            role_changes: taken(&mut self.down_turning, &sum.role_changes),
             ..told
         };
-        digest.fates.extend(self.down_fates.told());
+        digest.evidence.extend(self.down_fates.told());
         digest.limits.extend(self.down_limits.told());
-        let (alive, demand) = self.alive(own, Kind::Report);
+        let (alive, demand) = self.alive(own, MessageKind::Report);
         if is_whole {
-            (digest.alive, digest.demand) = self.alive(own, Kind::Sum);
+            (digest.alive, digest.demand) = self.alive(own, MessageKind::Sum);
             digest.alive.extend(&alive);
             demand::add(&mut digest.demand, &demand);
             demand::take(&mut digest.demand, &own.demand);
         }
         if self.ticks.is_multiple_of(SUM_ALIVE_PERIODS) {
             // Who missed another hub learns of it by those that hear it.
-            let hubs = self.of_kind(Kind::Sum);
+            let hubs = self.of_kind(MessageKind::Sum);
             let hubs = hubs.filter_map(|(_, hub)| hub.alive.first());
             sum.alive = alive.into_iter().chain(hubs.copied()).collect();
             sum.demand = demand;
@@ -203,7 +223,7 @@
     }
 
     /// Those that live, and what is asked of them, by the word of senders of one kind and of this instance.
-    fn alive(&self, own: &Own, kind: Kind) -> (Vec<InstanceKey>, Vec<ServiceDemand>) {
+    fn alive(&self, own: &LocalState, kind: MessageKind) -> (Vec<InstanceKey>, Vec<ServiceDemand>) {
         let mut alive: Vec<InstanceKey> = ready_key(&own.member).into_iter().collect();
         let mut demand = own.demand.clone();
         for (_, sender) in self.of_kind(kind) {
@@ -214,13 +234,13 @@
     }
 
     /// A digest for one that reported, without its own part; all there is if it has just come.
-    fn without(&mut self, digest: &Told, receiver: InstanceKey) -> Told {
+    fn without(&mut self, digest: &GossipMessage, receiver: InstanceKey) -> GossipMessage {
         let mut told = digest.clone();
         let Some(sender) = self.senders.get_mut(&receiver) else {
             return told;
         };
         if !std::mem::replace(&mut sender.is_greeted, true) {
-            told.is_whole = true;
+            told.is_full = true;
             told.loads = self
                 .last_all
                 .iter()
@@ -229,7 +249,7 @@
         }
         for (upstream, load) in &mut told.loads {
             if let Some(part) = sender.loads.get(upstream) {
-                load.take(part);
+                load.subtract(part);
             }
         }
         demand::take(&mut told.demand, &sender.demand);
--- a/crates/view/src/beats.rs
+++ b/crates/view/src/heartbeats.rs
@@ -25,17 +25,17 @@
 
 /// How far the records of all were read.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reading {
+pub struct ReadSchedule {
     /// Where the next reading begins; nothing if the whole has to be read.
-    pub next: Option<u64>,
+    pub next_offset: Option<u64>,
     read_ms: u64,
     reads: u32,
 }
 
-impl Reading {
+impl ReadSchedule {
     /// Whether to read now.
-    pub fn is_due(&self, now_ms: u64, members: &Members, written: &Written) -> bool {
-        let rest_ms = match self.next {
+    pub fn is_due(&self, now_ms: u64, members: &Members, written: &WriteSchedule) -> bool {
+        let rest_ms = match self.next_offset {
             _ if self.reads == 0 => return true,
             None => RETRY_MS,
             // Instances that start together are not in the list yet that each reads first, but are soon
@@ -44,14 +44,14 @@
                 let written_ms = written.at_ms.unwrap_or(u64::MAX - FIRST_REST_MS);
                 return now_ms >= written_ms.max(self.read_ms) + FIRST_REST_MS;
             }
-            Some(_) if members.is_deaf(now_ms) => DEAF_REST_MS,
-            Some(_) => members.beat_ms(),
+            Some(_) if members.is_isolated(now_ms) => DEAF_REST_MS,
+            Some(_) => members.heartbeat_interval_ms(),
         };
         now_ms >= self.read_ms + rest_ms
     }
 
     /// A reading ended at `now_ms`, answered or not.
-    pub fn done(&mut self, now_ms: u64) {
+    pub fn record_read(&mut self, now_ms: u64) {
         self.read_ms = now_ms;
         self.reads = self.reads.saturating_add(1);
     }
@@ -59,16 +59,16 @@
 
 /// What an instance last wrote of itself.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Written {
+pub struct WriteSchedule {
     started_ms: u64,
     at_ms: Option<u64>,
     ready: bool,
     failed_ms: Option<u64>,
 }
 
-impl Written {
+impl WriteSchedule {
     /// Nothing, by a process that started at `started_ms`.
-    pub fn nothing(started_ms: u64) -> Self {
+    pub fn new(started_ms: u64) -> Self {
         Self {
             started_ms,
             ..Self::default()
@@ -83,13 +83,15 @@
         }
         match self.at_ms {
             None => is_ready || now_ms >= self.started_ms + FIRST_WRITE_MS,
-            Some(at_ms) => self.ready != is_ready || now_ms >= at_ms + members.beat_ms(),
+            Some(at_ms) => {
+                self.ready != is_ready || now_ms >= at_ms + members.heartbeat_interval_ms()
+            }
         }
     }
 
     /// A writing ended. One that was not acknowledged is tried again soon, since the next would come
     /// much later.
-    pub fn done(&mut self, now_ms: u64, is_ready: bool, was_acknowledged: bool) {
+    pub fn record_write(&mut self, now_ms: u64, is_ready: bool, was_acknowledged: bool) {
         if was_acknowledged {
             (self.at_ms, self.ready, self.failed_ms) = (Some(now_ms), is_ready, None);
         } else {
--- a/crates/view/src/hubs.rs
+++ b/crates/view/src/hubs.rs
@@ -3,7 +3,7 @@
 //! Load pattern: three hundred instances, each of which must know within some tenths of a second what
 //! all have outstanding. All to all would be 90,000 datagrams a period; each to a few at random leaves
 //! each with a few hundredths of the truth. With a hub for each square root of instances, a hub hears
-//! as many instances as there are hubs, and all cost grows with that root. Up to [`DIRECT`] instances
+//! as many instances as there are hubs, and all cost grows with that root. Up to [`FULL_MESH_MAX`] instances
 //! all are hubs, and each tells each. See docs/LOAD.md.
 
 use std::cmp::Reverse;
@@ -15,12 +15,12 @@
 
 /// Instances up to which each tells each other one: as many datagrams a period as a hub has anyway
 /// among eighty.
-pub const DIRECT: usize = 9;
+pub const FULL_MESH_MAX: usize = 9;
 
 /// Hubs among so many instances.
 pub fn count(instances: usize) -> usize {
     let root = (instances as f64).sqrt().ceil() as usize;
-    root.max(instances.min(DIRECT))
+    root.max(instances.min(FULL_MESH_MAX))
 }
 
 /// Instances in the order in which they take the part of a hub: each zone has its share of the first of
@@ -48,7 +48,7 @@
 
 /// Where an instance stands among the others.
 #[derive(Debug, Clone, Default)]
-pub struct Ranks {
+pub struct HubRanking {
     /// The hubs.
     pub hubs: Vec<Member>,
     /// Instances before this one in the order in which they take the part of a hub; all, if it is not
@@ -58,7 +58,7 @@
     pub instances: usize,
 }
 
-impl Ranks {
+impl HubRanking {
     /// As an instance sees them.
     pub fn of(own: &str, members: &Members) -> Self {
         let all = order(members.reachable());
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -6,31 +6,34 @@
 //! advice: a hub that is gone, slow or wrong costs accuracy for some tenths of a second and no
 //! promise. Nothing here does input or output. See docs/design/views.md.
 
-pub mod beats;
-pub mod cadence;
 mod clock;
 pub mod demand;
 pub mod entry;
-pub mod followed;
+pub mod gossip;
+pub mod heartbeats;
 pub mod hubs;
 pub mod key;
+pub mod list_changes;
 pub mod load;
+pub mod log_follower;
 pub mod members;
-pub mod news;
+pub mod message;
+pub mod poison;
+pub mod polling;
 pub mod queue;
-pub mod shared;
-pub mod suspects;
-pub mod told;
 
 pub use clock::FleetClock;
 pub use demand::ServiceDemand;
-pub use entry::{Change, Entry, Stage, Standing};
-pub use followed::{Followed, Mark, Said, Source};
+pub use entry::{ListChange, Stage, UpstreamEntry, UpstreamState};
+pub use gossip::{ChangedLoads, GossipState, LocalState};
 pub use key::{InstanceKey, RequestKey, UpstreamKey, WorkspaceKey};
+pub use list_changes::{GossipedChange, RecentChanges};
 pub use load::Load;
+pub use log_follower::{ListedEntries, LogFollower, LogPosition, ReadId};
 pub use members::{Member, Members};
-pub use news::{News, RecentNews};
-pub use queue::{Queue, RANKS};
-pub use shared::{Heard, Own, Shared};
-pub use suspects::{Fate, Suspects};
-pub use told::{Kind, LimitTold, PartRead, Reading, Tally, Told, Turning, decode, encode};
+pub use message::{
+    GossipMessage, MessageKind, PendingRoleChange, PrefillProgress, PrefilledPart, Tally,
+    UpstreamLimit, decode, encode,
+};
+pub use poison::{FailureEvidence, PoisonTracker};
+pub use queue::{PrefillQueue, RANKS};
--- a/crates/view/src/news.rs
+++ b/crates/view/src/list_changes.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Change;
+use crate::ListChange;
 
 /// Time for which a change is told on, in ms: several datagrams, so that lost ones do not show.
 const TOLD_MS: u64 = 400;
@@ -20,27 +20,30 @@
 
 /// A change, and where it stands in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct GossipedChange {
     /// Offset after the last change before it.
-    pub before: u64,
+    #[serde(rename = "before")]
+    pub previous_offset: u64,
     /// Offset after it.
-    pub after: u64,
+    #[serde(rename = "after")]
+    pub offset: u64,
     /// What it says.
-    pub change: Change,
+    pub change: ListChange,
     /// Time for which its reader, which could not reach the store shortly before, took an entry that goes for
     /// one that lapsed with the store, in ms.
-    pub doubt_ms: u32,
+    #[serde(rename = "doubt_ms")]
+    pub unconfirmed_ms: u32,
 }
 
 /// Changes that were learned lately, oldest first.
 #[derive(Debug, Default)]
-pub struct RecentNews {
-    recent: VecDeque<(u64, News)>,
+pub struct RecentChanges {
+    recent: VecDeque<(u64, GossipedChange)>,
 }
 
-impl RecentNews {
+impl RecentChanges {
     /// A change was read or heard of.
-    pub fn add(&mut self, now_ms: u64, news: News) {
+    pub fn add(&mut self, now_ms: u64, news: GossipedChange) {
         self.recent.push_back((now_ms, news));
         if self.recent.len() > MOST {
             self.recent.pop_front();
@@ -48,7 +51,7 @@
     }
 
     /// What is to be told now.
-    pub fn told(&mut self, now_ms: u64) -> Vec<News> {
+    pub fn to_send(&mut self, now_ms: u64) -> Vec<GossipedChange> {
         let is_old = |at_ms: u64| now_ms >= at_ms + TOLD_MS;
         while self.recent.front().is_some_and(|(at_ms, _)| is_old(*at_ms)) {
             self.recent.pop_front();
--- a/crates/view/src/followed.rs
+++ b/crates/view/src/log_follower.rs
@@ -5,7 +5,7 @@
 //! upstreams, their calls would be most of what the store gets; were each to read it whenever
 //! something changed, calls would still grow with instances times changes. So a few read, and tell
 //! where the log ended, where its last change stands, how long ago that was, and what changed
-//! ([`crate::News`]). Who has taken in that change knows as much as they do; who missed some asks another
+//! ([`crate::GossipedChange`]). Who has taken in that change knows as much as they do; who missed some asks another
 //! instance; who hears nothing reads in time for itself.
 //!
 //! All times are since boot: an instance that was suspended must not tell an old reading as a new one.
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Change, Entry, InstanceKey, News};
+use crate::{GossipedChange, InstanceKey, ListChange, UpstreamEntry};
 
 /// Time for which an instance that missed a change asks others before it reads the store, in ms: two
 /// questions with their answers.
@@ -34,7 +34,7 @@
 /// one that comes back taken for a new one, instances would keep each other's knowledge fresh for good
 /// though nobody reads any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Source {
+pub struct ReadId {
     /// Who read.
     pub reader: InstanceKey,
     /// When, by that one's clock since boot.
@@ -43,26 +43,28 @@
 
 /// Where a log stood at a reading, as one instance tells others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct LogPosition {
     /// The reading that shows it.
-    pub source: Source,
+    #[serde(rename = "source")]
+    pub read_id: ReadId,
     /// Offset after the last record.
     pub end: u64,
     /// Offset after the last record that changed anything.
-    pub changed: u64,
+    #[serde(rename = "changed")]
+    pub last_change: u64,
     /// Time since the reading, in ms.
     pub age_ms: u32,
 }
 
 /// What an instance is to do to know what a log says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum FollowAction {
     /// It knows.
-    Nothing,
+    UpToDate,
     /// Ask another instance, which knows of a change that this one missed.
-    Ask,
+    AskPeer,
     /// Read the store.
-    Read,
+    ReadStore,
 }
 
 /// A reading of the whole, which holds no history.
@@ -74,7 +76,7 @@
 
 /// One log as this instance follows it.
 #[derive(Debug, Clone, Default)]
-pub struct Followed {
+pub struct LogFollower {
     own: InstanceKey,
     /// Offset up to which all changes were taken in, from which the next reading goes on.
     next: Option<u64>,
@@ -89,16 +91,16 @@
     /// Time as of which all changes up to `changed` are all there are.
     as_of_ms: u64,
     /// The reading that shows that.
-    source: Source,
+    source: ReadId,
     /// The latest reading heard of from each other reader.
-    heard: Vec<Source>,
+    heard: Vec<ReadId>,
     /// The reading of the whole, while nobody has told yet where its last change stands.
     unsure: Option<WholeRead>,
     /// When the first change was told that is not taken in.
     behind_since_ms: Option<u64>,
 }
 
-impl Followed {
+impl LogFollower {
     /// A log that an instance knows nothing of.
     pub fn new(own: InstanceKey) -> Self {
         Self {
@@ -108,23 +110,23 @@
     }
 
     /// Where the next reading begins; nothing if the whole has to be read.
-    pub fn next(&self) -> Option<u64> {
+    pub fn next_offset(&self) -> Option<u64> {
         self.next
     }
 
     /// Offset up to which what is held was taken in; nothing if nothing is held.
-    pub fn held(&self) -> Option<u64> {
+    pub fn held_offset(&self) -> Option<u64> {
         self.held
     }
 
     /// Offset after the last change that was taken in.
-    pub fn taken(&self) -> u64 {
+    pub fn last_applied_change(&self) -> u64 {
         self.taken
     }
 
     /// The log was read up to `next`, and stood so at `as_of_ms`; `changed` is the offset after the
     /// last change among what was read, if there was one.
-    pub fn read(&mut self, as_of_ms: u64, next: u64, changed: Option<u64>) {
+    pub fn record_read(&mut self, as_of_ms: u64, next: u64, changed: Option<u64>) {
         self.take_in(self.next.unwrap_or_default().max(next));
         self.end = self.end.max(next);
         if let Some(changed) = changed {
@@ -143,8 +145,8 @@
     ///
     /// Were the end told as a change, all others would seem to have missed one whenever an instance
     /// starts.
-    pub fn read_whole(&mut self, as_of_ms: u64, next: u64) {
-        self.read(as_of_ms, next, None);
+    pub fn record_snapshot(&mut self, as_of_ms: u64, next: u64) {
+        self.record_read(as_of_ms, next, None);
         self.taken = self.taken.max(next);
         self.unsure = Some(WholeRead { as_of_ms, next });
     }
@@ -155,26 +157,26 @@
     }
 
     /// The next reading begins anew: records were dropped before they were read.
-    pub fn lost(&mut self) {
+    pub fn require_full_read(&mut self) {
         self.next = None;
     }
 
     /// Whether the log as far as `next` holds something that was not taken in here.
     ///
     /// Answers overtake each other, and one from before a change must not undo it.
-    pub fn is_short_of(&self, next: u64) -> bool {
+    pub fn lacks_records_before(&self, next: u64) -> bool {
         self.held.is_none_or(|held| held < next)
     }
 
     /// Whether it is known where the last change stands, after the whole was read.
-    pub fn is_sure(&self) -> bool {
+    pub fn knows_last_change(&self) -> bool {
         self.unsure.is_none()
     }
 
     /// Another instance told where the log stands.
-    pub fn heard(&mut self, since_boot_ms: u64, mark: &Mark) {
+    pub fn receive_position(&mut self, since_boot_ms: u64, mark: &LogPosition) {
         let as_of_ms = since_boot_ms.saturating_sub(mark.age_ms.into());
-        self.changed = self.changed.max(mark.changed);
+        self.changed = self.changed.max(mark.last_change);
         self.end = self.end.max(mark.end);
         // Only a reading that went as far as the whole one knows the last change in it. By time an older one may
         // seem younger, since its age leaves out the way here; told on, its place would hide from all
@@ -185,20 +187,20 @@
         if self.is_behind() {
             self.behind_since_ms.get_or_insert(since_boot_ms);
         }
-        if !self.is_new(mark.source) {
+        if !self.is_new(mark.read_id) {
             return;
         }
-        self.know(as_of_ms, mark.source);
+        self.know(as_of_ms, mark.read_id);
     }
 
-    fn own_source(&self, at_ms: u64) -> Source {
-        Source {
+    fn own_source(&self, at_ms: u64) -> ReadId {
+        ReadId {
             reader: self.own,
             at_ms,
         }
     }
 
-    fn know(&mut self, as_of_ms: u64, source: Source) {
+    fn know(&mut self, as_of_ms: u64, source: ReadId) {
         if as_of_ms > self.as_of_ms {
             self.as_of_ms = as_of_ms;
             self.source = source;
@@ -206,7 +208,7 @@
     }
 
     /// Whether a reading was not heard of before, which is noted.
-    fn is_new(&mut self, source: Source) -> bool {
+    fn is_new(&mut self, source: ReadId) -> bool {
         if source.reader == self.own {
             return false;
         }
@@ -231,17 +233,17 @@
 
     /// Another instance told a change; gives whether it is to be taken in now, which it is if nothing
     /// before it was missed.
-    pub fn heard_news(&mut self, news: &News) -> bool {
+    pub fn apply_change(&mut self, news: &GossipedChange) -> bool {
         let Some(next) = self.next else {
             return false;
         };
-        if next >= news.after || next < news.before {
+        if next >= news.offset || next < news.previous_offset {
             return false;
         }
-        self.take_in(news.after);
-        self.taken = news.after;
-        self.changed = self.changed.max(news.after);
-        self.end = self.end.max(news.after);
+        self.take_in(news.offset);
+        self.taken = news.offset;
+        self.changed = self.changed.max(news.offset);
+        self.end = self.end.max(news.offset);
         self.settle();
         true
     }
@@ -263,24 +265,29 @@
     }
 
     /// What this instance is to do now, where it bears an age of `most_ms`.
-    pub fn need(&self, since_boot_ms: u64, most_ms: u64, reads_for_others: bool) -> Need {
+    pub fn next_action(
+        &self,
+        since_boot_ms: u64,
+        most_ms: u64,
+        reads_for_others: bool,
+    ) -> FollowAction {
         if self.next.is_none() || self.age_ms(since_boot_ms) >= most_ms {
-            return Need::Read;
+            return FollowAction::ReadStore;
         }
         if !self.is_behind() {
-            return Need::Nothing;
+            return FollowAction::UpToDate;
         }
         let asked_ms = since_boot_ms.saturating_sub(self.behind_since_ms.unwrap_or(since_boot_ms));
         if reads_for_others || asked_ms >= ASKS_MS {
-            Need::Read
+            FollowAction::ReadStore
         } else {
-            Need::Ask
+            FollowAction::AskPeer
         }
     }
 
     /// What others are to be told: nothing by one that has not taken in all that it knows of, or that
     /// does not know where the last change stands.
-    pub fn mark(&self, since_boot_ms: u64, reads_for_others: bool) -> Option<Mark> {
+    pub fn position(&self, since_boot_ms: u64, reads_for_others: bool) -> Option<LogPosition> {
         if self.is_behind() {
             return None;
         }
@@ -292,10 +299,10 @@
             }
             Some(_) => return None,
         };
-        Some(Mark {
-            source: self.source,
+        Some(LogPosition {
+            read_id: self.source,
             end: self.end,
-            changed,
+            last_change: changed,
             age_ms: self.age_ms(since_boot_ms).min(u32::MAX.into()) as u32,
         })
     }
@@ -306,20 +313,20 @@
 /// Whether a record says something new must not depend on its reader: one that already knows that an
 /// upstream is gone would hold back from others the record by which they learn it.
 #[derive(Debug, Default)]
-pub struct Said {
-    entries: HashMap<String, Entry>,
+pub struct ListedEntries {
+    entries: HashMap<String, UpstreamEntry>,
 }
 
-impl Said {
+impl ListedEntries {
     /// Takes in a change; gives whether it said anything but that the upstream lives.
-    pub fn is_news(&mut self, change: &Change) -> bool {
+    pub fn apply(&mut self, change: &ListChange) -> bool {
         match change {
-            Change::Gone(id) => {
+            ListChange::Gone(id) => {
                 self.entries.remove(id);
                 true
             }
-            Change::Put(entry) => {
-                let entry = Entry {
+            ListChange::Put(entry) => {
+                let entry = UpstreamEntry {
                     seq: 0,
                     ..entry.clone()
                 };
@@ -330,10 +337,10 @@
     }
 
     /// Takes in the whole list.
-    pub fn replace(&mut self, entries: &[Entry]) {
+    pub fn replace(&mut self, entries: &[UpstreamEntry]) {
         self.entries.clear();
         for entry in entries {
-            self.is_news(&Change::Put(entry.clone()));
+            self.apply(&ListChange::Put(entry.clone()));
         }
     }
 }
--- a/crates/view/src/members.rs
+++ b/crates/view/src/members.rs
@@ -45,13 +45,15 @@
     pub address: SocketAddr,
     /// Where other instances tell it what they have.
     #[serde(default)]
-    pub peer: Option<SocketAddr>,
+    #[serde(rename = "peer")]
+    pub gossip_address: Option<SocketAddr>,
     /// Availability zone.
     pub zone: String,
     /// Whether it takes callers.
     pub ready: bool,
     /// Grows with each record of the instance, also through restarts.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub heartbeat_seq: u64,
     /// Speed of its link.
     #[serde(default)]
     pub link_mbps: u32,
@@ -78,16 +80,16 @@
 
 impl Members {
     /// Records were read at `now_ms`; none may have come.
-    pub fn read(&mut self, now_ms: u64) {
+    pub fn record_store_read(&mut self, now_ms: u64) {
         self.read_ms = now_ms;
     }
 
     /// A record was read. One that was written before what is known already changes nothing: records
     /// and what instances tell each other overtake each other.
-    pub fn heard(&mut self, now_ms: u64, member: Member) {
+    pub fn record_heartbeat(&mut self, now_ms: u64, member: Member) {
         let key = InstanceKey::of(&member.name);
         let known = self.known.get(&key);
-        if known.is_some_and(|known| known.member.beat > member.beat) {
+        if known.is_some_and(|known| known.member.heartbeat_seq > member.heartbeat_seq) {
             return;
         }
         let told_ms = known.and_then(|known| known.told_ms);
@@ -105,12 +107,12 @@
     ///
     /// Only what was said later is: were anything different taken for news, two sayings on their way
     /// through the instances would follow each other for good.
-    pub fn heard_from_another(&mut self, now_ms: u64, member: &Member) -> bool {
+    pub fn receive_heartbeat(&mut self, now_ms: u64, member: &Member) -> bool {
         let is_news = self
-            .beat_of(&member.name)
-            .is_none_or(|beat| beat < member.beat);
+            .heartbeat_seq(&member.name)
+            .is_none_or(|beat| beat < member.heartbeat_seq);
         if is_news {
-            self.heard(now_ms, member.clone());
+            self.record_heartbeat(now_ms, member.clone());
         }
         is_news
     }
@@ -121,19 +123,19 @@
     }
 
     /// The latest record of an instance that is known.
-    pub fn beat_of(&self, name: &str) -> Option<u64> {
+    pub fn heartbeat_seq(&self, name: &str) -> Option<u64> {
         let known = self.known.get(&InstanceKey::of(name))?;
-        Some(known.member.beat)
+        Some(known.member.heartbeat_seq)
     }
 
     /// An instance lives, by its own word or a hub's.
-    pub fn told(&mut self, now_ms: u64, key: InstanceKey) {
+    pub fn record_alive(&mut self, now_ms: u64, key: InstanceKey) {
         self.heard_ms = Some(now_ms);
-        self.lives(now_ms, key);
+        self.record_self_alive(now_ms, key);
     }
 
     /// An instance lives, as this one knows of itself: that says nothing of what it hears of others.
-    pub fn lives(&mut self, now_ms: u64, key: InstanceKey) {
+    pub fn record_self_alive(&mut self, now_ms: u64, key: InstanceKey) {
         match self.known.get_mut(&key) {
             Some(known) => known.told_ms = Some(now_ms),
             None => {
@@ -143,7 +145,7 @@
     }
 
     /// Whether somebody has been told of for a while whom this instance does not know; true once.
-    pub fn misses_somebody(&mut self, now_ms: u64) -> bool {
+    pub fn take_unknown_member(&mut self, now_ms: u64) -> bool {
         let misses = self
             .unknown_since_ms
             .is_some_and(|at_ms| now_ms >= at_ms + MISSING_MS);
@@ -155,18 +157,18 @@
 
     /// Whether this instance hears the others and knows all of whom they told.
     pub fn is_complete(&self, now_ms: u64) -> bool {
-        !self.is_deaf(now_ms) && self.unknown_since_ms.is_none()
+        !self.is_isolated(now_ms) && self.unknown_since_ms.is_none()
     }
 
     /// Time between two records of an instance, in ms: all of them together write as many a second
     /// whatever their number.
-    pub fn beat_ms(&self) -> u64 {
+    pub fn heartbeat_interval_ms(&self) -> u64 {
         BEAT_MS * (self.known.len() as u64).max(AT_FULL_PACE) / AT_FULL_PACE
     }
 
     /// Whether nobody has told this instance anything for so long that it must be the one that hears
     /// nothing.
-    pub fn is_deaf(&self, now_ms: u64) -> bool {
+    pub fn is_isolated(&self, now_ms: u64) -> bool {
         self.heard_ms.is_none_or(|at_ms| at_ms + DEAF_MS < now_ms)
     }
 
@@ -191,7 +193,7 @@
     }
 
     /// All that are known and ready, to be told to another instance.
-    pub fn all(&self) -> Vec<Member> {
+    pub fn snapshot(&self) -> Vec<Member> {
         self.ready().cloned().collect()
     }
 
@@ -204,7 +206,9 @@
     }
 
     fn fresh(&self) -> impl Iterator<Item = &Known> {
-        let oldest_ms = self.read_ms.saturating_sub(self.beat_ms() * MISSED);
+        let oldest_ms = self
+            .read_ms
+            .saturating_sub(self.heartbeat_interval_ms() * MISSED);
         let is_fresh = move |known: &&Known| {
             let last_ms = known.told_ms.unwrap_or_default().max(known.at_ms);
             last_ms >= oldest_ms && known.member.ready
@@ -213,12 +217,12 @@
     }
 
     /// Whether any instance, this one included, has been read.
-    pub fn is_known(&self) -> bool {
+    pub fn has_members(&self) -> bool {
         !self.known.is_empty()
     }
 
     /// Number of instances that serve now, as far as is known; one at least.
-    pub fn count(&self) -> usize {
+    pub fn reachable_count(&self) -> usize {
         self.reachable().count().max(1)
     }
 
@@ -226,13 +230,15 @@
     ///
     /// All that are remembered have their part, whether they speak or not: one that is cut off from the others may still reach
     /// callers and upstreams, and one that was killed has used its part a moment ago.
-    pub fn sharing(&self) -> usize {
+    pub fn share_count(&self) -> usize {
         self.known.len().max(1)
     }
 
     /// Forgets instances that have been silent for long.
     pub fn forget_silent(&mut self) {
-        let oldest_ms = self.read_ms.saturating_sub(self.beat_ms() * FORGOTTEN);
+        let oldest_ms = self
+            .read_ms
+            .saturating_sub(self.heartbeat_interval_ms() * FORGOTTEN);
         self.known
             .retain(|_, known| known.at_ms.max(known.told_ms.unwrap_or_default()) >= oldest_ms);
     }
