--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -175,7 +175,7 @@
                 Phase::Serving => {}
                 Phase::Leaving => log::info!("not handed out any more"),
                 Phase::Closing => {
-                    log::info!(busy = self.in_flight.get(); "no new connections any more")
+                    log::info!(busy = self.in_flight.get(); "no new connections any more");
                 }
             }
         }
