--- a/crates/plan/src/ejection.rs
+++ b/crates/plan/src/ejection.rs
@@ -1,144 +1,149 @@
-//! Slow upstreams: noticed by how their answers compare with predictions, left alone, tried again.
+//! Outlier ejection: upstreams that are much slower than predicted, or that fail, get no requests
+//! for a while and are then probed with one.
 
-/// Weight of one answer in the moving average.
-const SMOOTHING: f64 = 0.25;
+/// Weight of one response in the moving average.
+const SMOOTHING_FACTOR: f64 = 0.25;
 
-/// Ratio of pace to prediction that an engine in good health shows under changing mixes.
-const ORDINARY: f64 = 1.6;
+/// Ratio of actual to predicted latency that a healthy engine reaches under changing mixes.
+const HEALTHY_RATIO: f64 = 1.6;
 
-/// Slowness at which an upstream gets no ordinary work.
-const EJECT_AT: f64 = 4.0;
+/// Average ratio of actual to predicted latency at which an upstream is ejected.
+const EJECTION_RATIO: f64 = 4.0;
 
-/// Failures in a row after which an upstream is left alone.
-const FAILURES: u32 = 3;
+/// Consecutive failures at which an upstream is ejected.
+const MAX_FAILURES: u32 = 3;
 
-/// First time for which an upstream is left alone; it doubles with each further ejection.
-const REST_MS: u64 = 2_000;
+/// Time of the first ejection; it doubles with each further one.
+const BASE_EJECTION_MS: u64 = 2_000;
 
-/// Longest time for which an upstream is left alone.
-const LONGEST_REST_MS: u64 = 30_000;
+/// Longest time of an ejection.
+const MAX_EJECTION_MS: u64 = 30_000;
 
-/// Whether an upstream is fit for work.
+/// Whether an upstream may be sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// It is.
+    /// It may.
     Healthy,
-    /// It may be tried with one request that can be repeated.
+    /// Its ejection is over; it may be sent one request that can be retried.
     Probe,
-    /// It is not.
+    /// It is ejected, or a probe is in flight.
     Ejected,
 }
 
-/// How one upstream has been answering.
+/// Recent latency and failures of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
-    slowness: f64,
+    /// Moving average of actual to predicted latency.
+    latency_ratio: f64,
+    /// Consecutive failures.
     failures: u32,
+    /// Consecutive ejections, which lengthen the next one.
     ejections: u32,
-    rest_until_ms: u64,
-    probing: bool,
-    sign_ms: u64,
+    /// End of the ejection; 0 if it is not ejected.
+    ejected_until_ms: u64,
+    is_probing: bool,
+    last_activity_ms: u64,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            slowness: 1.0,
+            latency_ratio: 1.0,
             failures: 0,
             ejections: 0,
-            rest_until_ms: 0,
-            probing: false,
-            sign_ms: 0,
+            ejected_until_ms: 0,
+            is_probing: false,
+            last_activity_ms: 0,
         }
     }
 }
 
 impl Health {
-    /// Factor by which predictions of the upstream are to be stretched.
+    /// Factor by which to stretch latency predictions of the upstream; at least 1.
     ///
-    /// Within `ORDINARY` the pace differs for the mix's sake, and stretching predictions for it
-    /// would refuse requests that would have been in time.
+    /// Up to `HEALTHY_RATIO` the latency varies with the mix of requests, and stretching
+    /// predictions for it would refuse requests that would have met their deadline.
     pub fn slowness(&self) -> f64 {
-        (self.slowness / ORDINARY).max(1.0)
+        (self.latency_ratio / HEALTHY_RATIO).max(1.0)
     }
 
-    /// The time between tokens was `actual_ms` where `predicted_ms` was expected of an engine in
-    /// good health, or a call took that long.
+    /// Records the actual time between two tokens, or of a call, against the time predicted for a
+    /// healthy upstream.
     ///
-    /// The pace of the output tells an engine's health better than the time to the first token,
-    /// which says more of the queue than of the engine.
+    /// Time between tokens tells more of an engine's health than the time to the first token,
+    /// which depends mostly on its queue.
     pub fn record_latency(&mut self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
         let ratio = (actual_ms / predicted_ms.max(1.0)).clamp(0.25, 20.0);
         self.failures = 0;
-        if self.probing {
-            // What was slow before the rest says nothing of now.
-            self.slowness = ratio;
-            self.probing = false;
+        if self.is_probing {
+            // Latency from before the ejection says nothing about the upstream now.
+            self.latency_ratio = ratio;
+            self.is_probing = false;
         } else {
-            self.slowness += SMOOTHING * (ratio - self.slowness);
+            self.latency_ratio += SMOOTHING_FACTOR * (ratio - self.latency_ratio);
         }
-        if self.slowness >= EJECT_AT {
+        if self.latency_ratio >= EJECTION_RATIO {
             self.eject(now_ms);
         } else {
             self.ejections = 0;
-            self.rest_until_ms = 0;
+            self.ejected_until_ms = 0;
         }
     }
 
-    /// The upstream gave a sign of life: a token of any request.
+    /// Records a token of any request, which shows that the upstream is alive.
     pub fn record_activity(&mut self, now_ms: u64) {
-        self.sign_ms = self.sign_ms.max(now_ms);
+        self.last_activity_ms = self.last_activity_ms.max(now_ms);
     }
 
-    /// Whether the upstream has been silent towards everyone since a request was sent to it.
+    /// Whether the upstream has sent nothing on any request since `sent_ms`.
     ///
-    /// A request that waits behind others on a busy engine must not be taken for one that sits
-    /// on a dead one: giving it up and starting again elsewhere, at the back of another queue,
-    /// adds work exactly when there is too much.
+    /// This tells a request on a dead engine from one that waits in the queue of a busy engine.
+    /// Cancelling the latter and starting over at the back of another queue would add work just
+    /// when the engines are overloaded.
     pub fn is_silent_since(&self, sent_ms: u64) -> bool {
-        self.sign_ms < sent_ms
+        self.last_activity_ms < sent_ms
     }
 
-    /// A request failed for the upstream's own sake.
+    /// Records a failure that is due to the upstream.
     pub fn record_failure(&mut self, now_ms: u64) {
         self.failures += 1;
-        if self.failures >= FAILURES || self.probing {
-            self.probing = false;
+        if self.failures >= MAX_FAILURES || self.is_probing {
+            self.is_probing = false;
             self.eject(now_ms);
         }
     }
 
-    /// No connection could be opened.
+    /// Records that no connection could be opened.
     ///
-    /// It is left alone at once: finding out takes hundreds of ms of a request's time, and a
-    /// second request would find nothing else.
+    /// It ejects the upstream at once: a failed connection attempt takes hundreds of ms of a
+    /// request's time, and the next request would fail in the same way.
     pub fn record_unreachable(&mut self, now_ms: u64) {
-        self.probing = false;
+        self.is_probing = false;
         self.eject(now_ms);
     }
 
     fn eject(&mut self, now_ms: u64) {
-        if self.rest_until_ms > now_ms {
+        if self.ejected_until_ms > now_ms {
             return;
         }
-        let rest_ms = REST_MS << self.ejections.min(4);
-        self.rest_until_ms = now_ms + rest_ms.min(LONGEST_REST_MS);
+        let ejection_ms = BASE_EJECTION_MS << self.ejections.min(4);
+        self.ejected_until_ms = now_ms + ejection_ms.min(MAX_EJECTION_MS);
         self.ejections += 1;
     }
 
-    /// Whether it may get work now.
+    /// Whether the upstream may be sent requests now.
     pub fn status(&self, now_ms: u64) -> HealthStatus {
-        if self.rest_until_ms == 0 {
+        if self.ejected_until_ms == 0 {
             return HealthStatus::Healthy;
         }
-        if now_ms < self.rest_until_ms || self.probing {
+        if now_ms < self.ejected_until_ms || self.is_probing {
             return HealthStatus::Ejected;
         }
         HealthStatus::Probe
     }
 
-    /// A probe is on its way.
+    /// Marks a probe as sent; until its outcome is recorded the upstream counts as ejected.
     pub fn start_probe(&mut self) {
-        self.probing = true;
+        self.is_probing = true;
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,7 @@
-//! Routing, admission, retries and roles as pure decisions.
+//! Routing, admission, retry and role decisions as pure functions.
 //!
-//! Time, random numbers and observations are arguments, so that the daemon and the bench run the
-//! very same lines. See docs/design/routing.md, admission.md, retries.md and roles.md.
+//! Time, random numbers and observations are passed in as arguments, so the daemon and the
+//! simulator run the same code. See docs/design/routing.md, admission.md, retries.md and roles.md.
 
 mod admission;
 mod deadline;
--- a/crates/plan/src/route.rs
+++ b/crates/plan/src/route.rs
@@ -152,7 +152,7 @@
         let verdict = self.admit(now_ms, request, &best, work_ms);
         let admitted = verdict.is_ok();
         self.fairness
-            .note(now_ms, request.member, request.share, work_ms, admitted);
+            .record(now_ms, request.member, request.share, work_ms, admitted);
         verdict.map(|()| best.choice)
     }
 
--- a/crates/plan/tests/decisions.rs
+++ b/crates/plan/tests/decisions.rs
@@ -170,14 +170,14 @@
 fn under_pressure_a_member_that_floods_gives_way_and_idle_shares_are_free_to_take() {
     let mut fairness = Fairness::default();
     for step in 0..200 {
-        fairness.note(step * 50, "flood", 1, 100.0, true);
-        fairness.note(step * 50, "modest", 1, 80.0, step % 4 == 0);
+        fairness.record(step * 50, "flood", 1, 100.0, true);
+        fairness.record(step * 50, "modest", 1, 80.0, step % 4 == 0);
     }
     assert!(!fairness.allows(10_000, "flood", 100.0));
     assert!(fairness.allows(10_000, "modest", 80.0));
     let mut alone = Fairness::default();
     for step in 0..200 {
-        alone.note(step * 50, "only", 1, 100.0, true);
+        alone.record(step * 50, "only", 1, 100.0, true);
     }
     assert!(alone.allows(10_000, "only", 100.0));
 }
