--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What one instance believes of each engine.
+//! An instance's view of the engines and of the load on them.
 
 use std::collections::HashMap;
 
@@ -6,40 +6,40 @@
 
 use crate::{EngineProfile, Forecast, Health, HealthStatus, RANKS};
 
-/// Age at which what a peer said of its own load is no longer counted.
+/// Age from which the load that a peer last reported is ignored.
 const PEER_STALE_MS: u64 = 3_000;
 
-/// Whether an engine can be given work.
+/// Whether an engine can be sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Presence {
-    /// It is live.
+    /// It serves requests.
     #[default]
     Live,
     /// It is changing its role or its models.
     Changing,
-    /// It is drained or on its way out.
+    /// It is drained or shutting down.
     Leaving,
-    /// It is not there.
+    /// It is not in the list of engines.
     Gone,
 }
 
-/// Load as an engine last reported it, late.
+/// Load as an engine last reported it, which lags behind the actual load.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// When it was true, on our clock.
+    /// Time of the report, by this instance's clock.
     pub at_ms: u64,
-    /// Prompt tokens waiting, by rank.
+    /// Prompt tokens in the queue, by rank.
     pub queued: [f64; RANKS],
     /// Sequences that produce output.
     pub running: f64,
 }
 
-/// Work sent to an engine and not finished, seen from its sender.
+/// Unfinished work on an engine, as seen by the instance that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Outstanding {
-    /// Prompt tokens without a first token yet, by rank.
+    /// Prompt tokens of requests without a first token, by rank.
     pub prompt: [f64; RANKS],
-    /// Requests without a first token yet, by rank.
+    /// Requests without a first token, by rank.
     pub waiting: [f64; RANKS],
     /// Requests that produce output.
     pub running: f64,
@@ -59,7 +59,7 @@
         self.output += other.output;
     }
 
-    /// Requests without a first token yet, at this rank or before it.
+    /// Requests without a first token, of this rank and more urgent ones.
     pub fn waiting_ahead(&self, rank: usize) -> f64 {
         self.waiting.iter().take(rank + 1).sum()
     }
@@ -69,48 +69,49 @@
         self.running + self.waiting_ahead(RANKS - 1)
     }
 
-    /// Prompt tokens at this rank or before it.
+    /// Prompt tokens of requests without a first token, of this rank and more urgent ones.
     pub fn prompt_ahead(&self, rank: usize) -> f64 {
         self.prompt.iter().take(rank + 1).sum()
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct PeerLoad {
     at_ms: u64,
     load: Outstanding,
 }
 
-/// One engine as this instance sees it.
+/// An engine as this instance sees it.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Name.
+    /// Unique name.
     pub name: String,
     /// Model that it serves.
     pub model: String,
-    /// Group whose lease orders come under.
+    /// Lease group that the engine takes orders from.
     pub group: String,
-    /// Time of one way to it.
+    /// One-way network delay.
     pub one_way_delay_ms: f64,
-    /// Role it plays.
+    /// Current role.
     pub role: Role,
-    /// Whether it can be given work.
+    /// Whether it can be sent requests.
     pub presence: Presence,
-    /// What it can do.
+    /// Cost model.
     pub profile: EngineProfile,
-    /// How its answers compare with predictions.
+    /// Recent latency and failures.
     pub health: Health,
     report: LoadReport,
     own: Outstanding,
+    /// Value of `own` when `report` was received.
     own_at_report: Outstanding,
-    peers: HashMap<String, Told>,
-    /// Share of time spent on prompts, by rank, as a moving average of what was sent.
+    peers: HashMap<String, PeerLoad>,
+    /// Fraction of its time that upcoming prompts are expected to take, by rank.
     pub prefill_utilization: [f64; RANKS],
 }
 
 impl Engine {
-    /// An engine of which nothing is known but its name.
-    pub fn new(name: &str, model: &str, group: &str, shape: EngineProfile) -> Self {
+    /// A live engine without load, in the mixed role and without network delay.
+    pub fn new(name: &str, model: &str, group: &str, profile: EngineProfile) -> Self {
         Self {
             name: name.to_owned(),
             model: model.to_owned(),
@@ -118,7 +119,7 @@
             one_way_delay_ms: 0.0,
             role: Role::Mixed,
             presence: Presence::Live,
-            profile: shape,
+            profile,
             health: Health::default(),
             report: LoadReport::default(),
             own: Outstanding::default(),
@@ -128,12 +129,12 @@
         }
     }
 
-    /// What the engine last reported.
+    /// The engine's last report.
     pub fn report(&self) -> &LoadReport {
         &self.report
     }
 
-    /// Takes in a report.
+    /// Stores a report unless a later one is known.
     pub fn record_report(&mut self, report: LoadReport) {
         if report.at_ms >= self.report.at_ms {
             self.report = report;
@@ -141,21 +142,21 @@
         }
     }
 
-    /// Takes in what a peer says that it has outstanding here.
+    /// Stores the load that a peer reports to have outstanding on this engine.
     pub fn record_peer_load(&mut self, now_ms: u64, peer: &str, load: Outstanding) {
-        let told = Told {
+        let peer_load = PeerLoad {
             at_ms: now_ms,
             load,
         };
-        self.peers.insert(peer.to_owned(), told);
+        self.peers.insert(peer.to_owned(), peer_load);
     }
 
-    /// Work of our own that is not finished.
+    /// Unfinished work that this instance sent.
     pub fn own_load(&self) -> &Outstanding {
         &self.own
     }
 
-    /// A request was sent; to an engine that rests it is the probe.
+    /// Records a request as sent; it is the probe if the engine is due for one.
     pub fn record_sent(
         &mut self,
         now_ms: u64,
@@ -171,55 +172,56 @@
         self.own.output += output_tokens;
     }
 
-    /// A request's first token came.
+    /// Records the first token of a request.
     pub fn record_first_token(&mut self, rank: usize, prompt_tokens: f64) {
         self.own.prompt[rank] = (self.own.prompt[rank] - prompt_tokens).max(0.0);
         self.own.waiting[rank] = (self.own.waiting[rank] - 1.0).max(0.0);
         self.own.running += 1.0;
     }
 
-    /// A request that had started is over.
+    /// Records the end of a request whose first token had arrived.
     pub fn record_finished(&mut self, output_tokens: f64) {
         self.own.running = (self.own.running - 1.0).max(0.0);
         self.own.output = (self.own.output - output_tokens).max(0.0);
     }
 
-    /// A request is over that never started.
+    /// Records the end of a request whose first token never arrived.
     pub fn record_dropped(&mut self, rank: usize, prompt_tokens: f64, output_tokens: f64) {
         self.record_first_token(rank, prompt_tokens);
         self.record_finished(output_tokens);
     }
 
-    /// The load as best known: our own work exactly, that of others as they last said it.
+    /// Best estimate of the load: the own outstanding work plus what peers last reported of theirs.
     ///
-    /// Every request to an engine passes through an instance, so what instances have outstanding
-    /// is the load, fresher than a report by the report's lag. Without word from peers, the rest
-    /// of a report beyond our own share of it stands for them.
+    /// Every request to an engine passes through an instance, so the sum of the instances'
+    /// outstanding work is the engine's load, and it is more recent than the engine's own report.
+    /// If no peer has reported lately, their load is estimated from the engine's report.
     pub fn load(&self, now_ms: u64) -> Outstanding {
         let mut load = self.own;
-        let fresh = |told: &&Told| told.at_ms + PEER_STALE_MS > now_ms;
-        let mut heard = false;
-        for told in self.peers.values().filter(fresh) {
-            load.add(&told.load);
-            heard = true;
+        let is_fresh = |peer: &&PeerLoad| peer.at_ms + PEER_STALE_MS > now_ms;
+        let mut is_any_fresh = false;
+        for peer in self.peers.values().filter(is_fresh) {
+            load.add(&peer.load);
+            is_any_fresh = true;
         }
-        if !heard {
-            load.add(&self.others_by_report());
+        if !is_any_fresh {
+            load.add(&self.peer_load_from_report());
         }
         load
     }
 
-    fn others_by_report(&self) -> Outstanding {
-        let mut others = Outstanding::default();
-        for (rank, tokens) in others.prompt.iter_mut().enumerate() {
+    /// The part of the engine's last report that this instance had not sent itself.
+    fn peer_load_from_report(&self) -> Outstanding {
+        let mut peers = Outstanding::default();
+        for (rank, tokens) in peers.prompt.iter_mut().enumerate() {
             *tokens = (self.report.queued[rank] - self.own_at_report.prompt[rank]).max(0.0);
         }
-        others.running = (self.report.running - self.own_at_report.running).max(0.0);
-        others
+        peers.running = (self.report.running - self.own_at_report.running).max(0.0);
+        peers
     }
 }
 
-/// All engines that an instance knows.
+/// The engines that an instance knows, each identified by an index that never changes.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     engines: Vec<Engine>,
@@ -228,55 +230,55 @@
 }
 
 impl Fleet {
-    /// Adds an engine and gives its place; an engine of the same name keeps what is known.
+    /// Adds an engine and returns its index; if one of that name exists, it is kept as it is.
     pub fn add(&mut self, engine: Engine) -> usize {
-        if let Some(&place) = self.by_name.get(&engine.name) {
-            return place;
+        if let Some(&index) = self.by_name.get(&engine.name) {
+            return index;
         }
-        let place = self.engines.len();
-        self.by_name.insert(engine.name.clone(), place);
+        let index = self.engines.len();
+        self.by_name.insert(engine.name.clone(), index);
         self.by_model
             .entry(engine.model.clone())
             .or_default()
-            .push(place);
+            .push(index);
         self.engines.push(engine);
-        place
+        index
     }
 
-    /// Place of an engine by name.
+    /// Index of the engine with this name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    /// Places of the engines that serve a model.
+    /// Indices of the engines that serve a model; empty for an unknown model.
     pub fn indices_of_model(&self, model: &str) -> &[usize] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// An engine by place.
-    pub fn get(&self, place: usize) -> &Engine {
-        &self.engines[place]
+    /// The engine at an index; panics if there is none.
+    pub fn get(&self, index: usize) -> &Engine {
+        &self.engines[index]
     }
 
-    /// An engine by place, to be changed.
-    pub fn get_mut(&mut self, place: usize) -> &mut Engine {
-        &mut self.engines[place]
+    /// The engine at an index, mutably; panics if there is none.
+    pub fn get_mut(&mut self, index: usize) -> &mut Engine {
+        &mut self.engines[index]
     }
 
-    /// Spreads the prompts that are coming over a model's live engines, so that predictions
-    /// count the work of higher rank that will arrive while a request waits.
+    /// Distributes the forecast prompts evenly over a model's live engines, so that predictions
+    /// count the more urgent work that will arrive while a request waits.
     pub fn apply_forecast(&mut self, model: &str, forecast: &Forecast) {
-        let places = self.indices_of_model(model).to_vec();
-        let live = places
+        let indices = self.indices_of_model(model).to_vec();
+        let live = indices
             .iter()
-            .filter(|&&place| self.get(place).presence == Presence::Live);
+            .filter(|&&index| self.get(index).presence == Presence::Live);
         let live = live.count().max(1) as f64;
-        for place in places {
-            let engine = self.get_mut(place);
+        for index in indices {
+            let engine = self.get_mut(index);
             let chunk = f64::from(EngineProfile::chunk_tokens(engine.role));
-            let pace = chunk / engine.profile.iteration_ms(engine.own.running, chunk);
-            for (rank, busy) in engine.prefill_utilization.iter_mut().enumerate() {
-                *busy = forecast.prompt_rate_at(rank) / live / pace;
+            let tokens_per_ms = chunk / engine.profile.iteration_ms(engine.own.running, chunk);
+            for (rank, utilization) in engine.prefill_utilization.iter_mut().enumerate() {
+                *utilization = forecast.prompt_rate_at(rank) / live / tokens_per_ms;
             }
         }
     }
@@ -286,7 +288,7 @@
         self.engines.iter()
     }
 
-    /// All engines, to be changed.
+    /// All engines, mutably.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Engine> {
         self.engines.iter_mut()
     }
--- a/crates/plan/src/forecast.rs
+++ b/crates/plan/src/forecast.rs
@@ -1,28 +1,29 @@
-//! What mix of work is coming.
+//! Forecast of the coming mix of prompts and output from recent arrivals.
 
 use crate::RANKS;
 
-/// Time constant of the averages: short enough to follow a swing within minutes, long enough to
-/// smooth single long prompts.
-const MEMORY_MS: f64 = 8_000.0;
+/// Time constant of the averages: short enough to follow a change of the mix within minutes, long
+/// enough to smooth out single long prompts.
+const DECAY_MS: f64 = 8_000.0;
 
+/// Tokens per ms.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Rate {
+struct TokenRate {
     prompt: f64,
     output: f64,
 }
 
-/// Rates of prompt and output tokens, by rank, as moving averages.
+/// Arrival rates of prompt tokens, output tokens and requests, as moving averages.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Forecast {
-    rate: Rate,
+    rate: TokenRate,
     prompt_by_rank: [f64; RANKS],
-    count_by_rank: [f64; RANKS],
+    requests_by_rank: [f64; RANKS],
     at_ms: u64,
 }
 
 impl Forecast {
-    /// Work arrived.
+    /// Records the arrival of a request.
     pub fn record_arrival(
         &mut self,
         now_ms: u64,
@@ -31,68 +32,69 @@
         output_tokens: f64,
     ) {
         self.decay(now_ms);
-        self.rate.prompt += prompt_tokens / MEMORY_MS;
-        self.rate.output += output_tokens / MEMORY_MS;
-        self.prompt_by_rank[rank] += prompt_tokens / MEMORY_MS;
-        self.count_by_rank[rank] += 1.0 / MEMORY_MS;
+        self.rate.prompt += prompt_tokens / DECAY_MS;
+        self.rate.output += output_tokens / DECAY_MS;
+        self.prompt_by_rank[rank] += prompt_tokens / DECAY_MS;
+        self.requests_by_rank[rank] += 1.0 / DECAY_MS;
     }
 
     fn decay(&mut self, now_ms: u64) {
-        let passed_ms = now_ms.saturating_sub(self.at_ms) as f64;
+        let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.at_ms = self.at_ms.max(now_ms);
-        let keep = (-passed_ms / MEMORY_MS).exp();
-        self.rate.prompt *= keep;
-        self.rate.output *= keep;
+        let factor = (-elapsed_ms / DECAY_MS).exp();
+        self.rate.prompt *= factor;
+        self.rate.output *= factor;
         for rate in self
             .prompt_by_rank
             .iter_mut()
-            .chain(&mut self.count_by_rank)
+            .chain(&mut self.requests_by_rank)
         {
-            *rate *= keep;
+            *rate *= factor;
         }
     }
 
-    /// The same mix with the rates that other instances tell added.
+    /// The forecast with the rates that peers report added; their mix of ranks is taken to be
+    /// the same as here.
     #[must_use]
     pub fn with_peer_rates(&self, prompt_rate: f64, output_rate: f64) -> Self {
         let mut all = *self;
         if self.rate.prompt > 0.0 {
             let factor = 1.0 + prompt_rate / self.rate.prompt;
             all.prompt_by_rank = self.prompt_by_rank.map(|rate| rate * factor);
-            all.count_by_rank = self.count_by_rank.map(|rate| rate * factor);
+            all.requests_by_rank = self.requests_by_rank.map(|rate| rate * factor);
         }
         all.rate.prompt += prompt_rate;
         all.rate.output += output_rate;
         all
     }
 
-    /// The part of the mix that a share of the engines takes.
+    /// The forecast for a fraction of the engines.
     #[must_use]
-    pub fn scaled(&self, share: f64) -> Self {
+    pub fn scaled(&self, fraction: f64) -> Self {
         let mut part = *self;
-        part.rate.prompt *= share;
-        part.rate.output *= share;
-        part.prompt_by_rank = self.prompt_by_rank.map(|rate| rate * share);
-        part.count_by_rank = self.count_by_rank.map(|rate| rate * share);
+        part.rate.prompt *= fraction;
+        part.rate.output *= fraction;
+        part.prompt_by_rank = self.prompt_by_rank.map(|rate| rate * fraction);
+        part.requests_by_rank = self.requests_by_rank.map(|rate| rate * fraction);
         part
     }
 
-    /// Prompt tokens a ms, now.
+    /// Prompt tokens per ms.
     pub fn prompt_rate(&self) -> f64 {
         self.rate.prompt
     }
 
-    /// Prompt tokens a ms at one rank, now.
+    /// Prompt tokens per ms of one rank.
     pub fn prompt_rate_at(&self, rank: usize) -> f64 {
         self.prompt_by_rank[rank]
     }
 
-    /// Requests a ms at one rank, now.
+    /// Requests per ms of one rank.
     pub fn request_rate_at(&self, rank: usize) -> f64 {
-        self.count_by_rank[rank]
+        self.requests_by_rank[rank]
     }
 
-    /// Output tokens a ms, now.
+    /// Output tokens per ms.
     pub fn output_rate(&self) -> f64 {
         self.rate.output
     }
--- a/crates/plan/src/latency_model.rs
+++ b/crates/plan/src/latency_model.rs
@@ -1,128 +1,130 @@
-//! How fast the engines of one service read prompts, learned from their answers.
+//! Prefill and KV transfer times of the engines of one service, learned from their answers.
 //!
-//! Load pattern: engines of another make come, and for the first seconds nothing is known of them.
-//! What is learned decides who is refused, so it must be the engines' own time and not the waits
-//! of a rush: an answer teaches the less the more stood before it.
+//! Nothing is known of a new kind of engine in the first seconds. The learned times decide which
+//! requests are refused, so they must be the engines' own times without the queueing of bursts:
+//! the more work was queued before a prompt, the less its answer changes the model.
 
-/// Weight that one answer has in the learned times, once some have been seen.
-const SMOOTHING: f64 = 0.1;
+/// Weight of one answer in the learned times.
+const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// Time of a prompt token before any answer, in ms; corrected by the first answers.
-const FIRST_GUESS_MS: f64 = 0.015;
+/// Prefill time per token before the first answer, in ms.
+const INITIAL_TOKEN_MS: f64 = 0.015;
 
-/// Bounds of the learned time of a prompt token, in ms: engines read 5 to 500 tokens a ms.
-const TOKEN_MS: (f64, f64) = (0.002, 0.2);
+/// Bounds of the learned prefill time per token, in ms: engines prefill 5 to 500 tokens per ms.
+const TOKEN_MS_BOUNDS: (f64, f64) = (0.002, 0.2);
 
-/// Work for which fixed time and reading weigh alike in learning, in tokens: a usual prompt's own
-/// part.
-const USUAL_TOKENS: f64 = 5_000.0;
+/// Work for which an error is split evenly between the fixed time and the time per token, in
+/// tokens: the uncached part of a typical prompt.
+const REFERENCE_TOKENS: f64 = 5_000.0;
 
-/// Most that one answer counts as off, in ms: waits that nobody could foresee must not be taken
-/// for the engine's pace.
-const MOST_OFF_MS: f64 = 30.0;
+/// Largest error that one answer counts for, in ms: waits that could not be predicted must not
+/// be taken for the engine's own time.
+const MAX_ERROR_MS: f64 = 30.0;
 
-/// Time from an idle engine's last prompt token to its answer before any was seen, in ms: a step,
-/// a round trip and the set-up of a transfer.
-const FIRST_BASE_MS: f64 = 40.0;
+/// Time from the last prompt token to the answer of an idle engine before the first answer, in ms:
+/// an iteration, a round trip and the set-up of a transfer.
+const INITIAL_BASE_MS: f64 = 40.0;
 
-/// Time to hand a prompt's KV cache from one engine to another before any was, in ms, as seen with
+/// Time to transfer a prompt's KV cache between engines before the first transfer, in ms: that of
 /// 17,000 tokens on links of hundreds of Gbit/s.
-const FIRST_HAND_OVER_MS: f64 = 40.0;
+const INITIAL_KV_TRANSFER_MS: f64 = 40.0;
 
-/// One answer as it teaches the pace.
+/// The answer of a prefill engine, from which the model learns.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PrefillSample {
     /// Work of its prompt, in tokens.
     pub own_tokens: f64,
-    /// Work that stood before it, in tokens.
+    /// Work that was queued before it, in tokens.
     pub queued_tokens: f64,
-    /// Time that it took.
+    /// Time from sending the request to the answer.
     pub elapsed_ms: f64,
 }
 
-/// What was learned of the engines of one service.
+/// Learned times of the engines of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LatencyModel {
     token_ms: f64,
-    base_ms: f64,
-    beside_ms: f64,
-    hand_over_ms: f64,
+    prefill_base_ms: f64,
+    decode_base_ms: f64,
+    kv_transfer_ms: f64,
 }
 
 impl Default for LatencyModel {
     fn default() -> Self {
         Self {
-            token_ms: FIRST_GUESS_MS,
-            base_ms: FIRST_BASE_MS,
-            beside_ms: FIRST_BASE_MS,
-            hand_over_ms: FIRST_HAND_OVER_MS,
+            token_ms: INITIAL_TOKEN_MS,
+            prefill_base_ms: INITIAL_BASE_MS,
+            decode_base_ms: INITIAL_BASE_MS,
+            kv_transfer_ms: INITIAL_KV_TRANSFER_MS,
         }
     }
 }
 
 impl LatencyModel {
-    /// A prompt was read at an engine that does nothing else.
+    /// Learns from a prefill on a prefill engine.
     ///
-    /// The error is shared out between the fixed time and the time of a token by how much each
-    /// has to do with this answer (normalised least mean squares).
-    pub fn record_prefill(&mut self, seen: &PrefillSample) {
-        let queued = self.pending_tokens(seen.queued_tokens);
-        let tokens = seen.own_tokens + queued;
-        let off_ms = seen.elapsed_ms - self.base_ms - tokens * self.token_ms;
-        let length = tokens / USUAL_TOKENS;
-        let clear = clearness(seen.own_tokens, queued);
-        let step_ms = clear * bounded_step(off_ms) / (1.0 + length * length);
-        self.base_ms = (self.base_ms + step_ms).max(0.0);
-        let token_ms = self.token_ms + step_ms * length / USUAL_TOKENS;
-        self.token_ms = token_ms.clamp(TOKEN_MS.0, TOKEN_MS.1);
+    /// The error is split between the fixed time and the time per token in proportion to the
+    /// influence of each on this answer (normalised least mean squares).
+    pub fn record_prefill(&mut self, sample: &PrefillSample) {
+        let queued = self.pending_tokens(sample.queued_tokens);
+        let tokens = sample.own_tokens + queued;
+        let error_ms = sample.elapsed_ms - self.prefill_base_ms - tokens * self.token_ms;
+        let length = tokens / REFERENCE_TOKENS;
+        let weight = own_fraction(sample.own_tokens, queued);
+        let step_ms = weight * bounded_step(error_ms) / (1.0 + length * length);
+        self.prefill_base_ms = (self.prefill_base_ms + step_ms).max(0.0);
+        let token_ms = self.token_ms + step_ms * length / REFERENCE_TOKENS;
+        self.token_ms = token_ms.clamp(TOKEN_MS_BOUNDS.0, TOKEN_MS_BOUNDS.1);
     }
 
-    /// An engine that makes output read a prompt beside it, and was off the prediction by `off_ms`
-    /// after a predicted wait of `wait_ms` and an own time of `own_ms`.
-    pub fn record_decode_prefill(&mut self, off_ms: f64, wait_ms: f64, own_ms: f64) {
-        let step_ms = clearness(own_ms, wait_ms) * bounded_step(off_ms);
-        self.beside_ms = (self.beside_ms + step_ms).max(0.0);
+    /// Learns from a prefill on a decode engine, for which a wait of `wait_ms` and `own_ms` for
+    /// the request itself were predicted, and which took `error_ms` longer.
+    pub fn record_decode_prefill(&mut self, error_ms: f64, wait_ms: f64, own_ms: f64) {
+        let step_ms = own_fraction(own_ms, wait_ms) * bounded_step(error_ms);
+        self.decode_base_ms = (self.decode_base_ms + step_ms).max(0.0);
     }
 
-    /// A prompt's KV cache was handed over, and was off the prediction by `off_ms`.
-    pub fn record_kv_transfer(&mut self, off_ms: f64) {
-        self.hand_over_ms = (self.hand_over_ms + bounded_step(off_ms)).max(0.0);
+    /// Learns from the transfer of a prompt's KV cache to a decode engine, after which the output
+    /// started `error_ms` later than predicted.
+    pub fn record_kv_transfer(&mut self, error_ms: f64) {
+        self.kv_transfer_ms = (self.kv_transfer_ms + bounded_step(error_ms)).max(0.0);
     }
 
-    /// Time of one token of work, in ms.
+    /// Prefill time per token of work, in ms.
     pub fn token_ms(&self) -> f64 {
         self.token_ms
     }
 
-    /// Fixed time of an answer of an engine that only reads, in ms.
+    /// Fixed time of an answer of a prefill engine, in ms.
     pub fn prefill_base_ms(&self) -> f64 {
-        self.base_ms
+        self.prefill_base_ms
     }
 
-    /// Fixed time of an answer of an engine that reads beside output, in ms.
+    /// Fixed time of an answer of a decode engine that prefills the prompt itself, in ms.
     pub fn decode_base_ms(&self) -> f64 {
-        self.beside_ms
+        self.decode_base_ms
     }
 
-    /// Time from a prompt that was read elsewhere to the output's start, in ms.
+    /// Time from a prefill on another engine to the start of the output, in ms.
     pub fn kv_transfer_ms(&self) -> f64 {
-        self.hand_over_ms
+        self.kv_transfer_ms
     }
 
-    /// Work at an engine that only reads which is really still to be read, in tokens.
+    /// Work queued at a prefill engine that it has really still to do, in tokens.
     ///
-    /// A prompt counts as unread until its answer begins, which is the fixed time after it was
-    /// read. So as much as an engine reads in that time is read already, and is not waited for.
+    /// A prompt counts as queued until its answer begins, which is the fixed time after its
+    /// prefill has ended. So the work that an engine does in that time is already done and does
+    /// not delay a new prompt.
     pub fn pending_tokens(&self, queued_tokens: f64) -> f64 {
-        (queued_tokens - self.base_ms / self.token_ms).max(0.0)
+        (queued_tokens - self.prefill_base_ms / self.token_ms).max(0.0)
     }
 }
 
-/// Part of an answer's time that was its own.
-fn clearness(own: f64, before: f64) -> f64 {
-    own.max(1.0) / (own.max(1.0) + before)
+/// Fraction of an answer's time or work that was its own rather than that queued before it.
+fn own_fraction(own: f64, queued: f64) -> f64 {
+    own.max(1.0) / (own.max(1.0) + queued)
 }
 
-fn bounded_step(off_ms: f64) -> f64 {
-    SMOOTHING * off_ms.clamp(-MOST_OFF_MS, MOST_OFF_MS)
+fn bounded_step(error_ms: f64) -> f64 {
+    SMOOTHING_FACTOR * error_ms.clamp(-MAX_ERROR_MS, MAX_ERROR_MS)
 }
--- a/crates/plan/src/lateness.rs
+++ b/crates/plan/src/lateness.rs
@@ -1,29 +1,30 @@
-//! How late a request may start before it is refused.
+//! How late the output of a request may start before the request is refused.
 //!
-//! Load pattern: for some seconds twice as many prompts come as engines read. Those that can be on time
-//! go first; the others are served with what these leave, late. Were all of them kept, each would wait
-//! for seconds behind the rest and come to its caller when it is of no use; were they refused as
-//! soon as they are late, engines would stand idle when the rush is over. A refused caller comes back
-//! once, so one that has come back waits longer than one that is new.
+//! In a burst, prompts can arrive for several seconds at twice the rate at which engines prefill
+//! them. Requests that can meet their objective go first, and the others are served late with the
+//! remaining capacity. If all of those were queued, each would wait for seconds and be answered
+//! too late to be useful. If they were refused as soon as they are late, engines would be idle
+//! when the burst is over. A refused caller retries once, so a retried request may wait for longer
+//! than a new one.
 
-/// Wait, as a share of the objective, that a request bears which is late by its own length.
-const LONGEST_WAIT: f64 = 0.5;
+/// Wait, in multiples of the objective, allowed to a request whose own length makes it late.
+const LONG_REQUEST_WAIT: f64 = 0.5;
 
-/// Time that a caller has waited before an attempt from which on it was refused before, in ms: less
-/// than the shortest time after which callers are asked back.
-const CAME_BACK_MS: f64 = 60.0;
+/// Time that a caller has waited before an attempt from which the request counts as retried after
+/// a refusal, in ms; it is below the shortest delay after which refused callers are told to retry.
+const RETRIED_MS: f64 = 60.0;
 
-/// Bounds on a start, in objectives of its route.
+/// Latest start of the output of a late request, in multiples of its route's objective.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LatestStart {
-    /// For a request that is new.
+    /// For a new request.
     pub new: f64,
-    /// For one that was refused and came back.
+    /// For a request that is retried after a refusal.
     pub returning: f64,
 }
 
 impl Default for LatestStart {
-    /// Three and four objectives: one that has come back has lost its first by then.
+    /// A retried request is allowed one objective more, as it has lost about that much by then.
     fn default() -> Self {
         Self {
             new: 3.0,
@@ -32,31 +33,32 @@
     }
 }
 
-/// A request that would be late.
+/// A request that is predicted to miss its objective.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LateRequest {
-    /// Objective of its start.
+    /// Objective for the start of its output.
     pub goal_ms: f64,
-    /// Time that it takes itself.
+    /// Predicted time of the request itself, without waiting.
     pub processing_ms: f64,
-    /// Time that its caller has waited before this attempt.
+    /// Time that its caller had waited before this attempt.
     pub waited_ms: f64,
-    /// Time that it may still take, by its deadline.
+    /// Time left until its deadline.
     pub left_ms: f64,
 }
 
 impl LatestStart {
-    /// Time from now until which it must have started, or is refused now.
+    /// Time from now within which the output must start; the request is refused if a later start
+    /// is predicted.
     pub fn max_wait_ms(&self, request: &LateRequest) -> f64 {
-        let objectives = if request.waited_ms >= CAME_BACK_MS {
+        let objectives = if request.waited_ms >= RETRIED_MS {
             self.returning
         } else {
             self.new
         };
         let goal_ms = request.goal_ms;
-        let by_length_ms = request.processing_ms + goal_ms * LONGEST_WAIT;
+        let long_request_ms = request.processing_ms + goal_ms * LONG_REQUEST_WAIT;
         (goal_ms * objectives)
-            .max(by_length_ms)
+            .max(long_request_ms)
             .min(request.left_ms)
     }
 }
