--- a/crates/plan/src/engine_profile.rs
+++ b/crates/plan/src/engine_profile.rs
@@ -1,21 +1,22 @@
-//! What an engine can do: the cost model that predictions rest on.
+//! Cost model of an engine, on which latency predictions are based.
 
 use conf::Role;
 use serde::{Deserialize, Serialize};
 
-/// Levels of urgency that decisions tell apart; a class's rank is cut off at the last.
+/// Number of priority ranks that decisions distinguish; 0 is the most urgent.
 pub const RANKS: usize = 3;
 
-/// Place of a class's rank among the levels.
+/// Index of a class's rank; ranks beyond the last count as the last.
 pub fn rank_index(rank: u32) -> usize {
     (rank as usize).min(RANKS - 1)
 }
 
-/// Times of a continuously batching engine.
+/// Times and capacity of an engine with continuous batching.
 ///
-/// One iteration costs `base_ms + sequence_ms * running + token_ms * chunk`: reading the weights,
-/// each running sequence's attention, and the prompt tokens taken along. It is the usual linear
-/// model of a batched step and leaves out the growth of attention with context length.
+/// One iteration takes `base_ms + sequence_ms * running + token_ms * chunk`: loading the weights,
+/// the attention of each running sequence, and the prompt tokens prefilled in the same iteration.
+/// This is the usual linear model of a batched iteration; it ignores that attention grows with the
+/// context length.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineProfile {
     /// Fixed time of an iteration.
@@ -24,11 +25,11 @@
     pub sequence_ms: f64,
     /// Time that each prompt token adds to an iteration.
     pub token_ms: f64,
-    /// Most sequences that run at once.
+    /// Most sequences in a batch.
     pub max_running: u32,
-    /// Prompt and output tokens whose KV cache fits.
+    /// Capacity of the KV cache, in prompt and output tokens.
     pub kv_tokens: u64,
-    /// Time for which a role change takes the engine away.
+    /// Time for which the engine is unavailable during a role change.
     pub change_ms: u64,
 }
 
@@ -46,10 +47,10 @@
 }
 
 impl EngineProfile {
-    /// Prompt tokens that one iteration takes along in a role.
+    /// Prompt tokens that one iteration prefills at most in a role.
     ///
-    /// A large chunk reads long prompts faster and makes running sequences wait longer between
-    /// tokens; the role is the choice between the two.
+    /// A large chunk prefills long prompts faster but lengthens the time between tokens of running
+    /// sequences; the role chooses between the two.
     pub fn chunk_tokens(role: Role) -> u32 {
         match role {
             Role::Mixed => 512,
@@ -58,18 +59,19 @@
         }
     }
 
-    /// Length of an iteration.
+    /// Time of an iteration with `running` sequences and this many prompt tokens.
     pub fn iteration_ms(&self, running: f64, prompt_tokens: f64) -> f64 {
         self.base_ms + self.sequence_ms * running + self.token_ms * prompt_tokens
     }
 
-    /// Time to read `tokens` of prompts with `running` sequences beside them.
+    /// Time to prefill `tokens` prompt tokens while `running` sequences produce output.
     pub fn prefill_ms(&self, role: Role, running: f64, tokens: f64) -> f64 {
         let chunk = f64::from(Self::chunk_tokens(role));
         tokens / chunk * self.iteration_ms(running, chunk)
     }
 
-    /// Least engine time that a request can take, with the fixed part shared by full batches.
+    /// Least engine time that a request can take: the fixed time of each iteration is split among
+    /// full chunks and full batches.
     pub fn min_work_ms(&self, prompt_tokens: f64, output_tokens: f64) -> f64 {
         let chunk = f64::from(Self::chunk_tokens(Role::Prefill));
         let batch = f64::from(self.max_running);
