--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -1,221 +1,233 @@
-//! Where a prompt is read and where its output is made, when engines do one or the other.
+//! Predictions for placing prefill and decode when engines do one or the other (disaggregated
+//! serving).
 //!
-//! Load pattern: prompts of 17,000 tokens, most of which they share with others, come beside
-//! short questions, and the mix swings within seconds. Reading a shared part again costs an
-//! engine a quarter of a second; the engine that has read it needs a tenth of that for the rest.
-//! So requests that share a part meet at the engines that hold it, until the queue there costs more
-//! than copying or reading the part elsewhere and the memory that it takes there. Who holds what
-//! the instances tell each other; a part that nobody holds has a home that each derives from its
-//! id alone. See docs/design/platform.md.
+//! Long prompts of 17,000 tokens, most of which they share with other prompts, are mixed with
+//! short questions, and the mix changes within seconds. Prefilling a shared prefix again takes an
+//! engine a quarter of a second; an engine that caches it needs a tenth of that for the rest of
+//! the prompt. So requests that share a prefix go to the engines that cache it, until the queue
+//! there costs more than copying or prefilling the prefix elsewhere, including the memory that it
+//! takes there. Instances learn by gossip which engine caches what; for a prefix that no engine
+//! caches, each derives the same affinity target from the prefix id. See docs/design/platform.md.
 
 use crate::LatencyModel;
 
-/// Tokens whose reading costs as much as attending a million pairs of tokens. Attention grows
-/// with the square of the prompt; for two fleets of different engines the ratio was 32 and 41.
-const TOKENS_A_MILLION_PAIRS: f64 = 36.0;
+/// Prompt tokens whose prefill costs as much as the attention between a million pairs of tokens,
+/// whose number grows with the square of the prompt length. For two kinds of engines it is 32 and
+/// 41.
+const TOKENS_PER_MILLION_PAIRS: f64 = 36.0;
 
-/// How much longer a decoding engine takes to read a prompt: it reads at half the speed, in
-/// pieces between the output of other requests.
-const READ_BESIDE: f64 = 2.0;
+/// Factor by which a prefill is slower on a decode engine, which runs it in chunks between the
+/// output of other requests.
+const DECODE_ENGINE_SLOWDOWN: f64 = 2.0;
 
-/// Time of a step without reading, as part of the time that it takes with a piece of a prompt: at
-/// an engine that makes no other output, and what a full batch adds.
-const IDLE_STEP: f64 = 0.3;
-const FULL_STEP: f64 = 0.7;
+/// Time of an iteration without prefill, relative to one with a prefill chunk, if the engine has no
+/// other requests.
+const IDLE_ITERATION: f64 = 0.3;
 
-/// Pauses that a read counts as at the least and at the most: one that is shorter than a pause makes
-/// one, and beyond a few the same answers are late already.
-const FEWEST_PAUSES: f64 = 1.0;
-const MOST_PAUSES: f64 = 3.0;
+/// What a full batch adds to `IDLE_ITERATION`.
+const FULL_BATCH_ITERATION: f64 = 0.7;
 
-/// Prompt tokens that an engine reads between two tokens of output: a quarter of the piece in
-/// which it reads when it does nothing else, as the users' sheets have it.
-const PIECE_TOKENS: f64 = 512.0;
+/// Fewest pauses in output for which a prefill counts: even a short one causes a pause.
+const MIN_PAUSES: f64 = 1.0;
 
-/// Share of the objective for pauses that output takes where nothing is read.
-const USUAL_GAP: f64 = 0.3;
+/// Most pauses in output for which a prefill counts: after a few, the same answers are late anyway.
+const MAX_PAUSES: f64 = 3.0;
 
-/// Pauses, in objectives, at which a read begins to make others late and at which it surely does.
-const LATE_GAPS: (f64, f64) = (0.6, 1.1);
+/// Prompt tokens that a decode engine prefills between two tokens of output: by the engines' data
+/// sheets a quarter of the chunk of an engine that only prefills.
+const CHUNK_TOKENS: f64 = 512.0;
 
-/// What a token of a shared part costs that takes memory at one more engine, in ms: four times
-/// the time to read it. What yields to it is read again, often in a rush, when others wait for
-/// that engine.
-const DISPLACED_MS: f64 = 0.06;
+/// Time between two events of output on an engine without prefill, as a fraction of its objective.
+const BASE_GAP: f64 = 0.3;
 
-/// Part of a place's time by which a batch slows its answers on the way to being full.
-const FILLING: f64 = 0.25;
+/// Time between two events, in objectives, up to which other answers are in time and from which
+/// they are certainly late.
+const LATE_GAP_BOUNDS: (f64, f64) = (0.6, 1.1);
 
-/// Work of one prompt that will be late, in tokens: the longer prompts are, the likelier they are late.
-const LATE_TOKENS: f64 = 40_000.0;
+/// Cost per token of storing a shared prefix on one more engine, in ms: four times its prefill
+/// time. The prefixes evicted for it are prefilled again later, often in a burst, while other
+/// requests wait for the engine.
+const EVICTION_TOKEN_MS: f64 = 0.06;
 
-/// Part of a prompt that is left to be read when another one comes, on average.
-const UNREAD_SHARE: f64 = 0.5;
+/// Delay by a batch that is filling up, as a fraction of the time until a slot becomes free.
+const FILLING_DELAY: f64 = 0.25;
 
-/// An engine as one placement sees it.
+/// Most work assumed for a running prefill of a less urgent rank, in tokens. It is high because
+/// those ranks hold late prompts, and long prompts are the likeliest to be late.
+const LATE_PROMPT_TOKENS: f64 = 40_000.0;
+
+/// Average fraction of a running prefill that remains when another prompt arrives.
+const REMAINING_FRACTION: f64 = 0.5;
+
+/// The state of an engine as far as it matters for placing one prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineView {
-    /// Work sent there that it has still to read, in tokens.
+    /// Prefill work in its queue of this rank and more urgent ones, in tokens.
     pub queued_tokens: f64,
-    /// Work there of later ranks; what of it is being read by now is not put back.
+    /// Prefill work in its queue of less urgent ranks, in tokens; a prefill of it that is already
+    /// running is not preempted.
     pub lower_priority_tokens: f64,
-    /// Tokens of this prompt that it is believed to hold.
+    /// Tokens of this prompt that it caches, including those that it would copy.
     pub cached_tokens: f64,
-    /// Time to copy those of them that it does not hold yet from another engine.
+    /// Time of the copy from another engine; 0 without one.
     pub copy_ms: f64,
-    /// Tokens of shared parts that its memory does not have yet.
+    /// Tokens of the prompt's shared prefixes that it would have to store.
     pub new_tokens: f64,
-    /// Requests there, waiting or running.
+    /// Requests that it has, waiting or running.
     pub requests: f64,
-    /// Prompt tokens of the requests that make output there.
+    /// Prompt tokens of the requests that it decodes.
     pub context_tokens: f64,
-    /// Requests that it runs at once.
+    /// Requests that it runs at the same time.
     pub slots: f64,
-    /// Time of one way to it.
+    /// One-way network delay.
     pub one_way_delay_ms: f64,
-    /// How much slower than predicted it has been.
+    /// Factor by which it has been slower than predicted; below 1 counts as 1.
     pub slowness: f64,
 }
 
 impl EngineView {
-    /// What the parts are worth that make room for this prompt's shared ones.
-    fn displacing_ms(&self) -> f64 {
-        self.new_tokens * DISPLACED_MS
+    /// Cost of the prefixes that it has to evict for those of this prompt.
+    fn eviction_ms(&self) -> f64 {
+        self.new_tokens * EVICTION_TOKEN_MS
     }
 
-    /// Requests there as a share of those that it runs at once.
-    fn fullness(&self) -> f64 {
+    /// Requests relative to slots; above 1 if some are waiting.
+    fn occupancy(&self) -> f64 {
         self.requests / self.slots.max(1.0)
     }
 
-    /// Time until a place comes free, and what a filling batch adds before none is.
-    fn place_ms(&self, place_ms: f64) -> f64 {
+    /// Time until a slot becomes free, and the delay by a batch that is filling up.
+    fn slot_wait_ms(&self, turnover_ms: f64) -> f64 {
         let over = (self.requests + 1.0 - self.slots).max(0.0);
-        place_ms * (over / self.slots.max(1.0) + FILLING * self.fullness())
+        turnover_ms * (over / self.slots.max(1.0) + FILLING_DELAY * self.occupancy())
     }
 
-    /// What is expected to be left of a prompt of a later rank that is being read.
-    fn being_read_tokens(&self) -> f64 {
-        self.lower_priority_tokens.min(LATE_TOKENS) * UNREAD_SHARE
+    /// Expected remainder of a running prefill of a less urgent rank.
+    fn running_tokens(&self) -> f64 {
+        self.lower_priority_tokens.min(LATE_PROMPT_TOKENS) * REMAINING_FRACTION
     }
 }
 
-/// What an engine for output is asked.
+/// The properties of a request on which a decode prediction depends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DecodeRequest {
     /// Length of the prompt.
     pub prompt_tokens: f64,
-    /// Time that a place in a full batch takes to come free.
+    /// Time until a slot of a full batch becomes free.
     pub slot_turnover_ms: f64,
-    /// Longest pause between two events that is on time.
+    /// Objective for the time between two events.
     pub gap_goal_ms: f64,
-    /// Tokens that come with one event.
+    /// Tokens per event.
     pub event_tokens: f64,
 }
 
-/// A prediction, split by what causes it.
+/// A predicted time, split by cause.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Prediction {
-    /// Time behind other requests.
+    /// Time spent waiting for other requests.
     pub wait_ms: f64,
     /// Time for the request itself.
     pub processing_ms: f64,
-    /// Time that it takes from the other requests of the engine, weighed.
+    /// Weighted delay of other requests, which counts in comparisons only.
     pub interference_ms: f64,
 }
 
 impl Prediction {
-    /// Time until the request is served.
+    /// Predicted time, with waiting.
     pub fn total_ms(&self) -> f64 {
         self.wait_ms + self.processing_ms
     }
 
-    /// What placements are compared by.
+    /// Cost by which placements are compared.
     pub fn cost_ms(&self) -> f64 {
         self.total_ms() + self.interference_ms
     }
 }
 
-/// Work of reading the rest of a prompt whose start is cached, in tokens of a short prompt.
+/// Work of prefilling the rest of a prompt whose start is cached, in tokens of a short prompt.
 pub fn work_tokens(prompt_tokens: f64, cached_tokens: f64) -> f64 {
     let own = (prompt_tokens - cached_tokens).max(0.0);
     let pairs = own * (cached_tokens.min(prompt_tokens) + own / 2.0);
-    own + pairs / 1e6 * TOKENS_A_MILLION_PAIRS
+    own + pairs / 1e6 * TOKENS_PER_MILLION_PAIRS
 }
 
 impl LatencyModel {
-    /// Time until an engine that only reads prompts has read this one.
+    /// Predicts the time until a prefill engine has prefilled a prompt.
     pub fn predict_prefill(&self, view: &EngineView, prompt_tokens: f64) -> Prediction {
         let own = work_tokens(prompt_tokens, view.cached_tokens);
         let token_ms = self.token_ms() * view.slowness.max(1.0);
         Prediction {
-            wait_ms: self.pending_tokens(view.queued_tokens + view.being_read_tokens()) * token_ms,
+            wait_ms: self.pending_tokens(view.queued_tokens + view.running_tokens()) * token_ms,
             processing_ms: 2.0 * view.one_way_delay_ms
                 + view.copy_ms
                 + self.prefill_base_ms()
                 + own * token_ms,
-            interference_ms: view.displacing_ms(),
+            interference_ms: view.eviction_ms(),
         }
     }
 
-    /// Time until a decoding engine has read a prompt itself and waited for a place.
-    pub fn predict_decode(&self, view: &EngineView, ask: &DecodeRequest) -> Prediction {
-        let own = work_tokens(ask.prompt_tokens, view.cached_tokens);
-        let token_ms = self.token_beside_ms(view);
-        let read_ms = own * token_ms;
+    /// Predicts the time until a decode engine starts the output of a request, with the prefill of
+    /// what it does not cache of the prompt.
+    pub fn predict_decode(&self, view: &EngineView, request: &DecodeRequest) -> Prediction {
+        let own = work_tokens(request.prompt_tokens, view.cached_tokens);
+        let token_ms = self.decode_token_ms(view);
+        let prefill_ms = own * token_ms;
         let fixed_ms = if own > 0.0 {
             self.decode_base_ms()
         } else {
             self.kv_transfer_ms()
         };
         Prediction {
-            wait_ms: self.unread_beside_ms(view, token_ms) + view.place_ms(ask.slot_turnover_ms),
-            processing_ms: 2.0 * view.one_way_delay_ms + view.copy_ms + fixed_ms + read_ms,
-            interference_ms: self.pausing_ms(view, ask, read_ms) + view.displacing_ms(),
+            wait_ms: self.decode_pending_ms(view, token_ms)
+                + view.slot_wait_ms(request.slot_turnover_ms),
+            processing_ms: 2.0 * view.one_way_delay_ms + view.copy_ms + fixed_ms + prefill_ms,
+            interference_ms: self.interruption_ms(view, request, prefill_ms) + view.eviction_ms(),
         }
     }
 
-    /// Time to read what is really still to be read at an engine that makes output.
-    fn unread_beside_ms(&self, view: &EngineView, token_ms: f64) -> f64 {
+    /// Time of the prefills that a decode engine has really still to do, without those that are
+    /// finished but not answered yet.
+    fn decode_pending_ms(&self, view: &EngineView, token_ms: f64) -> f64 {
         (view.queued_tokens * token_ms - self.decode_base_ms()).max(0.0)
     }
 
-    /// Time of one token of work that is read beside output.
-    fn token_beside_ms(&self, view: &EngineView) -> f64 {
-        let steps = 1.0 + IDLE_STEP + FULL_STEP * view.fullness().min(1.0);
-        self.token_ms() * READ_BESIDE * steps * view.slowness.max(1.0)
+    /// Prefill time per token of work on a decode engine.
+    fn decode_token_ms(&self, view: &EngineView) -> f64 {
+        let iterations = 1.0 + IDLE_ITERATION + FULL_BATCH_ITERATION * view.occupancy().min(1.0);
+        self.token_ms() * DECODE_ENGINE_SLOWDOWN * iterations * view.slowness.max(1.0)
     }
 
-    /// Time that the others at an engine lose by a read of `read_ms`, if it makes them late.
+    /// Time that the other requests on a decode engine lose by a prefill of `prefill_ms`, weighted
+    /// by the probability that it makes them late.
     ///
-    /// Prompts that are read one after the other make one long pause, so what is still to be read
-    /// there counts with this one. Where the pause gets too long, all who make output there lose as
-    /// much as the read takes, and once more for each further pause of a long one. With the usual
-    /// pause, steps without a read are counted already.
-    fn pausing_ms(&self, view: &EngineView, ask: &DecodeRequest, read_ms: f64) -> f64 {
-        let before = ask.prompt_tokens.max(PIECE_TOKENS) - PIECE_TOKENS;
-        let piece = work_tokens(before + PIECE_TOKENS, before);
-        let token_ms = self.token_beside_ms(view);
-        let piece_ms = piece * self.token_ms() * READ_BESIDE * view.slowness.max(1.0);
+    /// Prefills that follow each other cause one long pause in the output, so the queued ones count
+    /// along with this one. If the pause gets too long, every request loses the time of the
+    /// prefill, once for each pause that a long prefill causes.
+    fn interruption_ms(&self, view: &EngineView, request: &DecodeRequest, prefill_ms: f64) -> f64 {
+        let before = request.prompt_tokens.max(CHUNK_TOKENS) - CHUNK_TOKENS;
+        let chunk = work_tokens(before + CHUNK_TOKENS, before);
+        let token_ms = self.decode_token_ms(view);
+        // Without the iterations that do not prefill: `BASE_GAP` contains them.
+        let chunk_ms = chunk * self.token_ms() * DECODE_ENGINE_SLOWDOWN * view.slowness.max(1.0);
         let queued_ms = view.queued_tokens * token_ms;
-        let event_ms = ask.event_tokens * piece_ms;
-        let late = late_share(queued_ms + read_ms, event_ms, ask.gap_goal_ms);
-        let pauses = (read_ms / ask.gap_goal_ms.max(1.0)).clamp(FEWEST_PAUSES, MOST_PAUSES);
-        view.requests * late * read_ms * pauses
+        let event_ms = request.event_tokens * chunk_ms;
+        let late = late_probability(queued_ms + prefill_ms, event_ms, request.gap_goal_ms);
+        let pauses = (prefill_ms / request.gap_goal_ms.max(1.0)).clamp(MIN_PAUSES, MAX_PAUSES);
+        view.requests * late * prefill_ms * pauses
     }
 }
 
-/// How likely a prompt read beside output makes the output late, from none to surely.
+/// Probability that prefills on a decode engine make the output of other requests late.
 ///
-/// The prompt is read in pieces between the tokens of others, so their pause is that of the
-/// pieces between two events and not that of the whole prompt.
-fn late_share(read_ms: f64, event_ms: f64, gap_goal_ms: f64) -> f64 {
-    let pause_ms = read_ms.min(event_ms) + gap_goal_ms * USUAL_GAP;
-    let (from, to) = LATE_GAPS;
-    ((pause_ms / gap_goal_ms.max(1.0) - from) / (to - from)).clamp(0.0, 1.0)
+/// Prompts are prefilled in chunks between the output tokens of other requests, so the pause
+/// between two events is at most as long as the chunks in between, not as the whole prefill.
+fn late_probability(prefill_ms: f64, event_ms: f64, gap_goal_ms: f64) -> f64 {
+    let gap_ms = prefill_ms.min(event_ms) + gap_goal_ms * BASE_GAP;
+    let (in_time, late) = LATE_GAP_BOUNDS;
+    ((gap_ms / gap_goal_ms.max(1.0) - in_time) / (late - in_time)).clamp(0.0, 1.0)
 }
 
-/// Index of the least time, and what is predicted there.
+/// Index and prediction of the placement with the lowest cost.
 pub fn cheapest(predicted: impl Iterator<Item = Prediction>) -> Option<(usize, Prediction)> {
     predicted
         .enumerate()
