--- a/crates/plan/tests/decisions.rs
+++ b/crates/plan/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions: roles, shares, ejection, deadlines, roll-over and routing.
+//! Single decisions: roles, fair shares, ejection, deadlines, rollout and routing.
 
 use conf::Role;
 use plan::{
@@ -9,14 +9,14 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-fn fleet(engines: usize, shape: EngineProfile) -> Fleet {
+fn fleet(engines: usize, profile: EngineProfile) -> Fleet {
     let mut fleet = Fleet::default();
     for number in 0..engines {
         fleet.add(Engine::new(
             &format!("engine-{number}"),
             "model",
             "group",
-            shape,
+            profile,
         ));
     }
     fleet
@@ -34,8 +34,8 @@
     }
 }
 
-/// Only long prompts, more than mixed engines can read.
-fn reads() -> Forecast {
+/// Only long prompts, more than engines in the mixed role can prefill.
+fn long_prompts() -> Forecast {
     let mut forecast = Forecast::default();
     for second in 0..60 {
         forecast.record_arrival(second * 1_000, 2, 40_000.0, 100.0);
@@ -43,17 +43,18 @@
     forecast
 }
 
-/// An engine whose fixed time per iteration makes small chunks dear.
-fn heavy() -> EngineProfile {
+/// An engine whose fixed time per iteration makes small chunks costly.
+fn costly_chunks() -> EngineProfile {
     EngineProfile {
         base_ms: 38.0,
         ..EngineProfile::default()
     }
 }
 
-fn changes(weight: f64, shape: EngineProfile) -> usize {
-    let fleet = fleet(6, shape);
-    let places: Vec<usize> = (0..6).collect();
+/// Number of role changes planned within 20 s of long prompts.
+fn count_changes(weight: f64, profile: EngineProfile) -> usize {
+    let fleet = fleet(6, profile);
+    let indices: Vec<usize> = (0..6).collect();
     let mut planner = RolePlanner::new(RoleSettings {
         change_weight: weight,
         ..RoleSettings::default()
@@ -62,40 +63,40 @@
     for step in 0..40 {
         let now_ms = 60_000 + step * 500;
         count += planner
-            .plan(now_ms, &fleet, &places, &reads(), |_, _| true)
+            .plan(now_ms, &fleet, &indices, &long_prompts(), |_, _| true)
             .len();
     }
     count
 }
 
 #[test]
-fn a_lasting_mix_of_long_prompts_is_worth_a_change_where_chunks_are_dear() {
-    assert!(changes(0.0, heavy()) > 0);
+fn lasting_long_prompts_justify_a_role_change_where_small_chunks_are_costly() {
+    assert!(count_changes(0.0, costly_chunks()) > 0);
 }
 
 #[test]
-fn the_weight_holds_changes_back() {
-    assert_eq!(changes(1.0, heavy()), 0);
-    assert!(changes(0.0, heavy()) >= changes(0.3, heavy()));
+fn the_change_weight_reduces_role_changes() {
+    assert_eq!(count_changes(1.0, costly_chunks()), 0);
+    assert!(count_changes(0.0, costly_chunks()) >= count_changes(0.3, costly_chunks()));
 }
 
 #[test]
-fn a_role_that_the_bundle_forbids_is_not_ordered() {
-    let fleet = fleet(6, heavy());
-    let places: Vec<usize> = (0..6).collect();
+fn a_role_that_the_bundle_forbids_is_not_planned() {
+    let fleet = fleet(6, costly_chunks());
+    let indices: Vec<usize> = (0..6).collect();
     let mut planner = RolePlanner::new(RoleSettings {
         change_weight: 0.0,
         settle_ms: 0,
         ..RoleSettings::default()
     });
-    let ordered = planner.plan(60_000, &fleet, &places, &reads(), |_, role| {
+    let changes = planner.plan(60_000, &fleet, &indices, &long_prompts(), |_, role| {
         role != Role::Prefill
     });
-    assert!(ordered.iter().all(|change| change.role != Role::Prefill));
+    assert!(changes.iter().all(|change| change.role != Role::Prefill));
 }
 
 #[test]
-fn what_would_be_late_is_refused_at_once_and_what_would_not_is_routed() {
+fn only_requests_that_would_miss_their_deadline_are_refused() {
     let fleet = fleet(3, EngineProfile::default());
     let mut router = Router::default();
     let mut rng = Pcg64::seed_from_u64(1);
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn engines_that_leave_or_were_tried_get_nothing() {
+fn leaving_and_tried_engines_get_no_requests() {
     let mut fleet = fleet(3, EngineProfile::default());
     fleet.get_mut(0).presence = Presence::Leaving;
     let mut router = Router::default();
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn a_cached_prefix_draws_its_request() {
+fn a_request_goes_to_the_engine_that_caches_its_prefix() {
     let fleet = fleet(4, EngineProfile::default());
     let mut prefixes = PrefixIndex::default();
     prefixes.record_holder(7, 2, 5_000.0);
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn under_pressure_a_member_that_floods_gives_way_and_idle_shares_are_free_to_take() {
+fn a_member_above_its_share_is_held_back_only_if_others_ask_for_theirs() {
     let mut fairness = Fairness::default();
     for step in 0..200 {
         fairness.record(step * 50, "flood", 1, 100.0, true);
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn a_slow_engine_is_left_alone_and_tried_again() {
+fn a_slow_engine_is_ejected_and_probed() {
     let mut health = Health::default();
     for answer in 0..40 {
         health.record_latency(answer * 10, 10.0, 60.0);
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn an_attempt_leaves_time_for_another_upstream_and_none_is_made_too_late() {
+fn an_attempt_leaves_time_for_another_upstream_and_needs_a_minimum() {
     assert_eq!(
         AttemptTimeout::next(1_000, 1).map(|budget| budget.timeout_ms),
         Some(600)
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_retry_storm_runs_out_of_budget() {
+fn retries_stop_when_the_budget_is_used_up() {
     let mut budget = RetryBudget::default();
     let allowed = (0..1_000).filter(|_| budget.try_withdraw()).count();
     assert!(allowed <= 20, "{allowed}");
@@ -221,7 +222,7 @@
 }
 
 #[test]
-fn new_requests_move_over_when_half_have_the_new_version() {
+fn requests_switch_when_half_of_the_engines_have_the_new_version() {
     assert!(!should_switch_version(4, 1, 4));
     assert!(should_switch_version(4, 2, 4));
     assert!(should_switch_version(4, 0, 0));
@@ -229,13 +230,13 @@
 
 #[test]
 fn a_probe_is_never_urgent_and_an_ejected_engine_is_better_than_none() {
-    // One engine of two became slow and rests. When its rest is over, the next request that is
-    // not urgent goes there, and only that one. Were both ejected, requests would still go to
-    // one of them rather than be refused.
+    // One of two engines became slow and is ejected. After the ejection the next request that is
+    // not urgent is sent to it as a probe, and no other. If both engines are ejected, requests
+    // still go to one of them and are not refused.
     let mut fleet = fleet(2, EngineProfile::default());
-    let eject = |fleet: &mut Fleet, place: usize| {
+    let eject = |fleet: &mut Fleet, index: usize| {
         for _ in 0..40 {
-            fleet.get_mut(place).health.record_latency(0, 10.0, 100.0);
+            fleet.get_mut(index).health.record_latency(0, 10.0, 100.0);
         }
     };
     eject(&mut fleet, 0);
--- a/crates/plan/tests/lateness.rs
+++ b/crates/plan/tests/lateness.rs
@@ -1,4 +1,4 @@
-//! Rushes beyond what an engine reads, and who is refused.
+//! Bursts that exceed an engine's prefill rate, and which requests are refused.
 
 use plan::{LateRequest, LatestStart};
 use rand::{Rng, SeedableRng};
@@ -6,54 +6,55 @@
 
 const GOAL_MS: f64 = 300.0;
 const DEADLINE_MS: f64 = 2_500.0;
-const OWN_MS: f64 = 50.0;
+const PREFILL_MS: f64 = 50.0;
 
-/// What became of the requests of one rush.
+/// Number of requests by their outcome.
 #[derive(Debug, Default, PartialEq)]
 struct Outcome {
-    asked: usize,
+    requests: usize,
     in_time: usize,
     late: usize,
     refused: usize,
 }
 
-/// Twenty seconds at an engine that reads 20 prompts a second: 32 come a second in rushes of 1.4 s, 8
-/// between them. What can be on time goes first, and what has not begun can be put back behind it.
-fn rushes(latest: LatestStart, seed: u64) -> Outcome {
+/// Simulates 20 s at an engine that prefills 20 prompts per second. In bursts of 1.4 s it gets 32
+/// per second, between them 8. Requests that can meet the objective go first, ahead of late ones
+/// whose prefill has not started.
+fn bursts(latest: LatestStart, seed: u64) -> Outcome {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut outcome = Outcome::default();
     let (mut on_time, mut late) = (Vec::new(), Vec::new());
     let (mut now_ms, mut free_ms) = (0.0_f64, 0.0_f64);
     while now_ms < 20_000.0 {
-        let a_second = if ((now_ms / 1_400.0) as u64).is_multiple_of(2) {
+        let per_s = if ((now_ms / 1_400.0) as u64).is_multiple_of(2) {
             32.0
         } else {
             8.0
         };
-        now_ms += -(1.0 - random.random::<f64>()).ln() * 1_000.0 / a_second;
+        now_ms += -(1.0 - random.random::<f64>()).ln() * 1_000.0 / per_s;
         while free_ms <= now_ms && !(on_time.is_empty() && late.is_empty()) {
             let queue: &mut Vec<f64> = if on_time.is_empty() {
                 &mut late
             } else {
                 &mut on_time
             };
-            let came_ms = queue.remove(0);
-            free_ms = free_ms.max(came_ms) + OWN_MS;
-            let took_ms = free_ms - came_ms;
+            let arrived_ms = queue.remove(0);
+            free_ms = free_ms.max(arrived_ms) + PREFILL_MS;
+            let took_ms = free_ms - arrived_ms;
             outcome.in_time += usize::from(took_ms <= GOAL_MS);
             outcome.late += usize::from(took_ms > GOAL_MS && took_ms <= DEADLINE_MS);
         }
-        outcome.asked += 1;
+        outcome.requests += 1;
         let busy_ms = (free_ms - now_ms).max(0.0);
-        let first_ms = busy_ms + (on_time.len() + 1) as f64 * OWN_MS;
+        let first_ms = busy_ms + (on_time.len() + 1) as f64 * PREFILL_MS;
         if first_ms <= GOAL_MS {
             on_time.push(now_ms);
             continue;
         }
-        let behind_ms = first_ms + late.len() as f64 * OWN_MS;
+        let behind_ms = first_ms + late.len() as f64 * PREFILL_MS;
         let request = LateRequest {
             goal_ms: GOAL_MS,
-            processing_ms: OWN_MS,
+            processing_ms: PREFILL_MS,
             waited_ms: 0.0,
             left_ms: DEADLINE_MS,
         };
@@ -68,36 +69,40 @@
 
 fn all(latest: LatestStart) -> Outcome {
     (1..=10)
-        .map(|seed| rushes(latest, seed))
+        .map(|seed| bursts(latest, seed))
         .fold(Outcome::default(), |sum, each| Outcome {
-            asked: sum.asked + each.asked,
+            requests: sum.requests + each.requests,
             in_time: sum.in_time + each.in_time,
             late: sum.late + each.late,
             refused: sum.refused + each.refused,
         })
 }
 
-/// Requests that start up to three objectives late are read in the lulls between rushes. A tenth fewer
-/// are refused than with two, and as many are on time, since they go first.
+/// Late requests that may wait for three objectives are prefilled in the lulls between bursts. More
+/// than a tenth fewer are refused than with a limit of two objectives, and about as many are in
+/// time, since those go first.
 #[test]
-fn who_waits_longer_is_served_in_the_lulls() {
-    let now = all(LatestStart::default());
-    let before = all(LatestStart {
+fn late_requests_that_wait_longer_are_served_in_the_lulls() {
+    let longer = all(LatestStart::default());
+    let shorter = all(LatestStart {
         new: 2.0,
         returning: 2.5,
     });
-    assert!(now.refused * 10 < before.refused * 9, "{now:?} {before:?}");
-    assert!(now.late > before.late, "{now:?} {before:?}");
     assert!(
-        now.in_time * 100 >= before.in_time * 98,
-        "{now:?} {before:?}"
+        longer.refused * 10 < shorter.refused * 9,
+        "{longer:?} {shorter:?}"
+    );
+    assert!(longer.late > shorter.late, "{longer:?} {shorter:?}");
+    assert!(
+        longer.in_time * 100 >= shorter.in_time * 98,
+        "{longer:?} {shorter:?}"
     );
 }
 
-/// A caller that was refused before is refused a second time less readily; nobody is kept beyond the
-/// deadline, and a prompt that is late by its own length bears half an objective of waiting.
+/// A retried request may start later than a new one, no request may start after its deadline, and
+/// a prompt whose own length makes it late may wait for half an objective.
 #[test]
-fn the_bounds_of_a_start() {
+fn the_latest_start_depends_on_retries_deadline_and_length() {
     let latest = LatestStart::default();
     let request = LateRequest {
         goal_ms: 300.0,
--- a/crates/plan/tests/rate_limit.rs
+++ b/crates/plan/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Fleets that share the limit of an upstream, as the upstream counts what it gets.
+//! Rate limits shared by the instances of a fleet, counted as the upstream receives the requests.
 
 use std::collections::VecDeque;
 
@@ -6,110 +6,111 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Window in which the upstream counts, in ms.
+/// Window in which the upstream counts requests, in ms.
 const WINDOW_MS: u64 = 4_000;
 
-/// Time until an instance knows that another one has gone or come, or of another limit, in ms.
-const LEARNS_WITHIN_MS: u64 = 1_000;
+/// Time until every instance has learned of a change of the limit or of the instances, in ms.
+const LEARNED_WITHIN_MS: u64 = 1_000;
 
-/// Step of time, in ms.
+/// Time step of the simulation, in ms.
 const STEP_MS: u64 = 50;
 
-/// What is so for a while.
+/// A phase of the simulation with a constant limit and number of instances.
 #[derive(Debug, Clone, Copy)]
-struct Spell {
-    for_ms: u64,
+struct Phase {
+    duration_ms: u64,
     limit_per_s: f64,
     instances: usize,
 }
 
-fn spells(most: usize) -> impl Strategy<Value = Vec<Spell>> {
-    let spell = (5_000_u64..15_000, 0.2_f64..40.0, most.div_ceil(2)..=most);
-    let spell = spell.prop_map(|(for_ms, limit_per_s, instances)| Spell {
-        for_ms,
+fn phases(max_instances: usize) -> impl Strategy<Value = Vec<Phase>> {
+    let instances = max_instances.div_ceil(2)..=max_instances;
+    let phase = (5_000_u64..15_000, 0.2_f64..40.0, instances);
+    let phase = phase.prop_map(|(duration_ms, limit_per_s, instances)| Phase {
+        duration_ms,
         limit_per_s,
         instances,
     });
-    prop::collection::vec(spell, 1..5)
+    prop::collection::vec(phase, 1..5)
 }
 
-/// Lets each instance send whatever it may, and gives the most that any window has beyond one and a half
-/// times the limit and five.
-fn most_beyond(spells: &[Spell], most: usize) -> f64 {
-    let mut buckets = vec![TokenBucket::default(); most];
+/// Lets each instance send as many requests as it may. Returns the largest excess of any window
+/// over one and a half times the limit plus five requests; positive if a window exceeds that.
+fn max_excess(phases: &[Phase], max_instances: usize) -> f64 {
+    let mut buckets = vec![TokenBucket::default(); max_instances];
     let mut sent: VecDeque<(u64, f64, u32)> = VecDeque::new();
     let mut worst = f64::MIN;
     let mut now_ms = 0;
-    let mut before = spells[0];
-    for spell in spells {
-        let until_ms = now_ms + spell.for_ms;
-        let begun_ms = now_ms;
+    let mut before = phases[0];
+    for phase in phases {
+        let until_ms = now_ms + phase.duration_ms;
+        let started_ms = now_ms;
         while now_ms < until_ms {
             let mut count = 0;
             for (rank, bucket) in buckets.iter_mut().enumerate() {
-                // Half of the instances learn late.
-                let is_late = rank % 2 == 1 && now_ms < begun_ms + LEARNS_WITHIN_MS;
-                let seen = if is_late { &before } else { spell };
+                // Half of the instances learn of the new phase late.
+                let is_late = rank % 2 == 1 && now_ms < started_ms + LEARNED_WITHIN_MS;
+                let known = if is_late { &before } else { phase };
                 let position = InstancePosition {
                     rank,
-                    instances: seen.instances,
+                    instances: known.instances,
                 };
-                let part = position.share_per_s(seen.limit_per_s, 7_919);
-                while rank < spell.instances && bucket.try_take(now_ms, part) {
+                let share = position.share_per_s(known.limit_per_s, 7_919);
+                while rank < phase.instances && bucket.try_take(now_ms, share) {
                     count += 1;
                 }
             }
-            let limit = spell.limit_per_s.max(before.limit_per_s);
+            let limit = phase.limit_per_s.max(before.limit_per_s);
             sent.push_back((now_ms, limit, count));
             sent.retain(|(at_ms, ..)| at_ms + WINDOW_MS > now_ms);
-            let got: u32 = sent.iter().map(|(_, _, count)| count).sum();
+            let received: u32 = sent.iter().map(|(_, _, count)| count).sum();
             let allowed: f64 = sent
                 .iter()
                 .map(|(_, limit, _)| limit * STEP_MS as f64 / 1_000.0)
                 .sum();
             if now_ms >= WINDOW_MS {
-                worst = worst.max(f64::from(got) - 1.5 * allowed - 5.0);
+                worst = worst.max(f64::from(received) - 1.5 * allowed - 5.0);
             }
             now_ms += STEP_MS;
         }
-        before = *spell;
+        before = *phase;
     }
     worst
 }
 
-/// Guards against instances that each keep a limit for themselves, at any number of them.
+/// Guards against instances that each apply the whole limit, so that together they exceed it.
 #[test]
 fn all_instances_together_keep_the_limit() {
-    for most in [1, 6, 90, 300] {
-        let spell = Spell {
-            for_ms: 20_000,
+    for instances in [1, 6, 90, 300] {
+        let phase = Phase {
+            duration_ms: 20_000,
             limit_per_s: 5.0,
-            instances: most,
+            instances,
         };
-        let beyond = most_beyond(&[spell], most);
-        assert!(beyond <= 0.0, "{most} instances: {beyond} too many");
+        let excess = max_excess(&[phase], instances);
+        assert!(excess <= 0.0, "{instances} instances: {excess} too many");
     }
 }
 
-/// Guards against a limit that is kept by leaving the upstream alone.
+/// Guards against a limit that is kept by sending much less than it allows.
 #[test]
-fn a_limit_is_used() {
+fn the_limit_is_used_up() {
     for instances in [1, 6, 90, 300] {
         let mut buckets = vec![TokenBucket::default(); instances];
         let mut sent = 0;
         for now_ms in (0..60_000).step_by(STEP_MS as usize) {
             for (rank, bucket) in buckets.iter_mut().enumerate() {
-                let part = InstancePosition { rank, instances }.share_per_s(5.0, 11);
-                sent += u32::from(bucket.try_take(now_ms, part));
+                let share = InstancePosition { rank, instances }.share_per_s(5.0, 11);
+                sent += u32::from(bucket.try_take(now_ms, share));
             }
         }
         assert!((270..=300).contains(&sent), "{sent} of 300 at {instances}");
     }
 }
 
-/// Guards against an instance that has saved up requests for the time in which it had no part.
+/// Guards against an instance that saves up requests while it has no share of the limit.
 #[test]
-fn a_new_user_of_a_limit_begins_with_nothing() {
+fn an_instance_with_a_new_share_starts_with_an_empty_bucket() {
     let mut bucket = TokenBucket::default();
     assert!(!bucket.try_take(60_000, 2.0));
     assert!(bucket.try_take(60_500, 2.0));
@@ -125,10 +126,11 @@
         ..ProptestConfig::with_cases(200)
     })]
 
-    /// Guards against more than the limit while it changes and instances come and go, as half of them learn of it late.
+    /// Guards against exceeding the limit while the limit or the number of instances changes and
+    /// half of the instances learn of it late.
     #[test]
-    fn changes_that_some_learn_late_keep_the_limit(spells in spells(60)) {
-        let beyond = most_beyond(&spells, 60);
-        prop_assert!(beyond <= 0.0, "{beyond} too many");
+    fn the_limit_holds_while_some_instances_learn_of_changes_late(phases in phases(60)) {
+        let excess = max_excess(&phases, 60);
+        prop_assert!(excess <= 0.0, "{excess} too many");
     }
 }
--- a/crates/plan/tests/split.rs
+++ b/crates/plan/tests/split.rs
@@ -1,4 +1,5 @@
-//! Mixes that swing, stand and fail, and the split of engines that answers them.
+//! How the role split of a fleet follows the mix of requests: lasting, fluctuating and reversed
+//! mixes, and engines that are withdrawn.
 
 use plan::{
     Demand, MovingRate, PeakDemand, RoleSplit, SplitChange, SplitPlanner, wanted_prefill_engines,
@@ -6,45 +7,47 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Time between two looks, in ms.
-const LOOK_MS: u64 = 250;
+/// Interval of checks, in ms.
+const CHECK_MS: u64 = 250;
 
-/// Time for which a change takes an engine away, in ms.
-const AWAY_MS: u64 = 5_000;
+/// Duration of a role change, in ms.
+const CHANGE_MS: u64 = 5_000;
 
-/// A fleet whose engines change as the plan says.
+/// A simulated fleet whose engines change their roles as the planner says.
 struct Fleet {
-    plan: SplitPlanner,
+    planner: SplitPlanner,
     peak: PeakDemand,
     split: RoleSplit,
-    back_ms: Vec<u64>,
-    turns: Vec<(u64, SplitChange)>,
+    /// Times at which the changes in progress end.
+    change_ends_ms: Vec<u64>,
+    /// Every change ordered so far.
+    changes: Vec<(u64, SplitChange)>,
 }
 
 impl Fleet {
-    fn new(readers: usize, makers: usize) -> Self {
+    fn new(prefill: usize, decode: usize) -> Self {
         Self {
-            plan: SplitPlanner::default(),
+            planner: SplitPlanner::default(),
             peak: PeakDemand::default(),
             split: RoleSplit {
-                prefill: readers,
-                decode: makers,
+                prefill,
+                decode,
                 changing: 0,
             },
-            back_ms: Vec::new(),
-            turns: Vec::new(),
+            change_ends_ms: Vec::new(),
+            changes: Vec::new(),
         }
     }
 
-    fn look(&mut self, now_ms: u64, demand: &Demand) {
-        self.back_ms.retain(|at_ms| *at_ms > now_ms);
-        self.split.changing = self.back_ms.len();
+    fn check(&mut self, now_ms: u64, demand: &Demand) {
+        self.change_ends_ms.retain(|at_ms| *at_ms > now_ms);
+        self.split.changing = self.change_ends_ms.len();
         let demand = self.peak.record(now_ms, demand);
-        let Some(turn) = self.plan.next_change(now_ms, &demand, &self.split) else {
+        let Some(change) = self.planner.next_change(now_ms, &demand, &self.split) else {
             return;
         };
-        self.plan.record_order(now_ms, turn);
-        match turn {
+        self.planner.record_order(now_ms, change);
+        match change {
             SplitChange::ToPrefill => {
                 self.split.decode -= 1;
                 self.split.prefill += 1;
@@ -54,111 +57,110 @@
                 self.split.decode += 1;
             }
         }
-        self.back_ms.push(now_ms + AWAY_MS);
-        self.turns.push((now_ms, turn));
+        self.change_ends_ms.push(now_ms + CHANGE_MS);
+        self.changes.push((now_ms, change));
     }
 
-    fn play(&mut self, from_ms: u64, to_ms: u64, demand: impl Fn(u64) -> Demand) {
-        for now_ms in (from_ms..to_ms).step_by(LOOK_MS as usize) {
-            self.look(now_ms, &demand(now_ms));
+    fn run(&mut self, from_ms: u64, to_ms: u64, demand: impl Fn(u64) -> Demand) {
+        for now_ms in (from_ms..to_ms).step_by(CHECK_MS as usize) {
+            self.check(now_ms, &demand(now_ms));
         }
     }
 }
 
-fn demand(reading: f64, making: f64) -> Demand {
-    Demand {
-        prefill: reading,
-        decode: making,
-    }
+fn demand(prefill: f64, decode: f64) -> Demand {
+    Demand { prefill, decode }
 }
 
-/// A third of eighteen engines read and the mix asks for half of them, from the first second and for
-/// a minute. Within fifteen seconds the split fits, and then it stays.
+/// A third of 18 engines prefill, and for a minute the mix needs half of them. The split must fit
+/// within 15 s and then stay.
 #[test]
-fn a_split_that_is_wrong_from_the_start_is_mended_once() {
+fn a_wrong_initial_split_is_corrected_once() {
     let mut fleet = Fleet::new(6, 12);
-    fleet.play(1_500, 60_000, |_| demand(7.0, 3.0));
+    fleet.run(1_500, 60_000, |_| demand(7.0, 3.0));
     assert!((9..=11).contains(&fleet.split.prefill), "{:?}", fleet.split);
     assert!(
         fleet
-            .turns
+            .changes
             .iter()
-            .all(|(at_ms, turn)| *at_ms < 15_000 && *turn == SplitChange::ToPrefill)
+            .all(|(at_ms, change)| *at_ms < 15_000 && *change == SplitChange::ToPrefill)
     );
-    assert!(fleet.turns.len() <= 5, "{:?}", fleet.turns);
+    assert!(fleet.changes.len() <= 5, "{:?}", fleet.changes);
 }
 
-/// The mix swings every 3 s between long prompts and long answers. Changes that followed it would take
-/// as long as a swing; the split is made for the rushes and does not move to and fro.
+/// The mix alternates every 3 s between long prompts and long answers. A role change takes longer
+/// than that, so the split must fit the bursts of prompts and not follow the alternation.
 #[test]
-fn a_mix_that_swings_moves_no_engine_to_and_fro() {
+fn an_alternating_mix_does_not_move_engines_back_and_forth() {
     let mut fleet = Fleet::new(6, 12);
-    fleet.play(1_500, 120_000, |now_ms| {
+    fleet.run(1_500, 120_000, |now_ms| {
         if now_ms / 3_000 % 2 == 0 {
             demand(7.0, 2.0)
         } else {
             demand(3.0, 4.0)
         }
     });
-    assert!(fleet.turns.len() <= 6, "{:?}", fleet.turns);
+    assert!(fleet.changes.len() <= 6, "{:?}", fleet.changes);
     assert!(
         fleet
-            .turns
+            .changes
             .iter()
-            .all(|(_, turn)| *turn == SplitChange::ToPrefill),
+            .all(|(_, change)| *change == SplitChange::ToPrefill),
         "{:?}",
-        fleet.turns
+        fleet.changes
     );
 }
 
-/// For a minute prompts are long, then for two minutes answers are. The engines follow, one after the
-/// other, and not upon the first seconds.
+/// Prompts are long for a minute, then answers are long for two minutes. The engines must follow,
+/// one after the other, but not within the first two seconds.
 #[test]
-fn a_mix_that_turns_over_is_followed() {
+fn a_lasting_reversal_of_the_mix_is_followed() {
     let mut fleet = Fleet::new(9, 9);
-    fleet.play(1_500, 60_000, |_| demand(6.5, 2.0));
-    let readers = fleet.split.prefill;
-    fleet.play(60_000, 180_000, |_| demand(1.0, 6.0));
+    fleet.run(1_500, 60_000, |_| demand(6.5, 2.0));
+    let before = fleet.split.prefill;
+    fleet.run(60_000, 180_000, |_| demand(1.0, 6.0));
     assert!(
-        fleet.split.prefill + 3 <= readers,
-        "{readers} {:?}",
+        fleet.split.prefill + 3 <= before,
+        "{before} {:?}",
         fleet.split
     );
-    let back = fleet
-        .turns
+    let first_to_decode = fleet
+        .changes
         .iter()
-        .find(|(_, turn)| *turn == SplitChange::ToDecode);
+        .find(|(_, change)| *change == SplitChange::ToDecode);
     assert!(
-        back.is_some_and(|(at_ms, _)| *at_ms > 62_000),
+        first_to_decode.is_some_and(|(at_ms, _)| *at_ms > 62_000),
         "{:?}",
-        fleet.turns
+        fleet.changes
     );
 }
 
-/// Two of four engines for output are withdrawn at once from a fleet of nine, and prompts still press.
-/// One that reads is turned back, since the streams of all would hang on the two that are left.
+/// Two of four decode engines are withdrawn from a fleet of nine while the demand for prefill is
+/// high. A prefill engine must become a decode engine, since all streams would otherwise depend on
+/// the two that are left.
 #[test]
 fn output_keeps_its_share_when_engines_are_withdrawn() {
     let mut fleet = Fleet::new(5, 2);
-    fleet.play(30_000, 40_000, |_| demand(4.7, 0.5));
+    fleet.run(30_000, 40_000, |_| demand(4.7, 0.5));
     assert_eq!(
-        fleet.turns.first().map(|(_, turn)| *turn),
+        fleet.changes.first().map(|(_, change)| *change),
         Some(SplitChange::ToDecode)
     );
     assert_eq!(fleet.split.decode, 3);
 }
 
-/// Nobody waits at night. However uneven the split is, no engine is taken away.
+/// With little demand no request waits, so no engine must change however uneven the split is.
 #[test]
-fn nothing_changes_while_nobody_is_pressed() {
+fn no_engine_changes_while_demand_is_low() {
     let mut fleet = Fleet::new(6, 12);
-    fleet.play(1_500, 60_000, |_| demand(2.0, 0.2));
-    assert!(fleet.turns.is_empty(), "{:?}", fleet.turns);
+    fleet.run(1_500, 60_000, |_| demand(2.0, 0.2));
+    assert!(fleet.changes.is_empty(), "{:?}", fleet.changes);
 }
 
-/// Traffic began two seconds ago. The rate is that of these seconds and not of the minute before.
+/// Requests started to arrive 2 s ago. The rate must be that of these two seconds and not count the
+/// minute before as idle.
 #[test]
-fn a_rate_is_right_from_its_first_seconds() {
+fn a_rate_is_correct_within_its_first_seconds() {
     let mut rate = MovingRate::default();
     for at_ms in (60_000..62_000).step_by(10) {
         rate.add(at_ms, 5.0);
@@ -173,34 +175,38 @@
         ..ProptestConfig::with_cases(1_000)
     })]
 
-    /// Whatever is asked, an engine of each kind is left, at most a sixth of the engines (one at
-    /// least) are away at once, and no engine is turned back within ten seconds unless output has too
-    /// few.
+    /// Whatever the demand is, each role keeps an engine, at most a sixth of the engines (but at
+    /// least one) are changing at the same time, and a change is reversed after 10 s at the
+    /// earliest.
     #[test]
-    fn a_fleet_is_never_turned_over(
+    fn changes_are_limited_whatever_the_demand_is(
         engines in 3_usize..40,
         share in 0.1_f64..0.6,
-        asked in prop::collection::vec((0.0_f64..30.0, 0.0_f64..30.0), 1..80),
+        demands in prop::collection::vec((0.0_f64..30.0, 0.0_f64..30.0), 1..80),
     ) {
-        let readers = ((engines as f64 * share) as usize).clamp(1, engines - 1);
-        let mut fleet = Fleet::new(readers, engines - readers);
-        for (second, (reading, making)) in asked.into_iter().enumerate() {
+        let prefill_engines = ((engines as f64 * share) as usize).clamp(1, engines - 1);
+        let mut fleet = Fleet::new(prefill_engines, engines - prefill_engines);
+        for (second, (prefill, decode)) in demands.into_iter().enumerate() {
             let from_ms = 1_500 + second as u64 * 1_000;
-            fleet.play(from_ms, from_ms + 1_000, |_| demand(reading, making));
+            fleet.run(from_ms, from_ms + 1_000, |_| demand(prefill, decode));
             prop_assert!(fleet.split.prefill >= 1 && fleet.split.decode >= 1);
-            prop_assert!(fleet.back_ms.len() <= (engines / 6).max(1), "{:?}", fleet.back_ms);
+            let changing = fleet.change_ends_ms.len();
+            prop_assert!(changing <= (engines / 6).max(1), "{:?}", fleet.change_ends_ms);
         }
-        for pair in fleet.turns.windows(2) {
+        for pair in fleet.changes.windows(2) {
             prop_assert!(pair[0].1 == pair[1].1 || pair[1].0 >= pair[0].0 + 10_000, "{pair:?}");
         }
     }
 
-    /// More prompts never want fewer engines to read.
+    /// A higher demand for prefill never needs fewer prefill engines.
     #[test]
-    fn more_reading_wants_no_fewer_readers(
-        engines in 2_usize..200, reading in 0.0_f64..100.0, more in 0.0_f64..50.0, making in 0.0_f64..100.0,
+    fn more_prefill_demand_needs_no_fewer_prefill_engines(
+        engines in 2_usize..200,
+        prefill in 0.0_f64..100.0,
+        more in 0.0_f64..50.0,
+        decode in 0.0_f64..100.0,
     ) {
-        let less = wanted_prefill_engines(&demand(reading, making), engines);
-        prop_assert!(wanted_prefill_engines(&demand(reading + more, making), engines) >= less);
+        let fewer = wanted_prefill_engines(&demand(prefill, decode), engines);
+        prop_assert!(wanted_prefill_engines(&demand(prefill + more, decode), engines) >= fewer);
     }
 }
