--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -19,7 +19,7 @@
     Changing,
     /// It is drained or shutting down.
     Leaving,
-    /// It is not in the list of engines.
+    /// It is not in the list of engines, or does not report.
     Gone,
 }
 
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -11,9 +11,9 @@
 
 use crate::LatencyModel;
 
-/// Prompt tokens whose prefill costs as much as the attention between a million pairs of tokens,
-/// whose number grows with the square of the prompt length. For two kinds of engines it is 32 and
-/// 41.
+/// Prompt tokens whose prefill costs as much as the attention between a million pairs of tokens;
+/// the number of pairs grows with the square of the prompt length. Two kinds of engines have 32
+/// and 41.
 const TOKENS_PER_MILLION_PAIRS: f64 = 36.0;
 
 /// Factor by which a prefill is slower on a decode engine, which runs it in chunks between the
--- a/crates/plan/tests/placement.rs
+++ b/crates/plan/tests/placement.rs
@@ -74,7 +74,8 @@
         }
         for start in 0..log.len() {
             let window = log[start..].iter().take_while(|each| each.0 < log[start].0 + 10_000);
-            let (first, retries) = window.fold((0, 0), |sum, each| (sum.0 + 1, sum.1 + u32::from(each.1)));
+            let (first, retries) =
+                window.fold((0, 0), |sum, each| (sum.0 + 1, sum.1 + u32::from(each.1)));
             // First sends of the preceding window may have paid for retries in this one.
             prop_assert!(f64::from(retries) <= 0.2 * 2.0 * f64::from(first) + 52.0);
         }
