--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -30,7 +30,7 @@
 /// Body of an answer to a caller.
 pub struct AnswerBody {
     content: Content,
-    busy: Option<Busy>,
+    busy: Option<ActiveRequest>,
 }
 
 impl AnswerBody {
@@ -51,7 +51,7 @@
     }
 
     /// Keeps the process counted as busy until the body has been sent.
-    pub fn counted(&mut self, busy: Busy) {
+    pub fn track(&mut self, busy: ActiveRequest) {
         self.busy = Some(busy);
     }
 }
@@ -60,11 +60,11 @@
 ///
 /// A process that leaves ends when none is left. Connections without a request do not hold it
 /// up, since callers keep some open that they may never use again.
-pub struct Busy {
+pub struct ActiveRequest {
     count: Rc<Cell<usize>>,
 }
 
-impl Busy {
+impl ActiveRequest {
     /// One more request.
     pub fn enter(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
@@ -74,7 +74,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.count.set(self.count.get().saturating_sub(1));
     }
@@ -127,7 +127,7 @@
     Malformed,
     /// The body did not come in time.
     #[display("the request's body did not come in time")]
-    Unread,
+    BodyTimeout,
     /// The body is longer than allowed.
     #[display("the body is too long")]
     TooLong,
@@ -165,7 +165,7 @@
             Self::NoRoute => "no_route",
             Self::NoKey => "no_key",
             Self::Malformed => "malformed",
-            Self::Unread => "unread",
+            Self::BodyTimeout => "unread",
             Self::TooLong => "too_long",
             Self::NoUpstream => "no_upstream",
             Self::TooLate => "too_late",
@@ -195,7 +195,7 @@
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey => StatusCode::UNAUTHORIZED,
             Self::Malformed => StatusCode::BAD_REQUEST,
-            Self::Unread => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Lost => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -14,11 +14,11 @@
 use crate::call::Call;
 use crate::pool::ExchangeError;
 use crate::relay::Relay;
-use crate::send::{most_connections, note_unsent};
+use crate::send::{max_connections_to, note_exchange_error};
 use crate::upstream::Upstream;
 
 /// Time between two glances at a look that is under way, in ms: a look takes one round trip.
-const GLANCE_MS: u64 = 2;
+const HEALTH_CHECK_POLL_MS: u64 = 2;
 
 /// Refuses a request under which upstreams end.
 ///
@@ -27,7 +27,7 @@
 /// ended, a round trip as a rule; it would take a third one along in that time.
 pub async fn ensure_not_poison(relay: &Relay, call: &Call) -> Result<(), Refusal> {
     while relay.is_attribution_pending(call) {
-        actix_rt::time::sleep(Duration::from_millis(GLANCE_MS)).await;
+        actix_rt::time::sleep(Duration::from_millis(HEALTH_CHECK_POLL_MS)).await;
     }
     relay.check_poison(call)
 }
@@ -42,19 +42,19 @@
     if !upstream.begin_health_check() {
         return;
     }
-    let most = most_connections(relay, &call.service);
+    let most = max_connections_to(relay, &call.service);
     let (relay, upstream) = (Rc::clone(relay), Rc::clone(upstream));
     actix_rt::spawn(async move {
-        look(&relay, &upstream, most).await;
+        check_health(&relay, &upstream, most).await;
         upstream.end_health_check();
     });
 }
 
-async fn look(relay: &Relay, upstream: &Upstream, most: usize) {
+async fn check_health(relay: &Relay, upstream: &Upstream, most: usize) {
     let Err(fault) = upstream.pool.warm_up(most).await else {
         return;
     };
-    note_unsent(relay, upstream, &fault);
+    note_exchange_error(relay, upstream, &fault);
     if let ExchangeError::Connect { .. } = fault {
         log::info!(upstream = upstream.id, fault:%; "upstream has ended");
         relay.record_attribution(FailureEvidence::Ended(upstream.key));
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -55,7 +55,7 @@
     /// Upstreams that it was sent to, those that rejected it included.
     pub attempts: Cell<u32>,
     /// Reads of its prompt apart that reached an engine, but for the first that was accepted.
-    reads: Cell<u32>,
+    prefill_sends: Cell<u32>,
     /// Whether a read of its prompt apart has been accepted.
     pub(crate) prefill_accepted: Cell<bool>,
     /// Arrivals of it at its service that the bound on repeats allows; the first always is.
@@ -122,7 +122,7 @@
             deadline_at_ms: arrived_ms.saturating_add(wait_ms),
             possible_runs: Cell::default(),
             attempts: Cell::default(),
-            reads: Cell::default(),
+            prefill_sends: Cell::default(),
             prefill_accepted: Cell::default(),
             allowed_arrivals: Cell::new(1),
             has_started: Cell::default(),
@@ -145,23 +145,23 @@
     /// Times that it has reached its service, as the bound on repeats counts them: rejected or not, but for
     /// the first read of its prompt that was accepted.
     pub(crate) fn arrivals(&self) -> u32 {
-        self.attempts.get() + self.reads.get()
+        self.attempts.get() + self.prefill_sends.get()
     }
 
     /// Its prompt is sent to be read apart.
-    pub(crate) fn begins_read(&self) {
-        self.reads.set(self.reads.get() + 1);
+    pub(crate) fn note_prefill_sent(&self) {
+        self.prefill_sends.set(self.prefill_sends.get() + 1);
     }
 
     /// That read has reached nobody.
-    pub(crate) fn read_is_unsent(&self) {
-        self.reads.set(self.reads.get() - 1);
+    pub(crate) fn note_prefill_unsent(&self) {
+        self.prefill_sends.set(self.prefill_sends.get() - 1);
     }
 
     /// That read was accepted.
-    pub(crate) fn read_is_accepted(&self) {
+    pub(crate) fn note_prefill_accepted(&self) {
         if !self.prefill_accepted.replace(true) {
-            self.reads.set(self.reads.get() - 1);
+            self.prefill_sends.set(self.prefill_sends.get() - 1);
         }
     }
 
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -16,19 +16,19 @@
 use crate::placement;
 use crate::relay::Relay;
 use crate::retry::{RetryContext, RetryDecision, SendFailure, decide, without_false_not_run};
-use crate::send::{Checked, Sent, note_sign, send};
+use crate::send::{CheckedAnswer, SendResult, note_response, send};
 use crate::upstream::{InFlight, Upstream, Work};
 
 /// Answers up to this length are read whole before they are passed on, so that one that breaks
 /// off can be asked for again; longer ones would cost too much memory.
-const WHOLE_BYTES: u64 = 256 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 256 * 1024;
 
 /// Serves one request up to the head of its answer.
 pub async fn forward(relay: &Rc<Relay>, call: Call) -> Response<AnswerBody> {
     let call = Rc::new(call);
     let left_ms = call.left_ms(relay.now_ms());
-    let walk = walk(relay, &call);
-    let outcome = match actix_rt::time::timeout(Duration::from_millis(left_ms), walk).await {
+    let serve_call = serve_call(relay, &call);
+    let outcome = match actix_rt::time::timeout(Duration::from_millis(left_ms), serve_call).await {
         Ok(outcome) => outcome,
         // What was never sent to an upstream has not run and never will.
         Err(_) if call.possible_runs.get() == 0 => Err(Refusal::new(Reason::TooLate)),
@@ -61,20 +61,23 @@
     refused.response(relay.dialect.encode_error(&refused.reason.to_string()))
 }
 
-async fn walk(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
+async fn serve_call(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
     relay.count_first_send(&call.service);
     match &call.head.prompt {
         Some(prompt) if call.route.kind == RouteKind::Stream => generate(relay, call, prompt).await,
-        _ => plain(relay, call).await,
+        _ => forward_plain(relay, call).await,
     }
 }
 
-async fn plain(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
+async fn forward_plain(
+    relay: &Rc<Relay>,
+    call: &Rc<Call>,
+) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
     let mut unreached = 0;
     loop {
         ensure_not_poison(relay, call).await?;
-        let upstream = placement::plain(relay, call, &tried)?;
+        let upstream = placement::choose_upstream(relay, call, &tried)?;
         tried.push(upstream.id.clone());
         let guard = InFlight::begin(&upstream, relay.now_ms(), Work::default());
         let sending = SendOptions {
@@ -82,60 +85,61 @@
             deadline_ms: call.left_ms(relay.now_ms()),
             ..SendOptions::default()
         };
-        let sent = send_within(relay, call, &upstream, &sending).await;
-        note_sign(relay, &guard, &sent);
+        let sent = send_with_attempt_timeout(relay, call, &upstream, &sending).await;
+        note_response(relay, &guard, &sent);
         let outcome = match sent {
-            Sent::Answer(checked) => {
+            SendResult::Answer(checked) => {
                 let failed = checked.response.status().is_server_error();
                 let repeatable = failed && call.route.kind == RouteKind::Safe;
                 // The upstream's own failure is worth more to the caller than our refusal.
-                let has_other = repeatable && placement::plain(relay, call, &tried).is_ok();
-                if has_other && may_repeat(relay, call) {
+                let has_other =
+                    repeatable && placement::choose_upstream(relay, call, &tried).is_ok();
+                if has_other && may_retry(relay, call) {
                     continue;
                 }
-                match pass_on(relay, call, *checked, guard).await {
+                match buffer_or_stream(relay, call, *checked, guard).await {
                     Ok(response) => return Ok(response),
                     // The answer broke off before any of it was passed on.
                     Err(_) => SendFailure::Lost,
                 }
             }
-            unanswered => unanswered.outcome(),
+            unanswered => unanswered.failure(),
         };
-        follow(relay, call, outcome, &mut unreached)?;
+        retry_or_refuse(relay, call, outcome, &mut unreached)?;
     }
 }
 
 /// Goes on after a send without an answer, or refuses.
-pub fn follow(
+pub fn retry_or_refuse(
     relay: &Relay,
     call: &Call,
     outcome: SendFailure,
     unreached: &mut u32,
 ) -> Result<(), Refusal> {
     *unreached += u32::from(outcome == SendFailure::Unsent);
-    let facts = RetryContext {
+    let context = RetryContext {
         is_repeatable: call.route.is_retryable(),
         may_have_run: call.possible_runs.get() > 0,
         unreached: *unreached,
     };
-    match decide(outcome, &facts, || may_repeat(relay, call)) {
+    match decide(outcome, &context, || may_retry(relay, call)) {
         RetryDecision::Retry => Ok(()),
         RetryDecision::Refuse(refused) => Err(refused),
     }
 }
 
 /// Whether the request may be sent to one more upstream, within its route and the budget.
-pub fn may_repeat(relay: &Relay, call: &Call) -> bool {
+pub fn may_retry(relay: &Relay, call: &Call) -> bool {
     call.attempts.get() < call.route.max_attempts && relay.may_send(call)
 }
 
 /// Sends a request that another upstream could still answer, for a part of the time left.
-async fn send_within(
+async fn send_with_attempt_timeout(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     upstream: &Rc<Upstream>,
     sending: &SendOptions<'_>,
-) -> Sent {
+) -> SendResult {
     let left_ms = call.left_ms(relay.now_ms());
     let has_other = call.route.is_retryable() && call.attempts.get() + 1 < call.route.max_attempts;
     let budget = AttemptTimeout::next(left_ms, 1).filter(|_| has_other);
@@ -146,30 +150,30 @@
     let sent = actix_rt::time::timeout(wait, send(relay, call, upstream, sending)).await;
     sent.unwrap_or_else(|_| {
         upstream.note_failure(relay.now_ms());
-        Sent::Lost(format!("nothing within {} ms", budget.timeout_ms))
+        SendResult::Lost(format!("nothing within {} ms", budget.timeout_ms))
     })
 }
 
 /// Counts a whole answer; one that came late is told apart, since a success alone says little.
-pub fn note_answer(relay: &Relay, call: &Call, in_time: bool) {
+pub fn count_answer(relay: &Relay, call: &Call, in_time: bool) {
     let in_time = if in_time { "yes" } else { "no" };
     let labels = [call.route.name.as_str(), in_time];
     relay.metrics.answers.with_label_values(&labels).inc();
 }
 
 /// Reads an answer whole and passes it on.
-pub async fn pass_on(
+pub async fn buffer_or_stream(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
-    checked: Checked,
+    checked: CheckedAnswer,
     guard: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let (mut head, body) = checked.response.into_parts();
     strip_hop_by_hop(&mut head.headers, |_| false);
     let upstream = Rc::clone(guard.upstream());
-    let long = http_body::Body::size_hint(&body).lower() > WHOLE_BYTES;
+    let long = http_body::Body::size_hint(&body).lower() > MAX_BUFFERED_BYTES;
     let body = if long {
-        crate::stream::relayed(relay, call, body, checked.lease, guard)
+        crate::stream::stream_answer(relay, call, body, checked.connection, guard)
     } else {
         let collected = body.collect().await;
         let Ok(collected) = collected else {
@@ -184,7 +188,7 @@
             return Err(Refusal::new(Reason::Lost));
         };
         head.headers.remove(header::CONTENT_LENGTH);
-        checked.lease.release();
+        checked.connection.release();
         drop(guard);
         relay.record_answered(call);
         AnswerBody::whole(collected.to_bytes())
@@ -196,7 +200,7 @@
     call.is_finished.set(true);
     if head.status.is_success() {
         let took_ms = call.prior_wait_ms + now_ms - call.arrived_ms;
-        note_answer(relay, call, took_ms <= call.route.goal_ms);
+        count_answer(relay, call, took_ms <= call.route.goal_ms);
     }
     if relay.success_log_limit.take(now_ms) {
         log::info!(
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -9,13 +9,13 @@
 use crate::attribution::ensure_not_poison;
 use crate::call::Call;
 use crate::dialect::{Prompt, PromptPart, SendOptions};
-use crate::forward::{follow, may_repeat, pass_on};
-use crate::placement::{self, Maker, Placement};
-use crate::prefill::{Handed, read_apart};
+use crate::forward::{buffer_or_stream, may_retry, retry_or_refuse};
+use crate::placement::{self, DecodePlacement, Placement};
+use crate::prefill::{PrefilledKv, prefill_separately};
 use crate::relay::Relay;
 use crate::retry::refuse_rejected;
-use crate::send::{Sent, note_sign, send};
-use crate::stream::Streaming;
+use crate::send::{SendResult, note_response, send};
+use crate::stream::StreamForwarder;
 use crate::upstream::{InFlight, MIN_CACHED_TOKENS, PrefillProgress, Upstream, Work};
 use crate::urgency::Urgency;
 
@@ -34,143 +34,153 @@
             // An engine that rejected the cache left it where it was; reading the prompt once more
             // would cost a second time and count as a repeat.
             Some((kv, urgency)) => (
-                after(relay, call, prompt, &tried, Some(&kv), urgency)?,
+                choose_decode_engine(relay, call, prompt, &tried, Some(&kv), urgency)?,
                 Some(kv),
             ),
-            None => place(relay, call, prompt, &tried).await?,
+            None => place_and_prefill(relay, call, prompt, &tried).await?,
         };
         ensure_not_poison(relay, call).await?;
         // Nothing has run: a prompt that was to be read apart, and was not, has reached its service all the same.
         if !relay.may_send(call) {
             return Err(refuse_rejected());
         }
-        let (sent, guard, is_handed) = make(relay, call, prompt, &maker, kv.as_ref()).await;
+        let (sent, guard, is_transferred) =
+            send_to_decode(relay, call, prompt, &maker, kv.as_ref()).await;
         tried.push(maker.engine.id.clone());
         let outcome = match sent {
-            Sent::Answer(checked) if checked.response.status() == StatusCode::OK => {
-                return Ok(Streaming::start(relay, call, *checked, guard, tried));
+            SendResult::Answer(checked) if checked.response.status() == StatusCode::OK => {
+                return Ok(StreamForwarder::start(relay, call, *checked, guard, tried));
             }
-            Sent::Answer(checked) => {
+            SendResult::Answer(checked) => {
                 // The engine's own failure is worth more to the caller than our refusal.
                 let has_other = call.route.is_retryable()
-                    && placement::maker(relay, call, prompt, &tried, false, maker.urgency).is_ok();
-                if has_other && may_repeat(relay, call) {
+                    && placement::choose_decode_engine(
+                        relay,
+                        call,
+                        prompt,
+                        &tried,
+                        false,
+                        maker.urgency,
+                    )
+                    .is_ok();
+                if has_other && may_retry(relay, call) {
                     continue;
                 }
-                return pass_on(relay, call, *checked, guard).await;
+                return buffer_or_stream(relay, call, *checked, guard).await;
             }
-            unanswered => unanswered.outcome(),
+            unanswered => unanswered.failure(),
         };
-        let kept = kv.filter(|kv| is_handed && kv.is_there());
+        let kept = kv.filter(|kv| is_transferred && kv.is_available());
         read = kept.map(|kv| (kv, maker.urgency));
-        follow(relay, call, outcome, &mut unreached)?;
+        retry_or_refuse(relay, call, outcome, &mut unreached)?;
     }
 }
 
 /// Places it, and has its prompt read apart if that is where it goes.
-async fn place(
+async fn place_and_prefill(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     prompt: &Prompt,
     tried: &[String],
-) -> Result<(Maker, Option<Handed>), Refusal> {
-    match placement::generation(relay, call, prompt, tried)? {
-        Placement::Whole(maker) => Ok((maker, None)),
-        Placement::Apart(reader) if !relay.may_prefill_apart(call) => {
-            let maker = after(relay, call, prompt, tried, None, reader.urgency)?;
+) -> Result<(DecodePlacement, Option<PrefilledKv>), Refusal> {
+    match placement::place_generation(relay, call, prompt, tried)? {
+        Placement::Colocated(maker) => Ok((maker, None)),
+        Placement::Disaggregated(reader) if !relay.may_prefill_apart(call) => {
+            let maker = choose_decode_engine(relay, call, prompt, tried, None, reader.urgency)?;
             Ok((maker, None))
         }
-        Placement::Apart(reader) => {
-            let kv = read_apart(relay, call, prompt, &reader).await;
-            let maker = after(relay, call, prompt, tried, kv.as_ref(), reader.urgency)?;
+        Placement::Disaggregated(reader) => {
+            let kv = prefill_separately(relay, call, prompt, &reader).await;
+            let maker =
+                choose_decode_engine(relay, call, prompt, tried, kv.as_ref(), reader.urgency)?;
             Ok((maker, kv))
         }
     }
 }
 
 /// The engine for the output of a prompt that was read apart, or should have been.
-fn after(
+fn choose_decode_engine(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
-    kv: Option<&Handed>,
+    kv: Option<&PrefilledKv>,
     urgency: Urgency,
-) -> Result<Maker, Refusal> {
-    placement::maker(relay, call, prompt, tried, kv.is_some(), urgency)
+) -> Result<DecodePlacement, Refusal> {
+    placement::choose_decode_engine(relay, call, prompt, tried, kv.is_some(), urgency)
 }
 
 /// Sends a generation to the engine that makes its output; also tells whether the KV cache was still
 /// offered in the end.
-async fn make(
+async fn send_to_decode(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     prompt: &Prompt,
-    maker: &Maker,
-    kv: Option<&Handed>,
-) -> (Sent, InFlight, bool) {
-    let predicted_ms = maker.first.total_ms();
+    maker: &DecodePlacement,
+    kv: Option<&PrefilledKv>,
+) -> (SendResult, InFlight, bool) {
+    let predicted_ms = maker.first_event.total_ms();
     let rank = call.rank(maker.urgency);
     let guard = InFlight::begin(
         &maker.engine,
         relay.now_ms(),
         Work {
-            prefill_tokens: maker.tokens,
+            prefill_tokens: maker.prefill_tokens,
             context_tokens: f64::from(prompt.input_tokens),
             rank,
         },
     );
     let copy_from = maker.copy_from.as_ref().map(|holder| holder.address);
-    let held_tokens = maker.held_tokens;
-    let first = maker.first;
+    let held_tokens = maker.cached_tokens;
+    let first = maker.first_event;
     let maker = &maker.engine;
     let mut sending = SendOptions {
         instance: &maker.id,
         deadline_ms: call.left_ms(relay.now_ms()),
         priority: Some(rank),
-        kv: kv.map(|handed| &handed.handle),
+        kv: kv.map(|kv| &kv.handle),
         copy_from,
         last_event: call.head.last_event,
         ..SendOptions::default()
     };
     let began_ms = relay.now_ms();
     let mut sent = send(relay, call, maker, &sending).await;
-    let mut is_handed = kv.is_some();
-    if let Some(handed) = kv {
+    let mut is_transferred = kv.is_some();
+    if let Some(kv) = kv {
         match sent {
-            Sent::Answer(_) | Sent::Lost(_) => handed.taken(),
-            Sent::NotRun(StatusCode::SERVICE_UNAVAILABLE)
+            SendResult::Answer(_) | SendResult::Lost(_) => kv.mark_taken(),
+            SendResult::NotRun(StatusCode::SERVICE_UNAVAILABLE)
                 if relay.check_poison(call).is_ok() && relay.may_send(call) =>
             {
                 // The handle lapsed or could not be fetched. The same engine can still read the
                 // prompt itself.
                 sending.kv = None;
-                is_handed = false;
+                is_transferred = false;
                 sending.deadline_ms = call.left_ms(relay.now_ms());
                 sent = send(relay, call, maker, &sending).await;
             }
-            Sent::NotRun(_) | Sent::Unsent(_) => {}
+            SendResult::NotRun(_) | SendResult::Unsent(_) => {}
         }
     }
-    note_sign(relay, &guard, &sent);
-    if let Sent::Answer(_) = &sent {
+    note_response(relay, &guard, &sent);
+    if let SendResult::Answer(_) = &sent {
         guard.note_prefilled();
-        keep_parts(relay, call, prompt, maker, PrefillProgress::Done);
+        record_cached_parts(relay, call, prompt, maker, PrefillProgress::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
-                request = call.id(), upstream = maker.id, predicted_ms, took_ms, apart = is_handed,
+                request = call.id(), upstream = maker.id, predicted_ms, took_ms, apart = is_transferred,
                 prompt_tokens = prompt.input_tokens, held_tokens,
                 load = maker.load(relay.now_ms()); "output begun"
             );
         }
         relay
             .learned
-            .observe_first_event(&call.service, &first, is_handed, took_ms);
+            .observe_first_event(&call.service, &first, is_transferred, took_ms);
         let predicted_ms = predicted_ms.max(call.route.goal_ms as f64 / 2.0);
         maker.note_answer(relay.now_ms(), predicted_ms, took_ms);
     }
-    (sent, guard, is_handed)
+    (sent, guard, is_transferred)
 }
 
 /// Notes that an engine is reading or has read a prompt, here and for the other instances.
@@ -178,7 +188,7 @@
 /// It is noted as soon as the prompt is on its way: who asks next for the same part finds it read
 /// by then, or waits for it there instead of having it read twice. Each later use is told too,
 /// since engines drop what was used least recently.
-pub fn keep_parts(
+pub fn record_cached_parts(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
--- a/crates/relay/src/learned.rs
+++ b/crates/relay/src/learned.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct Learned {
     paces: RefCell<HashMap<String, LatencyModel>>,
-    patience: RefCell<HashMap<String, PriorWaitEstimator>>,
+    prior_waits: RefCell<HashMap<String, PriorWaitEstimator>>,
     lengths: RefCell<HashMap<String, TypicalLength>>,
 }
 
@@ -37,12 +37,12 @@
         &self,
         service: &str,
         first: &Prediction,
-        is_handed: bool,
+        is_transferred: bool,
         took_ms: f64,
     ) {
         let off_ms = took_ms - first.total_ms();
         self.adjust(service, |pace| {
-            if is_handed {
+            if is_transferred {
                 pace.record_kv_transfer(off_ms);
             } else {
                 pace.record_decode_prefill(off_ms, first.wait_ms, first.processing_ms);
@@ -60,7 +60,7 @@
         let Some(deadline_ms) = deadline_ms else {
             return 0;
         };
-        let mut all = self.patience.borrow_mut();
+        let mut all = self.prior_waits.borrow_mut();
         all.entry(route.to_owned())
             .or_default()
             .observe_deadline(deadline_ms)
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use crate::access::admit;
-use crate::answer::{AnswerBody, Busy, Reason, Refusal};
+use crate::answer::{ActiveRequest, AnswerBody, Reason, Refusal};
 use crate::call::{Call, host};
 use crate::config::Limits;
 use crate::forward::forward;
@@ -58,20 +58,20 @@
 /// Accepts and serves connections until the phase says otherwise.
 pub async fn serve(
     relay: Rc<Relay>,
-    duty: ListenerKind,
+    kind: ListenerKind,
     listener: TcpListener,
     mut phase: watch::Receiver<Phase>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phase.wait_for(|phase| duty == ListenerKind::Callers && *phase == Phase::Closing) => return,
+            _ = phase.wait_for(|phase| kind == ListenerKind::Callers && *phase == Phase::Closing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 let relay = Rc::clone(&relay);
                 let phase = phase.clone();
-                actix_rt::spawn(connection(relay, duty, stream, phase));
+                actix_rt::spawn(connection(relay, kind, stream, phase));
             }
             Err(error) => {
                 log::warn!(error:%; "connection not accepted");
@@ -83,11 +83,11 @@
 
 async fn connection(
     relay: Rc<Relay>,
-    duty: ListenerKind,
+    kind: ListenerKind,
     stream: TcpStream,
     mut phase: watch::Receiver<Phase>,
 ) {
-    if let Err(error) = crate::pool::tune(&stream) {
+    if let Err(error) = crate::pool::configure_socket(&stream) {
         log::debug!(error:%; "connection with default options");
     }
     let limits = relay
@@ -95,7 +95,7 @@
         .map_or_else(Limits::default, |config| config.limits);
     let service = service_fn(|request| {
         let relay = Rc::clone(&relay);
-        async move { Ok::<_, Infallible>(answer(&relay, duty, request).await) }
+        async move { Ok::<_, Infallible>(respond(&relay, kind, request).await) }
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -117,22 +117,22 @@
     }
 }
 
-async fn answer(
+async fn respond(
     relay: &Rc<Relay>,
-    duty: ListenerKind,
+    kind: ListenerKind,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let mut response = match duty {
+    let mut response = match kind {
         ListenerKind::Callers => {
-            let busy = Busy::enter(&relay.in_flight);
-            let mut response = caller(relay, request).await;
-            response.body_mut().counted(busy);
+            let busy = ActiveRequest::enter(&relay.in_flight);
+            let mut response = serve_caller(relay, request).await;
+            response.body_mut().track(busy);
             response
         }
-        ListenerKind::Directory => directory(relay, &request),
-        ListenerKind::Readiness => status(ready_status(relay, request.uri().path())),
-        ListenerKind::Peers => state(relay, request.uri().path()),
-        ListenerKind::Metrics => whole(relay.metrics_text(), "text/plain; version=0.0.4"),
+        ListenerKind::Directory => directory_response(relay, &request),
+        ListenerKind::Readiness => empty_response(ready_status(relay, request.uri().path())),
+        ListenerKind::Peers => state_response(relay, request.uri().path()),
+        ListenerKind::Metrics => full_response(relay.metrics_text(), "text/plain; version=0.0.4"),
     };
     if relay.phase() >= Phase::Leaving {
         let headers = response.headers_mut();
@@ -141,15 +141,15 @@
     response
 }
 
-fn state(relay: &Relay, path: &str) -> Response<AnswerBody> {
+fn state_response(relay: &Relay, path: &str) -> Response<AnswerBody> {
     if path != crate::snapshot::PATH {
-        return status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     match serde_json::to_vec(&relay.snapshot()) {
-        Ok(body) => whole(body, "application/json"),
+        Ok(body) => full_response(body, "application/json"),
         Err(error) => {
             log::error!(error:%; "state not written");
-            status(StatusCode::INTERNAL_SERVER_ERROR)
+            empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
@@ -165,9 +165,9 @@
     }
 }
 
-fn directory(relay: &Relay, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn directory_response(relay: &Relay, request: &Request<Incoming>) -> Response<AnswerBody> {
     if request.uri().path() != relay.dialect.resolve_path() || request.method() != Method::GET {
-        return status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let zone = relay
         .dialect
@@ -177,28 +177,28 @@
     let reachable = members.reachable();
     let addresses = crate::directory::addresses(reachable, &own, zone.as_deref());
     if addresses.is_empty() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl_ms = relay.settings.borrow().addresses_ttl_ms;
-    whole(
+    full_response(
         relay.dialect.encode_addresses(&addresses, ttl_ms),
         "application/json",
     )
 }
 
-async fn caller(relay: &Rc<Relay>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn serve_caller(relay: &Rc<Relay>, request: Request<Incoming>) -> Response<AnswerBody> {
     let arrived_ms = relay.now_ms();
     let (parts, body) = request.into_parts();
-    let asked = relay.dialect.parse_request_head(&parts.headers);
+    let head = relay.dialect.parse_request_head(&parts.headers);
     let config = relay.config();
     let limits = config
         .as_ref()
         .map_or_else(Limits::default, |config| config.limits);
     // A caller that falls silent within its body must not hold up a process that leaves.
-    let wait = Duration::from_millis(limits.idle_ms.min(asked.deadline_ms.unwrap_or(u64::MAX)));
+    let wait = Duration::from_millis(limits.idle_ms.min(head.deadline_ms.unwrap_or(u64::MAX)));
     let body = Limited::new(body, limits.body_bytes).collect();
     let Ok(body) = actix_rt::time::timeout(wait, body).await else {
-        return refuse(relay, Refusal::new(Reason::Unread));
+        return refuse(relay, Refusal::new(Reason::BodyTimeout));
     };
     let body = match body {
         Ok(collected) => collected.to_bytes(),
@@ -219,12 +219,12 @@
     let Some(host) = host(&parts.uri, &parts.headers) else {
         return refuse(relay, Refusal::new(Reason::Malformed));
     };
-    let admitted = match admit(&config, &host, parts.uri.path(), asked.key) {
+    let admitted = match admit(&config, &host, parts.uri.path(), head.key) {
         Ok(admitted) => admitted,
         Err(denied) => {
             if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
-                    request = asked.attempt.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-"),
+                    request = head.attempt.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-"),
                     route = denied.route, version = config.version, reason = denied.reason;
                     "request not admitted"
                 );
@@ -232,7 +232,7 @@
             return refuse(relay, Refusal::new(denied.reason));
         }
     };
-    let call = Call::new(relay, admitted, asked, arrived_ms, parts, body);
+    let call = Call::new(relay, admitted, head, arrived_ms, parts, body);
     let Some(call) = call else {
         return refuse(relay, Refusal::new(Reason::NoUpstream));
     };
@@ -245,13 +245,13 @@
     refused.response(relay.dialect.encode_error(&refused.reason.to_string()))
 }
 
-fn status(status: StatusCode) -> Response<AnswerBody> {
+fn empty_response(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn whole(body: Vec<u8>, content_type: &'static str) -> Response<AnswerBody> {
+fn full_response(body: Vec<u8>, content_type: &'static str) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(body));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -12,7 +12,7 @@
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 use crate::dialect::Prompt;
-use crate::prefix::{Holders, Start, holds, home};
+use crate::prefix::{CachedPrefix, PrefixHolders, affinity_target, holds_prefix};
 use crate::relay::Relay;
 use crate::subset::engine_subset;
 use crate::upstream::{Stage, Upstream};
@@ -20,84 +20,84 @@
 
 /// Prompts with fewer tokens to read are not worth reading apart and moving, in tokens: moving
 /// costs a request of its own and some ms of set-up.
-const READ_APART_TOKENS: f64 = 150.0;
+const MIN_DISAGGREGATED_TOKENS: f64 = 150.0;
 
 /// Time of a plain service's answer before any was seen, in ms: the usual work of the services
 /// served today.
-pub const PLAIN_MS: f64 = 15.0;
+pub const DEFAULT_ANSWER_MS: f64 = 15.0;
 
 /// Part of an answer's time that a full set of places adds to it, before anything waits.
-const FILLING: f64 = 0.3;
+const FULL_LOAD_SLOWDOWN: f64 = 0.3;
 
 /// Time that a place in a full batch takes to come free, in ms.
-const PLACE_MS: f64 = 250.0;
+const SLOT_WAIT_MS: f64 = 250.0;
 
 /// Share of an objective up to which a prediction counts as on time.
-const ON_TIME_SHARE: f64 = 1.0;
+const ON_TIME_FRACTION: f64 = 1.0;
 
 /// How much more a prompt whose shared part nobody has read yet seems to cost where it is not at
 /// home, so that instances which see its first requests at once choose the same engine.
-const AWAY: f64 = 0.3;
+const NON_AFFINITY_PENALTY: f64 = 0.3;
 
 /// What a new connection weighs where engines are else alike, in ms: a round trip across zones and its
 /// set-up at the upstream, which is priced.
-const CONNECT_MS: f64 = 5.0;
+const CONNECTION_COST_MS: f64 = 5.0;
 
 /// Share of the time left that a prediction may use up.
-const LEFT_SHARE: f64 = 0.8;
+const USABLE_TIME_FRACTION: f64 = 0.8;
 
 /// Time after which a caller is asked back when no upstream is there, in ms: the list of upstreams
 /// is read about twice in that time by the instances together.
-const NO_UPSTREAM_MS: f64 = 300.0;
+const NO_UPSTREAM_RETRY_MS: f64 = 300.0;
 
 /// Bounds of the time after which a refused caller is asked back, in ms.
-const RETRY_MS: (f64, f64) = (80.0, 900.0);
+const RETRY_AFTER_BOUNDS_MS: (f64, f64) = (80.0, 900.0);
 
 /// Where a generation goes first.
 #[derive(Clone)]
 pub enum Placement {
     /// An engine reads the prompt, and another one makes the output from its KV cache.
-    Apart(Reader),
+    Disaggregated(PrefillPlacement),
     /// One engine does both.
-    Whole(Maker),
+    Colocated(DecodePlacement),
 }
 
 /// Engine that reads a prompt.
 #[derive(Clone)]
-pub struct Reader {
+pub struct PrefillPlacement {
     /// The engine.
     pub engine: Rc<Upstream>,
     /// Engine from which it copies the prompt's start.
     pub copy_from: Option<Rc<Upstream>>,
     /// Tokens of the prompt that it need not read.
-    pub held_tokens: f64,
+    pub cached_tokens: f64,
     /// Work of reading the rest there, in tokens.
-    pub tokens: f64,
+    pub prefill_tokens: f64,
     /// Predicted time until it is read.
-    pub read: Prediction,
+    pub prefill: Prediction,
     /// Whether it can be on time.
     pub urgency: Urgency,
 }
 
 /// Engine that makes output.
 #[derive(Clone)]
-pub struct Maker {
+pub struct DecodePlacement {
     /// The engine.
     pub engine: Rc<Upstream>,
     /// Engine from which it copies the prompt's start.
     pub copy_from: Option<Rc<Upstream>>,
     /// Tokens of the prompt that it need not read.
-    pub held_tokens: f64,
+    pub cached_tokens: f64,
     /// Work of reading what it then lacks of the prompt, in tokens.
-    pub tokens: f64,
+    pub prefill_tokens: f64,
     /// Predicted time to the first event.
-    pub first: Prediction,
+    pub first_event: Prediction,
     /// Whether it can be on time.
     pub urgency: Urgency,
 }
 
 /// The engines of this instance among all of a stage.
-fn near(relay: &Relay, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
+fn own_subset(relay: &Relay, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
     let own = InstanceKey::of(&relay.settings.borrow().name);
     engine_subset(own, all, |engine| engine.id.as_str())
 }
@@ -125,17 +125,21 @@
 }
 
 /// Chooses for a request that generates nothing.
-pub fn plain(relay: &Relay, call: &Call, tried: &[String]) -> Result<Rc<Upstream>, Refusal> {
+pub fn choose_upstream(
+    relay: &Relay,
+    call: &Call,
+    tried: &[String],
+) -> Result<Rc<Upstream>, Refusal> {
     let now_ms = relay.now_ms();
     let all = candidates(relay, call, tried, &[Stage::Whole]);
     let predicted = |each: &Rc<Upstream>| {
         let answer_ms = if each.answer_ms() > 0.0 {
             each.answer_ms()
         } else {
-            PLAIN_MS
+            DEFAULT_ANSWER_MS
         };
         let load = (each.load(now_ms) + 1.0) / f64::from(each.slots);
-        let queue = (load - 1.0).max(0.0) + FILLING * load;
+        let queue = (load - 1.0).max(0.0) + FULL_LOAD_SLOWDOWN * load;
         Prediction {
             wait_ms: answer_ms * queue,
             processing_ms: 2.0 * each.distance_ms + answer_ms,
@@ -143,15 +147,15 @@
         }
     };
     let Some((at, time)) = cheapest(all.iter().map(predicted)) else {
-        return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_MS));
+        return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_RETRY_MS));
     };
     let left_ms = call.left_ms(now_ms) as f64;
     let time_ms = time.total_ms();
-    if time_ms > left_ms * LEFT_SHARE {
+    if time_ms > left_ms * USABLE_TIME_FRACTION {
         return Err(refuse(
             call,
             Reason::TooLate,
-            time_ms - left_ms * LEFT_SHARE,
+            time_ms - left_ms * USABLE_TIME_FRACTION,
         ));
     }
     Ok(Rc::clone(&all[at]))
@@ -163,28 +167,28 @@
 /// all of them would be late. Those that can still start within their objective go first, and the
 /// others get what these leave, up to their deadlines; so as many are served, and more of them
 /// on time.
-pub fn generation(
+pub fn place_generation(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
 ) -> Result<Placement, Refusal> {
     if tried.is_empty() {
-        note_asked(relay, call, prompt);
+        record_demand(relay, call, prompt);
     }
     let goal_ms = call.route.goal_ms as f64;
     let waited_ms = call.prior_wait_ms as f64;
-    let (placement, first) = best(relay, call, prompt, tried, Urgency::OnTime)?;
-    if first.total_ms() <= goal_ms * ON_TIME_SHARE - waited_ms {
-        note(relay, call, &placement, &first);
+    let (placement, first) = cheaper_placement(relay, call, prompt, tried, Urgency::OnTime)?;
+    if first.total_ms() <= goal_ms * ON_TIME_FRACTION - waited_ms {
+        record_placement(relay, call, &placement, &first);
         return Ok(placement);
     }
-    let (placement, first) = best(relay, call, prompt, tried, Urgency::Late)?;
+    let (placement, first) = cheaper_placement(relay, call, prompt, tried, Urgency::Late)?;
     let latest_ms = LatestStart::default().max_wait_ms(&LateRequest {
         goal_ms,
         processing_ms: first.processing_ms,
         waited_ms,
-        left_ms: call.left_ms(relay.now_ms()) as f64 * LEFT_SHARE,
+        left_ms: call.left_ms(relay.now_ms()) as f64 * USABLE_TIME_FRACTION,
     });
     if first.total_ms() > latest_ms {
         if relay.failure_log_limit.take(relay.now_ms()) {
@@ -196,7 +200,7 @@
         }
         return Err(refuse(call, Reason::TooLate, first.total_ms() - latest_ms));
     }
-    note(relay, call, &placement, &first);
+    record_placement(relay, call, &placement, &first);
     Ok(placement)
 }
 
@@ -204,7 +208,7 @@
 ///
 /// Shared parts are left out. While caches are cold they are read everywhere, and the split that
 /// would suit those seconds is wrong for all that follow.
-fn note_asked(relay: &Relay, call: &Call, prompt: &Prompt) {
+fn record_demand(relay: &Relay, call: &Call, prompt: &Prompt) {
     let tokens = f64::from(prompt.input_tokens);
     let own_tokens = prompt
         .parts
@@ -218,10 +222,12 @@
 }
 
 /// Counts where a prompt is read, what is held of it there, and the wait that is expected.
-fn note(relay: &Relay, call: &Call, placement: &Placement, first: &Prediction) {
+fn record_placement(relay: &Relay, call: &Call, placement: &Placement, first: &Prediction) {
     let (read, copies, held_tokens) = match placement {
-        Placement::Apart(reader) => ("apart", reader.copy_from.is_some(), reader.held_tokens),
-        Placement::Whole(maker) => ("whole", maker.copy_from.is_some(), maker.held_tokens),
+        Placement::Disaggregated(reader) => {
+            ("apart", reader.copy_from.is_some(), reader.cached_tokens)
+        }
+        Placement::Colocated(maker) => ("whole", maker.copy_from.is_some(), maker.cached_tokens),
     };
     let held = match (copies, held_tokens > 0.0) {
         (true, _) => "copied",
@@ -238,34 +244,34 @@
     wait.observe(first.wait_ms / 1_000.0);
 }
 
-fn best(
+fn cheaper_placement(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
     urgency: Urgency,
 ) -> Result<(Placement, Prediction), Refusal> {
-    let whole = maker(relay, call, prompt, tried, false, urgency)?;
+    let whole = choose_decode_engine(relay, call, prompt, tried, false, urgency)?;
     let tokens = f64::from(prompt.input_tokens);
-    let apart = (tokens >= READ_APART_TOKENS)
-        .then(|| reader(relay, call, prompt, tried, urgency))
+    let apart = (tokens >= MIN_DISAGGREGATED_TOKENS)
+        .then(|| choose_prefill_engine(relay, call, prompt, tried, urgency))
         .flatten();
-    let after = maker(relay, call, prompt, tried, true, urgency)?.first;
+    let after = choose_decode_engine(relay, call, prompt, tried, true, urgency)?.first_event;
     // What a part displaces at the engine that reads apart decides among such engines only. Counted
     // here it would send more reads beside output, where they make short answers late.
-    let first_of = |reader: &Reader| Prediction {
-        wait_ms: reader.read.wait_ms + after.wait_ms,
-        processing_ms: reader.read.processing_ms + after.processing_ms,
+    let first_of = |reader: &PrefillPlacement| Prediction {
+        wait_ms: reader.prefill.wait_ms + after.wait_ms,
+        processing_ms: reader.prefill.processing_ms + after.processing_ms,
         interference_ms: after.interference_ms,
     };
     let apart = apart.map(|reader| (first_of(&reader), reader));
     Ok(match apart {
-        Some((first, reader)) if first.cost_ms() < whole.first.cost_ms() => {
-            (Placement::Apart(reader), first)
+        Some((first, reader)) if first.cost_ms() < whole.first_event.cost_ms() => {
+            (Placement::Disaggregated(reader), first)
         }
         _ => {
-            let first = whole.first;
-            (Placement::Whole(whole), first)
+            let first = whole.first_event;
+            (Placement::Colocated(whole), first)
         }
     })
 }
@@ -274,105 +280,107 @@
 ///
 /// After a prompt was read apart this is asked again: reading takes up to seconds in a rush, and
 /// an engine that looked best before may be leaving by then.
-pub fn maker(
+pub fn choose_decode_engine(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
     is_read: bool,
     urgency: Urgency,
-) -> Result<Maker, Refusal> {
+) -> Result<DecodePlacement, Refusal> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
     let pace = relay.learned.pace(&call.service);
-    let makers = near(
+    let makers = own_subset(
         relay,
         &candidates(relay, call, tried, &[Stage::Decode, Stage::Whole]),
     );
     let ask = DecodeRequest {
         prompt_tokens: tokens,
-        slot_turnover_ms: PLACE_MS,
+        slot_turnover_ms: SLOT_WAIT_MS,
         gap_goal_ms: call.route.gap_goal_ms as f64,
         event_tokens: f64::from(relay.engine_limits(&call.service).event_tokens.max(1)),
     };
-    let holders = Holders::of(relay, call, prompt);
+    let holders = PrefixHolders::of(relay, call, prompt);
     let rank = call.rank(urgency);
     let start = |each: &Rc<Upstream>| {
         if is_read {
-            Start::all(each, prompt)
+            CachedPrefix::whole_prompt(each, prompt)
         } else {
-            holders.start_at(each, prompt)
+            holders.best_at(each, prompt)
         }
     };
     let predicted = |each: &Rc<Upstream>| {
-        let mut first = pace.predict_decode(&start(each).view(each, now_ms, rank), &ask);
-        first.interference_ms += connecting_ms(each);
+        let mut first = pace.predict_decode(&start(each).engine_view(each, now_ms, rank), &ask);
+        first.interference_ms += connection_cost_ms(each);
         first
     };
     let Some((at, first)) = cheapest(makers.iter().map(predicted)) else {
-        return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_MS));
+        return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_RETRY_MS));
     };
     let engine = Rc::clone(&makers[at]);
     let start = start(&engine);
-    Ok(Maker {
-        tokens: work_tokens(tokens, start.tokens),
+    Ok(DecodePlacement {
+        prefill_tokens: work_tokens(tokens, start.tokens),
         copy_from: start.copy_from,
-        held_tokens: start.tokens,
+        cached_tokens: start.tokens,
         engine,
-        first,
+        first_event: first,
         urgency,
     })
 }
 
 /// What opening a connection costs the upstream and the callers, who pay for it.
-fn connecting_ms(upstream: &Upstream) -> f64 {
+fn connection_cost_ms(upstream: &Upstream) -> f64 {
     if upstream.pool.has_idle() {
         0.0
     } else {
-        CONNECT_MS
+        CONNECTION_COST_MS
     }
 }
 
 /// Chooses the engine that reads a prompt apart.
-fn reader(
+fn choose_prefill_engine(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
     urgency: Urgency,
-) -> Option<Reader> {
+) -> Option<PrefillPlacement> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
     let pace = relay.learned.pace(&call.service);
     let all = candidates(relay, call, tried, &[Stage::Prefill]);
-    let home = home(&all, prompt).map(|each| each.id.clone());
-    let holders = Holders::of(relay, call, prompt);
+    let affinity_target = affinity_target(&all, prompt).map(|each| each.id.clone());
+    let holders = PrefixHolders::of(relay, call, prompt);
     let rank = call.rank(urgency);
-    let mut readers = near(relay, &all);
+    let mut readers = own_subset(relay, &all);
     let is_near = |each: &Rc<Upstream>| readers.iter().any(|near| near.id == each.id);
-    let meets = |each: &&Rc<Upstream>| Some(&each.id) == home.as_ref() || holds(each, prompt);
+    let meets = |each: &&Rc<Upstream>| {
+        Some(&each.id) == affinity_target.as_ref() || holds_prefix(each, prompt)
+    };
     let others = all.iter().filter(meets).filter(|each| !is_near(each));
     let others: Vec<Rc<Upstream>> = others.cloned().collect();
     readers.extend(others);
     let all = readers;
     let predicted = |each: &Rc<Upstream>| {
-        let start = holders.start_at(each, prompt);
-        let mut read = pace.predict_prefill(&start.view(each, now_ms, rank), tokens);
-        read.interference_ms += connecting_ms(each);
-        if start.tokens == 0.0 && Some(&each.id) != home.as_ref() {
-            read.interference_ms += read.processing_ms * AWAY;
+        let start = holders.best_at(each, prompt);
+        let mut read = pace.predict_prefill(&start.engine_view(each, now_ms, rank), tokens);
+        read.interference_ms += connection_cost_ms(each);
+        if start.tokens == 0.0 && Some(&each.id) != affinity_target.as_ref() {
+            read.interference_ms += read.processing_ms * NON_AFFINITY_PENALTY;
         }
         read
     };
     let (at, read) = cheapest(all.iter().map(predicted))?;
     let engine = Rc::clone(&all[at]);
-    let start = holders.start_at(&engine, prompt);
-    Some(Reader {
-        tokens: work_tokens(tokens, start.tokens),
+    let start = holders.best_at(&engine, prompt);
+    Some(PrefillPlacement {
+        prefill_tokens: work_tokens(tokens, start.tokens),
         copy_from: start.copy_from,
-        held_tokens: start.tokens,
+        cached_tokens: start.tokens,
         engine,
-        read,
+        prefill: read,
         urgency,
     })
 }
@@ -383,6 +391,6 @@
 /// refused together do not come back together.
 fn refuse(call: &Call, reason: Reason, wait_ms: f64) -> Refusal {
     let spread = 1.0 + (call.id_hash % 512) as f64 / 1_024.0;
-    let wait_ms = wait_ms.clamp(RETRY_MS.0, RETRY_MS.1) * spread;
+    let wait_ms = wait_ms.clamp(RETRY_AFTER_BOUNDS_MS.0, RETRY_AFTER_BOUNDS_MS.1) * spread;
     Refusal::with_retry_after(reason, wait_ms as u64)
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -19,18 +19,18 @@
 
 /// Longest time to open a connection, in ms: several round trips between availability zones and
 /// one lost packet's first repeat.
-const CONNECT_MS: u64 = 350;
+const CONNECT_TIMEOUT_MS: u64 = 350;
 
 /// Time for which sent bytes may stay unacknowledged, in ms: longer than a link that loses some
 /// packets takes to repeat them, shorter than the usual grace of a stop.
-const GONE_MS: u64 = 4_000;
+const UNACKED_TIMEOUT_MS: u64 = 4_000;
 
 /// Silence after which a connection is probed, in s.
-const KEEPALIVE_S: u64 = 2;
+const KEEPALIVE_IDLE_S: u64 = 2;
 
 /// Time for which an idle connection is kept when the upstream names none, in ms; shorter than
 /// the usual five seconds of servers, so that a request rarely meets their close.
-const IDLE_MS: u64 = 4_000;
+const DEFAULT_IDLE_MS: u64 = 4_000;
 
 /// Part of an announced idle time that is used: the last second may already be the upstream's.
 const IDLE_MARGIN_MS: u64 = 1_000;
@@ -48,13 +48,13 @@
     },
     /// All connections that this instance may open are in use; nothing was sent.
     #[display("no connection to {peer} is free")]
-    Crowded {
+    PoolExhausted {
         /// Where to.
         peer: SocketAddr,
     },
     /// The peer names a limit, of which nothing is left for this instance; nothing was sent.
     #[display("{peer} takes no more for now")]
-    Limited {
+    RateLimited {
         /// Where to.
         peer: SocketAddr,
     },
@@ -86,7 +86,7 @@
     clock: Clock,
     idle: RefCell<Vec<Connection>>,
     open: Cell<usize>,
-    closing: Cell<bool>,
+    is_closing: Cell<bool>,
 }
 
 impl Pool {
@@ -97,26 +97,26 @@
             clock,
             idle: RefCell::default(),
             open: Cell::default(),
-            closing: Cell::default(),
+            is_closing: Cell::default(),
         })
     }
 
     /// Closes what is idle now, and each other connection as soon as its answer is whole.
     pub fn close(&self) {
-        self.closing.set(true);
+        self.is_closing.set(true);
         let closed = std::mem::take(&mut *self.idle.borrow_mut());
         self.open.set(self.open.get() - closed.len());
     }
 
     /// Opens a connection for the next request.
-    pub async fn warm_up(self: &Rc<Self>, most: usize) -> Result<(), ExchangeError> {
-        let connection = open(self, most).await?;
-        let lease = PooledConnection {
+    pub async fn warm_up(self: &Rc<Self>, max_open: usize) -> Result<(), ExchangeError> {
+        let connection = open(self, max_open).await?;
+        let pooled = PooledConnection {
             connection: Some(connection),
             pool: Rc::clone(self),
-            idle_ms: IDLE_MS,
+            idle_ms: DEFAULT_IDLE_MS,
         };
-        lease.release();
+        pooled.release();
         Ok(())
     }
 
@@ -161,7 +161,8 @@
         let Some(mut connection) = self.connection.take() else {
             return;
         };
-        let keep = self.idle_ms > 0 && !self.pool.closing.get() && !connection.sender.is_closed();
+        let keep =
+            self.idle_ms > 0 && !self.pool.is_closing.get() && !connection.sender.is_closed();
         if !keep {
             self.pool.open.set(self.pool.open.get() - 1);
             return;
@@ -188,32 +189,32 @@
 /// request counts as sent. Dropping the future closes the connection.
 pub async fn exchange(
     pool: &Rc<Pool>,
-    most: usize,
+    max_open: usize,
     mut request: Request<Full<Bytes>>,
 ) -> Result<Exchanged, ExchangeError> {
     let peer = pool.peer;
     loop {
-        let (connection, fresh) = match pool.take_idle() {
+        let (connection, is_new) = match pool.take_idle() {
             Some(connection) => (connection, false),
-            None => (open(pool, most).await?, true),
+            None => (open(pool, max_open).await?, true),
         };
-        let mut lease = PooledConnection {
+        let mut pooled = PooledConnection {
             connection: Some(connection),
             pool: Rc::clone(pool),
-            idle_ms: IDLE_MS,
+            idle_ms: DEFAULT_IDLE_MS,
         };
-        let Some(connection) = lease.connection.as_mut() else {
+        let Some(connection) = pooled.connection.as_mut() else {
             continue;
         };
         match connection.sender.try_send_request(request).await {
             Ok(response) => {
-                lease.idle_ms = idle_ms(&response);
-                return Ok((response, lease));
+                pooled.idle_ms = idle_ms(&response);
+                return Ok((response, pooled));
             }
             Err(mut error) => {
                 let why = error.error().to_string();
                 match error.take_message() {
-                    Some(unsent) if !fresh => request = unsent,
+                    Some(unsent) if !is_new => request = unsent,
                     Some(_) => return Err(ExchangeError::Connect { peer, why }),
                     None => return Err(ExchangeError::Lost { peer, why }),
                 }
@@ -227,12 +228,12 @@
 /// Small messages must not wait for the acknowledgement of the one before. A peer whose machine
 /// is gone or cut off answers nothing and resets nothing: without these bounds a connection to
 /// it, and all that its request holds, would stay for many minutes.
-pub fn tune(stream: &TcpStream) -> std::io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(Duration::from_millis(GONE_MS)))?;
+    socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKED_TIMEOUT_MS)))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(Duration::from_secs(KEEPALIVE_S))
+        .with_time(Duration::from_secs(KEEPALIVE_IDLE_S))
         .with_interval(Duration::from_secs(1))
         .with_retries(3);
     socket.set_tcp_keepalive(&keepalive)
@@ -243,23 +244,23 @@
 /// While the way to a peer is cut, a closed connection goes on sending what it was given: a request whose caller left
 /// would reach the peer seconds later, when that may be leaving. One is dropped with something on it only when nobody
 /// waits for the answer any more, so nothing is lost that counts.
-fn reset_when_dropped(stream: &TcpStream) -> std::io::Result<()> {
+fn reset_on_drop(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-async fn open(pool: &Rc<Pool>, most: usize) -> Result<Connection, ExchangeError> {
+async fn open(pool: &Rc<Pool>, max_open: usize) -> Result<Connection, ExchangeError> {
     let peer = pool.peer;
-    if pool.open.get() >= most {
-        return Err(ExchangeError::Crowded { peer });
+    if pool.open.get() >= max_open {
+        return Err(ExchangeError::PoolExhausted { peer });
     }
     let failed = |why: String| ExchangeError::Connect { peer, why };
-    let wait = Duration::from_millis(CONNECT_MS);
+    let wait = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let connected = actix_rt::time::timeout(wait, TcpStream::connect(peer)).await;
     let stream = connected
-        .map_err(|_| failed(format!("nothing within {CONNECT_MS} ms")))?
+        .map_err(|_| failed(format!("nothing within {CONNECT_TIMEOUT_MS} ms")))?
         .map_err(|error| failed(error.to_string()))?;
-    tune(&stream).map_err(|error| failed(error.to_string()))?;
-    reset_when_dropped(&stream).map_err(|error| failed(error.to_string()))?;
+    configure_socket(&stream).map_err(|error| failed(error.to_string()))?;
+    reset_on_drop(&stream).map_err(|error| failed(error.to_string()))?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| failed(error.to_string()))?;
@@ -303,7 +304,7 @@
         .and_then(|seconds| seconds.trim().parse::<u64>().ok());
     match announced {
         Some(seconds) => (seconds * 1_000).saturating_sub(IDLE_MARGIN_MS),
-        None => IDLE_MS,
+        None => DEFAULT_IDLE_MS,
     }
 }
 
@@ -317,7 +318,7 @@
 ) -> Result<(StatusCode, Bytes), String> {
     let answer = async {
         let pool = Pool::new(peer, clock);
-        let (response, _lease) = exchange(&pool, 1, request)
+        let (response, _pooled) = exchange(&pool, 1, request)
             .await
             .map_err(|fault| fault.to_string())?;
         let status = response.status();
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -12,29 +12,31 @@
 use crate::attribution::note_lost_answer;
 use crate::call::Call;
 use crate::dialect::{KvHandle, Prompt, SendOptions, Step};
-use crate::generation::keep_parts;
-use crate::placement::Reader;
+use crate::generation::record_cached_parts;
+use crate::placement::PrefillPlacement;
 use crate::pool::{ExchangeError, PooledConnection, exchange};
 use crate::relay::Relay;
-use crate::send::{has_no_room, note_misdirected, note_told, note_unsent, raw_send};
+use crate::send::{
+    exchange_with, is_no_capacity, note_exchange_error, note_misdirected, note_response_head,
+};
 use crate::upstream::{InFlight, PrefillProgress, Upstream, Work};
 
 /// Times the predicted time after which a prompt's answer may have been lost.
-const PATIENCE: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 3.0;
 
 /// Least time for that, in ms: an answer's fixed time and some queue that was not seen.
-const LEAST_PATIENCE_MS: u64 = 500;
+const MIN_OVERDUE_MS: u64 = 500;
 
 /// Work of others, in tokens, up to which an engine counts as having nothing else to read.
-const IDLE_TOKENS: f64 = 500.0;
+const IDLE_QUEUE_TOKENS: f64 = 500.0;
 
 /// Time after which a prompt that is late behind others is looked at again, in ms.
-const LOOK_AGAIN_MS: u64 = 200;
+const RECHECK_MS: u64 = 200;
 
 /// A prompt's KV cache that waits to be taken; freed if nobody takes it.
 ///
 /// A cache that is never taken fills the reader's memory until it lapses.
-pub struct Handed {
+pub struct PrefilledKv {
     relay: Rc<Relay>,
     reader: Rc<Upstream>,
     /// Where the cache is.
@@ -42,19 +44,19 @@
     taken: Cell<bool>,
 }
 
-impl Handed {
+impl PrefilledKv {
     /// An engine has taken the cache, or may have.
-    pub fn taken(&self) {
+    pub fn mark_taken(&self) {
         self.taken.set(true);
     }
 
     /// Whether another engine may still take it.
-    pub fn is_there(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         !self.taken.get()
     }
 }
 
-impl Drop for Handed {
+impl Drop for PrefilledKv {
     fn drop(&mut self) {
         if self.taken.get() {
             return;
@@ -62,11 +64,11 @@
         let relay = Rc::clone(&self.relay);
         let reader = Rc::clone(&self.reader);
         let handle = self.handle.clone();
-        actix_rt::spawn(async move { free(&relay, &reader, &handle).await });
+        actix_rt::spawn(async move { free_kv(&relay, &reader, &handle).await });
     }
 }
 
-async fn free(relay: &Relay, reader: &Rc<Upstream>, handle: &KvHandle) {
+async fn free_kv(relay: &Relay, reader: &Rc<Upstream>, handle: &KvHandle) {
     let (method, path) = relay.dialect.free_kv_request(handle);
     let request = http::Request::builder()
         .method(method)
@@ -88,30 +90,30 @@
 
 /// Has the prompt read apart, where the placement says so; gives nothing if that failed, and the
 /// engine that makes the output then reads it itself.
-pub async fn read_apart(
+pub async fn prefill_separately(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     prompt: &Prompt,
-    reader: &Reader,
-) -> Option<Handed> {
+    reader: &PrefillPlacement,
+) -> Option<PrefilledKv> {
     let rank = call.rank(reader.urgency);
     let guard = InFlight::begin(
         &reader.engine,
         relay.now_ms(),
         Work {
-            prefill_tokens: reader.tokens,
+            prefill_tokens: reader.prefill_tokens,
             context_tokens: 0.0,
             rank,
         },
     );
-    let read_ms = reader.read.total_ms();
-    let own_ms = reader.read.processing_ms;
+    let read_ms = reader.prefill.total_ms();
+    let own_ms = reader.prefill.processing_ms;
     let copy_from = reader.copy_from.clone();
-    let held_tokens = reader.held_tokens;
-    let own_tokens = reader.tokens;
+    let held_tokens = reader.cached_tokens;
+    let own_tokens = reader.prefill_tokens;
     let reader = &reader.engine;
     let before = reader.view(relay.now_ms(), 0.0, rank).queued_tokens;
-    keep_parts(relay, call, prompt, reader, PrefillProgress::Begun);
+    record_cached_parts(relay, call, prompt, reader, PrefillProgress::Begun);
     call.current_upstream.borrow_mut().clone_from(&reader.id);
     let sending = SendOptions {
         instance: &reader.id,
@@ -123,34 +125,34 @@
     };
     let began_ms = relay.now_ms();
     let request = call.request(&*relay.dialect, &sending);
-    call.begins_read();
-    let reading = async {
-        match raw_send(relay, call, reader, request).await {
+    call.note_prefill_sent();
+    let prefill = async {
+        match exchange_with(relay, call, reader, request).await {
             Ok((response, lease)) => {
                 guard.note_head(relay.now_ms());
-                prefilled(relay, call, reader, response, lease).await
+                read_response(relay, call, reader, response, lease).await
             }
             Err(fault) => {
                 if !matches!(fault, ExchangeError::Lost { .. }) {
-                    call.read_is_unsent();
+                    call.note_prefill_unsent();
                 }
-                note_unsent(relay, reader, &fault);
-                note_unread(relay, call, reader, &fault.to_string());
+                note_exchange_error(relay, reader, &fault);
+                log_not_prefilled(relay, call, reader, &fault.to_string());
                 None
             }
         }
     };
-    let handed = tokio::select! {
-        handed = reading => handed,
+    let kv = tokio::select! {
+        kv = prefill => kv,
         () = overdue(reader, &guard, read_ms) => {
-            note_unread(relay, call, reader, "nothing came, though nothing else is read there");
+            log_not_prefilled(relay, call, reader, "nothing came, though nothing else is read there");
             None
         }
     };
     drop(guard);
-    if handed.is_some() {
-        call.read_is_accepted();
-        keep_parts(relay, call, prompt, reader, PrefillProgress::Done);
+    if kv.is_some() {
+        call.note_prefill_accepted();
+        record_cached_parts(relay, call, prompt, reader, PrefillProgress::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
@@ -172,7 +174,7 @@
         let histogram = relay.metrics.prefill_s.with_label_values(&labels);
         histogram.observe(took_ms / 1_000.0);
     }
-    handed
+    kv
 }
 
 /// Returns once the answer to a prompt must have been lost.
@@ -181,14 +183,14 @@
 /// overdue and nothing else is read at the engine. In a rush the rest of the queue explains the
 /// wait, and beginning again elsewhere would cost more than waiting on.
 async fn overdue(reader: &Upstream, guard: &InFlight, read_ms: f64) {
-    let patience_ms = (read_ms * PATIENCE) as u64 + LEAST_PATIENCE_MS;
-    actix_rt::time::sleep(Duration::from_millis(patience_ms)).await;
-    while reader.queued_tokens() > guard.tokens() + IDLE_TOKENS {
-        actix_rt::time::sleep(Duration::from_millis(LOOK_AGAIN_MS)).await;
+    let overdue_ms = (read_ms * OVERDUE_FACTOR) as u64 + MIN_OVERDUE_MS;
+    actix_rt::time::sleep(Duration::from_millis(overdue_ms)).await;
+    while reader.queued_tokens() > guard.remaining_tokens() + IDLE_QUEUE_TOKENS {
+        actix_rt::time::sleep(Duration::from_millis(RECHECK_MS)).await;
     }
 }
 
-fn note_unread(relay: &Relay, call: &Call, reader: &Upstream, why: &str) {
+fn log_not_prefilled(relay: &Relay, call: &Call, reader: &Upstream, why: &str) {
     if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, upstream = reader.id, why;
@@ -197,26 +199,26 @@
     }
 }
 
-async fn prefilled(
+async fn read_response(
     relay: &Rc<Relay>,
     call: &Call,
     reader: &Rc<Upstream>,
     response: Response<Incoming>,
     lease: PooledConnection,
-) -> Option<Handed> {
+) -> Option<PrefilledKv> {
     let status = response.status();
     let answered = relay.dialect.parse_response_head(response.headers());
-    note_told(relay, reader, &answered);
+    note_response_head(relay, reader, &answered);
     // A late answer to an earlier request on the connection would lead to another prompt's cache.
     if answered.attempt != call.head.attempt {
-        note_unread(relay, call, reader, "the answer is another request's");
+        log_not_prefilled(relay, call, reader, "the answer is another request's");
         return None;
     }
     let body = match response.into_body().collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) => {
             note_lost_answer(relay, call, reader);
-            note_unread(relay, call, reader, &error.to_string());
+            log_not_prefilled(relay, call, reader, &error.to_string());
             return None;
         }
     };
@@ -224,7 +226,7 @@
     if status == StatusCode::MISDIRECTED_REQUEST {
         note_misdirected(relay, reader, answered.instance.as_deref(), Step::Prefill);
     }
-    if has_no_room(status) {
+    if is_no_capacity(status) {
         reader.note_no_capacity(relay.now_ms());
     }
     if status != StatusCode::OK {
@@ -237,7 +239,7 @@
         return None;
     }
     let id = relay.dialect.parse_prefill_response(&body)?;
-    Some(Handed {
+    Some(PrefilledKv {
         relay: Rc::clone(relay),
         reader: Rc::clone(reader),
         handle: KvHandle {
--- a/crates/relay/src/retry.rs
+++ b/crates/relay/src/retry.rs
@@ -8,7 +8,7 @@
 
 /// Upstreams to which no connection could be opened before a request is refused: nothing was
 /// sent, so trying is free but for its time.
-const UNREACHED: u32 = 3;
+const MAX_UNREACHABLE: u32 = 3;
 
 /// Time after which a caller whose request was rejected unrun is asked back, in ms: a few times
 /// the length of a short request, after which a place may be free.
@@ -64,7 +64,7 @@
     may_repeat: impl Fn() -> bool,
 ) -> RetryDecision {
     match outcome {
-        SendFailure::Unsent if facts.unreached < UNREACHED => RetryDecision::Retry,
+        SendFailure::Unsent if facts.unreached < MAX_UNREACHABLE => RetryDecision::Retry,
         SendFailure::NotRun if may_repeat() => RetryDecision::Retry,
         SendFailure::Lost if facts.is_repeatable && may_repeat() => RetryDecision::Retry,
         SendFailure::Lost => RetryDecision::Refuse(Refusal::new(Reason::Lost)),
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -10,7 +10,7 @@
 use crate::call::Call;
 use crate::config::RouteKind;
 use crate::dialect::{ResponseHead, SendOptions, Step};
-use crate::placement::PLAIN_MS;
+use crate::placement::DEFAULT_ANSWER_MS;
 use crate::pool::{ExchangeError, Exchanged, PooledConnection, exchange};
 use crate::relay::Relay;
 use crate::retry::SendFailure;
@@ -18,26 +18,26 @@
 
 /// Part of an instance's share of an upstream's connections that it uses; the rest is for instances
 /// that do not know of each other yet.
-const CONNECTION_SHARE: f64 = 0.9;
+const USED_CONNECTION_FRACTION: f64 = 0.9;
 
 /// Connections that an instance may open however many share an upstream: one in use, one that is
 /// being replaced.
-const LEAST_CONNECTIONS: usize = 2;
+const MIN_CONNECTIONS: usize = 2;
 
 /// An answer's head that has been checked to belong to the request.
-pub struct Checked {
+pub struct CheckedAnswer {
     /// The answer.
     pub response: Response<Incoming>,
     /// What its head says.
-    pub answered: ResponseHead,
+    pub head: ResponseHead,
     /// The connection.
-    pub lease: PooledConnection,
+    pub connection: PooledConnection,
 }
 
 /// How one send ended.
-pub enum Sent {
+pub enum SendResult {
     /// The upstream answered, with success or failure.
-    Answer(Box<Checked>),
+    Answer(Box<CheckedAnswer>),
     /// Nothing reached the upstream.
     Unsent(ExchangeError),
     /// The upstream rejected it unrun.
@@ -46,9 +46,9 @@
     Lost(String),
 }
 
-impl Sent {
+impl SendResult {
     /// How it ended, as far as the next step goes; an answer at this point is of no use.
-    pub fn outcome(&self) -> SendFailure {
+    pub fn failure(&self) -> SendFailure {
         match self {
             Self::Unsent(_) => SendFailure::Unsent,
             Self::NotRun(_) => SendFailure::NotRun,
@@ -63,7 +63,7 @@
     call: &Rc<Call>,
     upstream: &Rc<Upstream>,
     sending: &SendOptions<'_>,
-) -> Sent {
+) -> SendResult {
     let request = call.request(&*relay.dialect, sending);
     debug_assert!(
         call.arrivals() < call.allowed_arrivals.get(),
@@ -73,36 +73,36 @@
     call.possible_runs.set(call.possible_runs.get() + 1);
     call.current_upstream.borrow_mut().clone_from(&upstream.id);
     let began_ms = relay.now_ms();
-    let sent = match raw_send(relay, call, upstream, request).await {
-        Ok((response, lease)) => check(relay, call, upstream, sending.step, response, lease),
-        Err(fault @ ExchangeError::Lost { .. }) => Sent::Lost(fault.to_string()),
-        Err(fault) => Sent::Unsent(fault),
+    let sent = match exchange_with(relay, call, upstream, request).await {
+        Ok((response, lease)) => check_answer(relay, call, upstream, sending.step, response, lease),
+        Err(fault @ ExchangeError::Lost { .. }) => SendResult::Lost(fault.to_string()),
+        Err(fault) => SendResult::Unsent(fault),
     };
     match &sent {
-        Sent::Answer(checked) => {
+        SendResult::Answer(checked) => {
             let terms = relay.settings.borrow().singleton_tasks;
             relay.singleton_tasks.count_started(terms, call);
             let took_ms = (relay.now_ms() - began_ms) as f64;
             if call.route.kind != RouteKind::Stream && checked.response.status().is_success() {
-                let usual_ms = upstream.answer_ms().max(PLAIN_MS);
+                let usual_ms = upstream.answer_ms().max(DEFAULT_ANSWER_MS);
                 upstream.note_answer(relay.now_ms(), usual_ms, took_ms);
             } else if checked.response.status().is_server_error() {
                 upstream.note_failure(relay.now_ms());
             }
         }
-        Sent::Unsent(fault) => {
+        SendResult::Unsent(fault) => {
             call.attempts.set(call.attempts.get() - 1);
             call.possible_runs.set(call.possible_runs.get() - 1);
-            note_unsent(relay, upstream, fault);
+            note_exchange_error(relay, upstream, fault);
             if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(request = call.id(), upstream = upstream.id, fault:%; "request not sent");
             }
         }
-        Sent::NotRun(status) => {
+        SendResult::NotRun(status) => {
             // It is certain that this send did not run.
             call.possible_runs.set(call.possible_runs.get() - 1);
             // With a cache to fetch it may be the cache that is missing, and not room.
-            if sending.kv.is_none() && has_no_room(*status) && upstream.stage() != Stage::Whole {
+            if sending.kv.is_none() && is_no_capacity(*status) && upstream.stage() != Stage::Whole {
                 upstream.note_no_capacity(relay.now_ms());
             }
             if relay.failure_log_limit.take(relay.now_ms()) {
@@ -112,7 +112,7 @@
                 );
             }
         }
-        Sent::Lost(why) => {
+        SendResult::Lost(why) => {
             upstream.note_failure(relay.now_ms());
             if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
@@ -126,35 +126,35 @@
 }
 
 /// Takes an answer of any kind as a sign of life.
-pub fn note_sign(relay: &Relay, guard: &InFlight, sent: &Sent) {
+pub fn note_response(relay: &Relay, guard: &InFlight, sent: &SendResult) {
     match sent {
-        Sent::Answer(_) | Sent::NotRun(_) => guard.note_head(relay.now_ms()),
-        Sent::Unsent(_) | Sent::Lost(_) => {}
+        SendResult::Answer(_) | SendResult::NotRun(_) => guard.note_head(relay.now_ms()),
+        SendResult::Unsent(_) | SendResult::Lost(_) => {}
     }
 }
 
 /// Counts a fault against its upstream, unless it is that this instance may send nothing there now.
-pub fn note_unsent(relay: &Relay, upstream: &Upstream, fault: &ExchangeError) {
+pub fn note_exchange_error(relay: &Relay, upstream: &Upstream, fault: &ExchangeError) {
     match fault {
         ExchangeError::Connect { .. } => upstream.note_unreachable(relay.now_ms()),
         ExchangeError::Lost { .. } => upstream.note_failure(relay.now_ms()),
-        ExchangeError::Crowded { .. } | ExchangeError::Limited { .. } => {}
+        ExchangeError::PoolExhausted { .. } | ExchangeError::RateLimited { .. } => {}
     }
 }
 
 /// Sends a request over one of the connections that this instance may open.
-pub async fn raw_send(
+pub async fn exchange_with(
     relay: &Rc<Relay>,
     call: &Call,
     upstream: &Rc<Upstream>,
     request: http::Request<http_body_util::Full<Bytes>>,
 ) -> Result<Exchanged, ExchangeError> {
     if !relay.take_rate_capacity(upstream) {
-        return Err(ExchangeError::Limited {
+        return Err(ExchangeError::RateLimited {
             peer: upstream.address,
         });
     }
-    let most = most_connections(relay, &call.service);
+    let most = max_connections_to(relay, &call.service);
     let began_ms = relay.now_ms();
     let seconds = |from_ms: u64| (relay.now_ms() - from_ms) as f64 / 1_000.0;
     if !call.is_sent.replace(true) {
@@ -176,24 +176,24 @@
         Err(ExchangeError::Lost { .. }) => note_lost_answer(relay, call, upstream),
         Err(
             ExchangeError::Connect { .. }
-            | ExchangeError::Crowded { .. }
-            | ExchangeError::Limited { .. },
+            | ExchangeError::PoolExhausted { .. }
+            | ExchangeError::RateLimited { .. },
         ) => {}
     }
     exchanged
 }
 
 /// Connections that this instance may open to an upstream of a service.
-pub fn most_connections(relay: &Relay, service: &str) -> usize {
+pub fn max_connections_to(relay: &Relay, service: &str) -> usize {
     let config = relay.config();
     let service = config.as_ref().and_then(|config| config.service(service));
     let most = service.map_or(usize::MAX, |service| service.max_connections);
-    let most = (most as f64 * CONNECTION_SHARE / relay.instance_count() as f64) as usize;
-    most.max(LEAST_CONNECTIONS)
+    let most = (most as f64 * USED_CONNECTION_FRACTION / relay.instance_count() as f64) as usize;
+    most.max(MIN_CONNECTIONS)
 }
 
 /// Whether a rejection says that there is no room, and not that the request is another's.
-pub fn has_no_room(status: StatusCode) -> bool {
+pub fn is_no_capacity(status: StatusCode) -> bool {
     let full = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
@@ -218,7 +218,7 @@
 }
 
 /// Takes in what an upstream says of itself in an answer's head, whichever request it answers.
-pub fn note_told(relay: &Relay, upstream: &Upstream, answered: &ResponseHead) {
+pub fn note_response_head(relay: &Relay, upstream: &Upstream, answered: &ResponseHead) {
     let is_another = |id: &String| *id != upstream.id;
     if answered.instance.as_ref().is_some_and(is_another) {
         return;
@@ -229,36 +229,36 @@
     relay.record_rate_limit(upstream, answered.limit_per_s);
 }
 
-fn check(
+fn check_answer(
     relay: &Rc<Relay>,
     call: &Call,
     upstream: &Rc<Upstream>,
     step: Step,
     response: Response<Incoming>,
     lease: PooledConnection,
-) -> Sent {
+) -> SendResult {
     let answered = relay.dialect.parse_response_head(response.headers());
-    note_told(relay, upstream, &answered);
+    note_response_head(relay, upstream, &answered);
     let status = response.status();
     // An answer that came late to an earlier request on the connection names another attempt. It
     // says nothing of this one, not even that it has not run.
     if answered.attempt != call.head.attempt {
-        return Sent::Lost("the answer is another request's".to_owned());
+        return SendResult::Lost("the answer is another request's".to_owned());
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         note_misdirected(relay, upstream, answered.instance.as_deref(), step);
-        return Sent::NotRun(status);
+        return SendResult::NotRun(status);
     }
     if answered.not_run {
-        return Sent::NotRun(status);
+        return SendResult::NotRun(status);
     }
     let encoded = response.headers().contains_key(header::CONTENT_ENCODING);
     if status.is_success() && (!answered.is_signed || encoded) {
-        return Sent::Lost("the answer has no signature".to_owned());
+        return SendResult::Lost("the answer has no signature".to_owned());
     }
-    Sent::Answer(Box::new(Checked {
+    SendResult::Answer(Box::new(CheckedAnswer {
         response,
-        answered,
-        lease,
+        head: answered,
+        connection: lease,
     }))
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -14,27 +14,27 @@
 use crate::attribution::{ensure_not_poison, note_lost_answer};
 use crate::call::{Call, strip_hop_by_hop};
 use crate::dialect::SendOptions;
-use crate::forward::{may_repeat, note_answer};
+use crate::forward::{count_answer, may_retry};
 use crate::placement;
 use crate::pool::PooledConnection;
 use crate::relay::Relay;
-use crate::send::{Checked, Sent, send};
+use crate::send::{CheckedAnswer, SendResult, send};
 use crate::sse::EventSplitter;
 use crate::upstream::{InFlight, Work};
 use crate::urgency::Urgency;
 
 /// Silence of an engine, in objectives for the pause between events, after which a stream that
 /// may go on elsewhere does so. Callers leave after eight; what is left is for the other engine.
-const SILENT_GAPS: u64 = 3;
+const MAX_SILENT_GAPS: u64 = 3;
 
 /// Least silence after which a stream goes on elsewhere, in ms.
-const SILENT_MS: u64 = 700;
+const MIN_SILENCE_MS: u64 = 700;
 
 /// A stream on its way from an engine to a caller.
-pub struct Streaming {
+pub struct StreamForwarder {
     relay: Rc<Relay>,
     call: Rc<Call>,
-    source: Option<Source>,
+    source: Option<EngineStream>,
     splitter: EventSplitter,
     ready: VecDeque<Bytes>,
     last_event: Option<u64>,
@@ -44,14 +44,14 @@
     longest_gap_ms: u64,
 }
 
-struct Source {
+struct EngineStream {
     body: Incoming,
     lease: PooledConnection,
     guard: InFlight,
 }
 
 /// What came of waiting for the engine.
-enum Next {
+enum Received {
     Data(Bytes),
     End,
     Broken(String),
@@ -59,12 +59,12 @@
     OutOfTime,
 }
 
-impl Streaming {
+impl StreamForwarder {
     /// Passes on the head of a stream, and its events as they come.
     pub fn start(
         relay: &Rc<Relay>,
         call: &Rc<Call>,
-        checked: Checked,
+        checked: CheckedAnswer,
         guard: InFlight,
         tried: Vec<String>,
     ) -> Response<AnswerBody> {
@@ -84,9 +84,9 @@
         let streaming = Self {
             relay: Rc::clone(relay),
             call: Rc::clone(call),
-            source: Some(Source {
+            source: Some(EngineStream {
                 body,
-                lease: checked.lease,
+                lease: checked.connection,
                 guard,
             }),
             splitter: EventSplitter::default(),
@@ -113,34 +113,34 @@
             if let Some(bytes) = self.ready.pop_front() {
                 return Some(Ok(bytes));
             }
-            match self.wait().await {
-                Next::Data(bytes) if !self.call.route.is_retryable() => return Some(Ok(bytes)),
-                Next::Data(bytes) => {
+            match self.receive().await {
+                Received::Data(bytes) if !self.call.route.is_retryable() => return Some(Ok(bytes)),
+                Received::Data(bytes) => {
                     self.splitter.push(&bytes);
                     self.take_events();
                 }
-                Next::End if !self.splitter.has_partial_event() => {
+                Received::End if !self.splitter.has_partial_event() => {
                     self.finish("200");
                     return None;
                 }
-                Next::End => {
+                Received::End => {
                     self.note_lost_answer();
-                    if let Err(broken) = self.go_on("it ended within an event").await {
+                    if let Err(broken) = self.resume_elsewhere("it ended within an event").await {
                         return Some(Err(broken));
                     }
                 }
-                Next::Broken(why) => {
+                Received::Broken(why) => {
                     self.note_lost_answer();
-                    if let Err(broken) = self.go_on(&why).await {
+                    if let Err(broken) = self.resume_elsewhere(&why).await {
                         return Some(Err(broken));
                     }
                 }
-                Next::Silent(why) => {
-                    if let Err(broken) = self.go_on(&why).await {
+                Received::Silent(why) => {
+                    if let Err(broken) = self.resume_elsewhere(&why).await {
                         return Some(Err(broken));
                     }
                 }
-                Next::OutOfTime => return Some(Err(self.broken("out of time"))),
+                Received::OutOfTime => return Some(Err(self.fail("out of time"))),
             }
         }
     }
@@ -159,9 +159,9 @@
         }
     }
 
-    async fn wait(&mut self) -> Next {
+    async fn receive(&mut self) -> Received {
         let left_ms = self.call.left_ms(self.relay.now_ms());
-        let silent_ms = (self.call.route.gap_goal_ms * SILENT_GAPS).max(SILENT_MS);
+        let silent_ms = (self.call.route.gap_goal_ms * MAX_SILENT_GAPS).max(MIN_SILENCE_MS);
         let may_move = self.call.route.is_retryable()
             && self.call.attempts.get() < self.call.route.max_attempts;
         let wait_ms = if may_move {
@@ -170,23 +170,23 @@
             left_ms
         };
         let Some(source) = self.source.as_mut() else {
-            return Next::End;
+            return Received::End;
         };
         let frame = source.body.frame();
         let waited = actix_rt::time::timeout(Duration::from_millis(wait_ms), frame).await;
         match waited {
-            Err(_) if wait_ms == left_ms => Next::OutOfTime,
-            Err(_) => Next::Silent(format!("silent for {wait_ms} ms")),
-            Ok(None) => Next::End,
-            Ok(Some(Err(error))) => Next::Broken(error.to_string()),
+            Err(_) if wait_ms == left_ms => Received::OutOfTime,
+            Err(_) => Received::Silent(format!("silent for {wait_ms} ms")),
+            Ok(None) => Received::End,
+            Ok(Some(Err(error))) => Received::Broken(error.to_string()),
             Ok(Some(Ok(frame))) => {
-                self.moved();
-                Next::Data(frame.into_data().unwrap_or_default())
+                self.note_progress();
+                Received::Data(frame.into_data().unwrap_or_default())
             }
         }
     }
 
-    fn moved(&mut self) {
+    fn note_progress(&mut self) {
         let now_ms = self.relay.now_ms();
         self.longest_gap_ms = self.longest_gap_ms.max(now_ms - self.last_ms);
         self.last_ms = now_ms;
@@ -202,7 +202,7 @@
     }
 
     /// Goes on with the stream at another engine, after the last whole event.
-    async fn go_on(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
+    async fn resume_elsewhere(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
         if let Some(source) = self.source.take() {
             source.guard.upstream().note_failure(self.relay.now_ms());
             if self.relay.failure_log_limit.take(self.relay.now_ms()) {
@@ -216,15 +216,15 @@
         self.splitter.clear();
         let call = Rc::clone(&self.call);
         let Some(prompt) = call.head.prompt.as_ref() else {
-            return Err(self.broken(why));
+            return Err(self.fail(why));
         };
         if !call.route.is_retryable() || ensure_not_poison(&self.relay, &call).await.is_err() {
-            return Err(self.broken(why));
+            return Err(self.fail(why));
         }
-        if !may_repeat(&self.relay, &call) {
-            return Err(self.broken(why));
+        if !may_retry(&self.relay, &call) {
+            return Err(self.fail(why));
         }
-        let Ok(maker) = placement::maker(
+        let Ok(maker) = placement::choose_decode_engine(
             &self.relay,
             &call,
             prompt,
@@ -232,9 +232,9 @@
             false,
             Urgency::OnTime,
         ) else {
-            return Err(self.broken(why));
+            return Err(self.fail(why));
         };
-        let tokens = maker.tokens;
+        let tokens = maker.prefill_tokens;
         let copy_from = maker.copy_from.map(|holder| holder.address);
         let maker = maker.engine;
         self.tried.push(maker.id.clone());
@@ -258,20 +258,20 @@
         let left = Duration::from_millis(call.left_ms(self.relay.now_ms()));
         let sent = actix_rt::time::timeout(left, send(&self.relay, &call, &maker, &sending)).await;
         match sent {
-            Ok(Sent::Answer(checked)) if checked.response.status() == StatusCode::OK => {
+            Ok(SendResult::Answer(checked)) if checked.response.status() == StatusCode::OK => {
                 guard.note_prefilled();
                 guard.note_head(self.relay.now_ms());
                 if self.relay.failure_log_limit.take(self.relay.now_ms()) {
                     log::info!(request = call.id(), upstream = maker.id; "stream goes on");
                 }
-                self.source = Some(Source {
+                self.source = Some(EngineStream {
                     body: checked.response.into_body(),
-                    lease: checked.lease,
+                    lease: checked.connection,
                     guard,
                 });
                 Ok(())
             }
-            _ => Err(self.broken(why)),
+            _ => Err(self.fail(why)),
         }
     }
 
@@ -282,7 +282,7 @@
         let route = &self.call.route;
         let first_ms = self.call.prior_wait_ms + self.first_ms;
         let in_time = first_ms <= route.goal_ms && self.longest_gap_ms <= route.gap_goal_ms;
-        note_answer(&self.relay, &self.call, in_time);
+        count_answer(&self.relay, &self.call, in_time);
         self.relay.record_answered(&self.call);
         if let Some(source) = self.source.take() {
             if self.relay.success_log_limit.take(self.relay.now_ms()) {
@@ -297,7 +297,7 @@
         }
     }
 
-    fn broken(&self, why: &str) -> TruncatedAnswer {
+    fn fail(&self, why: &str) -> TruncatedAnswer {
         self.call.is_finished.set(true);
         if self.relay.failure_log_limit.take(self.relay.now_ms()) {
             log::info!(
@@ -315,7 +315,7 @@
 }
 
 /// Passes on a long answer as it comes, up to the request's deadline.
-pub fn relayed(
+pub fn stream_answer(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     body: Incoming,
--- a/crates/relay/src/subset.rs
+++ b/crates/relay/src/subset.rs
@@ -9,15 +9,15 @@
 
 /// Engines of one stage among which an instance chooses, beside those that hold the prompt: more than the
 /// smallest fleets have.
-const NEAR_ENGINES: usize = 12;
+const SUBSET_SIZE: usize = 12;
 
 /// The engines of an instance by their ids: always the same while they are there, and others for each
 /// instance.
 pub fn engine_subset<E: Clone>(own: InstanceKey, all: &[E], id: impl Fn(&E) -> &str) -> Vec<E> {
-    if all.len() <= NEAR_ENGINES {
+    if all.len() <= SUBSET_SIZE {
         return all.to_vec();
     }
-    let mut near: Vec<(u64, &E)> = all
+    let mut subset: Vec<(u64, &E)> = all
         .iter()
         .map(|engine| {
             (
@@ -26,7 +26,7 @@
             )
         })
         .collect();
-    near.sort_unstable_by_key(|(draw, _)| *draw);
-    let near = near.into_iter().take(NEAR_ENGINES);
-    near.map(|(_, engine)| engine.clone()).collect()
+    subset.sort_unstable_by_key(|(hash, _)| *hash);
+    let subset = subset.into_iter().take(SUBSET_SIZE);
+    subset.map(|(_, engine)| engine.clone()).collect()
 }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -23,35 +23,35 @@
 
 /// Time over which what an upstream told of the load that others put on it fades, in ms: a few
 /// times the length of a short answer, after which it describes other requests.
-const TOLD_FADES_MS: f64 = 400.0;
+const REPORTED_LOAD_DECAY_MS: f64 = 400.0;
 
 /// Weight of one answer in the moving average of an upstream's answers.
 const ANSWER_SMOOTHING: f64 = 0.2;
 
 /// Usual answers' time without any answer after which a plain service counts as silent.
-const SILENT_ANSWERS: f64 = 8.0;
+const SILENCE_ANSWERS: f64 = 8.0;
 
 /// Least time without any answer after which an upstream counts as silent, in ms.
-const SILENT_MS: u64 = 250;
+const MIN_SILENCE_MS: u64 = 250;
 
 /// Time for which an engine that rejected a request as having no room gets no other one, in ms: long
 /// enough that rejections, each of which counts as a repeat, stay a few a second; places come free in
 /// less.
-const REJECTING_MS: u64 = 500;
+const NO_CAPACITY_BACKOFF_MS: u64 = 500;
 
 /// Time without any answer after which an engine counts as silent, in ms: longer than it reads
 /// the longest prompt.
-const SILENT_ENGINE_MS: u64 = 1_500;
+const ENGINE_SILENCE_MS: u64 = 1_500;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Told {
-    others: f64,
+struct ReportedPeers {
+    requests: f64,
     at_ms: u64,
 }
 
 /// An order to change its stage that it has, or may have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Turning {
+struct RoleChange {
     stage: Stage,
     until_ms: u64,
     is_own: bool,
@@ -79,24 +79,24 @@
     pub is_spot: bool,
     /// Its connections.
     pub pool: Rc<Pool>,
-    is_looked_at: Cell<bool>,
+    is_health_check_running: Cell<bool>,
     clock: Clock,
     joined_ms: u64,
-    turning: Cell<Option<Turning>>,
-    rejecting_until_ms: Cell<u64>,
+    role_change: Cell<Option<RoleChange>>,
+    no_capacity_until_ms: Cell<u64>,
     standing: Cell<UpstreamState>,
     stage: Cell<Stage>,
     seq: Cell<u64>,
     unanswered: Cell<u32>,
-    sign_ms: Cell<u64>,
+    last_activity_ms: Cell<u64>,
     in_flight: Cell<u32>,
     queue: RefCell<PrefillQueue>,
     context_tokens: Cell<f64>,
     answer_ms: Cell<f64>,
-    told: Cell<Told>,
+    reported: Cell<ReportedPeers>,
     health: RefCell<Health>,
-    kept: RefCell<CachedParts>,
-    others: Cell<Option<Load>>,
+    cached_parts: RefCell<CachedParts>,
+    peer_load: Cell<Option<Load>>,
     limit: RefCell<RateLimit>,
 }
 
@@ -114,41 +114,41 @@
             slots: entry.slots.max(1),
             is_spot: entry.is_spot,
             pool: Pool::new(entry.address, clock),
-            is_looked_at: Cell::default(),
+            is_health_check_running: Cell::default(),
             joined_ms: clock.now_ms(),
-            turning: Cell::default(),
-            rejecting_until_ms: Cell::default(),
+            role_change: Cell::default(),
+            no_capacity_until_ms: Cell::default(),
             clock,
             standing: Cell::new(entry.state),
             stage: Cell::new(entry.stage),
             seq: Cell::new(entry.seq),
             unanswered: Cell::default(),
-            sign_ms: Cell::default(),
+            last_activity_ms: Cell::default(),
             in_flight: Cell::default(),
             queue: RefCell::default(),
             context_tokens: Cell::default(),
             answer_ms: Cell::new(0.0),
-            told: Cell::default(),
+            reported: Cell::default(),
             health: RefCell::default(),
-            kept: RefCell::default(),
-            others: Cell::default(),
+            cached_parts: RefCell::default(),
+            peer_load: Cell::default(),
             limit: RefCell::default(),
         }
     }
 
     /// It is to be found out whether it has ended; gives whether that was not under way already.
     pub fn begin_health_check(&self) -> bool {
-        !self.is_looked_at.replace(true)
+        !self.is_health_check_running.replace(true)
     }
 
     /// It was found out.
     pub fn end_health_check(&self) {
-        self.is_looked_at.set(false);
+        self.is_health_check_running.set(false);
     }
 
     /// Whether it is being found out if it has ended.
     pub fn is_health_check_running(&self) -> bool {
-        self.is_looked_at.get()
+        self.is_health_check_running.get()
     }
 
     /// Whether it gets new work.
@@ -164,7 +164,7 @@
     /// It was ordered to another stage, and is away until the list says that it is there or
     /// `for_ms` have passed; `is_own` if this instance ordered it.
     pub fn begin_role_change(&self, now_ms: u64, stage: Stage, for_ms: u64, is_own: bool) {
-        self.turning.set(Some(Turning {
+        self.role_change.set(Some(RoleChange {
             stage,
             until_ms: now_ms + for_ms,
             is_own,
@@ -173,33 +173,33 @@
 
     /// It was not ordered to another stage after all.
     pub fn cancel_role_change(&self) {
-        self.turning.set(None);
+        self.role_change.set(None);
     }
 
     /// Where it was ordered to by this instance, to be told to others.
     pub fn own_role_change(&self, now_ms: u64) -> Option<view::PendingRoleChange> {
-        let turning = self.turning(now_ms)?;
-        turning.is_own.then(|| view::PendingRoleChange {
+        let role_change = self.role_change(now_ms)?;
+        role_change.is_own.then(|| view::PendingRoleChange {
             upstream: self.key,
-            stage: turning.stage,
-            remaining_ms: (turning.until_ms - now_ms) as u32,
+            stage: role_change.stage,
+            remaining_ms: (role_change.until_ms - now_ms) as u32,
         })
     }
 
-    fn turning(&self, now_ms: u64) -> Option<Turning> {
-        let turning = self.turning.get()?;
-        (turning.stage != self.stage() && now_ms < turning.until_ms).then_some(turning)
+    fn role_change(&self, now_ms: u64) -> Option<RoleChange> {
+        let role_change = self.role_change.get()?;
+        (role_change.stage != self.stage() && now_ms < role_change.until_ms).then_some(role_change)
     }
 
     /// Whether it is on its way to another stage.
     pub fn is_changing_role(&self, now_ms: u64) -> bool {
-        self.turning(now_ms).is_some()
+        self.role_change(now_ms).is_some()
     }
 
     /// Its stage, or the one that it is on its way to.
     pub fn target_stage(&self, now_ms: u64) -> Stage {
-        let turning = self.turning(now_ms);
-        turning.map_or_else(|| self.stage(), |turning| turning.stage)
+        let role_change = self.role_change(now_ms);
+        role_change.map_or_else(|| self.stage(), |role_change| role_change.stage)
     }
 
     /// It rejected a generation as having no room.
@@ -207,7 +207,8 @@
     /// One that is turning rejects all that is new, and may do so for longer than was expected, or
     /// though nobody has told of its order.
     pub fn note_no_capacity(&self, now_ms: u64) {
-        self.rejecting_until_ms.set(now_ms + REJECTING_MS);
+        self.no_capacity_until_ms
+            .set(now_ms + NO_CAPACITY_BACKOFF_MS);
     }
 
     /// It rejected a step of a generation as not its own, so it does the other one by now.
@@ -292,30 +293,31 @@
 
     /// What others have outstanding here, by their word; nothing if nobody speaks for them.
     pub fn set_peer_load(&self, load: Option<Load>) {
-        self.others.set(load);
+        self.peer_load.set(load);
     }
 
-    fn others(&self) -> Load {
-        self.others.get().unwrap_or_default()
+    fn peer_load(&self) -> Load {
+        self.peer_load.get().unwrap_or_default()
     }
 
     /// Requests that it has: ours exactly, those of others as they told, or, without word from
     /// them, as it told itself with an answer.
     pub fn load(&self, now_ms: u64) -> f64 {
-        if let Some(others) = self.others.get() {
+        if let Some(others) = self.peer_load.get() {
             return f64::from(self.in_flight.get() + others.requests);
         }
-        let told = self.told.get();
-        let age_ms = now_ms.saturating_sub(told.at_ms) as f64;
-        f64::from(self.in_flight.get()) + told.others * (-age_ms / TOLD_FADES_MS).exp()
+        let reported = self.reported.get();
+        let age_ms = now_ms.saturating_sub(reported.at_ms) as f64;
+        f64::from(self.in_flight.get())
+            + reported.requests * (-age_ms / REPORTED_LOAD_DECAY_MS).exp()
     }
 
     /// It told its load, of which `own` were ours.
     pub fn note_reported_load(&self, now_ms: u64, load: ReportedLoad) {
         let all = f64::from(load.running + load.waiting);
         let others = (all - f64::from(self.in_flight.get())).max(0.0);
-        self.told.set(Told {
-            others,
+        self.reported.set(ReportedPeers {
+            requests: others,
             at_ms: now_ms,
         });
     }
@@ -327,7 +329,7 @@
 
     /// Whether it is fit for work.
     pub fn verdict(&self, now_ms: u64) -> HealthStatus {
-        if self.is_silent(now_ms) || now_ms < self.rejecting_until_ms.get() {
+        if self.is_silent(now_ms) || now_ms < self.no_capacity_until_ms.get() {
             return HealthStatus::Ejected;
         }
         self.health.borrow().status(now_ms)
@@ -340,16 +342,16 @@
     /// answers somebody in that time.
     fn is_silent(&self, now_ms: u64) -> bool {
         let longest_ms = match self.stage.get() {
-            Stage::Whole => (SILENT_ANSWERS * self.answer_ms.get()) as u64,
-            Stage::Prefill | Stage::Decode => SILENT_ENGINE_MS,
+            Stage::Whole => (SILENCE_ANSWERS * self.answer_ms.get()) as u64,
+            Stage::Prefill | Stage::Decode => ENGINE_SILENCE_MS,
         };
-        let longest_ms = longest_ms.max(SILENT_MS);
-        self.unanswered.get() > 0 && now_ms > self.sign_ms.get() + longest_ms
+        let longest_ms = longest_ms.max(MIN_SILENCE_MS);
+        self.unanswered.get() > 0 && now_ms > self.last_activity_ms.get() + longest_ms
     }
 
     /// It gave a sign of life at `now_ms`.
     pub fn note_activity(&self, now_ms: u64) {
-        self.sign_ms.set(now_ms);
+        self.last_activity_ms.set(now_ms);
     }
 
     /// No connection to it could be opened.
@@ -388,7 +390,7 @@
 
     /// Work of reading prompts that it has, whoever sent it.
     pub fn queued_tokens(&self) -> f64 {
-        self.queue.borrow().plus(&self.others().queue).total()
+        self.queue.borrow().plus(&self.peer_load().queue).total()
     }
 
     /// It has read, or been sent, a prompt part, where its memory has room for `room_tokens`.
@@ -399,24 +401,24 @@
         reading: PrefillProgress,
         room_tokens: f64,
     ) {
-        let running = self.context_tokens.get() + f64::from(self.others().context);
-        let mut kept = self.kept.borrow_mut();
-        kept.add(part, tokens, reading, room_tokens - running);
+        let running = self.context_tokens.get() + f64::from(self.peer_load().context);
+        let mut cached_parts = self.cached_parts.borrow_mut();
+        cached_parts.add(part, tokens, reading, room_tokens - running);
     }
 
     /// Tokens of a part that it is believed to hold or to be reading.
     pub fn cached_tokens(&self, part: u64) -> f64 {
-        self.kept.borrow().tokens(part)
+        self.cached_parts.borrow().tokens(part)
     }
 
     /// Tokens of a part that others can copy from it.
     pub fn copyable_tokens(&self, part: u64) -> f64 {
-        self.kept.borrow().copyable_tokens(part)
+        self.cached_parts.borrow().copyable_tokens(part)
     }
 
     /// The upstream as a placement of a prompt sees it that would wait there at a rank.
     pub fn view(&self, now_ms: u64, cached_tokens: f64, rank: u8) -> EngineView {
-        let others = self.others();
+        let others = self.peer_load();
         let queue = self.queue.borrow().plus(&others.queue);
         EngineView {
             queued_tokens: queue.tokens_up_to(rank),
--- a/crates/relay/src/upstream/in_flight.rs
+++ b/crates/relay/src/upstream/in_flight.rs
@@ -26,7 +26,7 @@
     upstream: Rc<Upstream>,
     tokens: Cell<f64>,
     work: Work,
-    is_answered: Cell<bool>,
+    has_head: Cell<bool>,
 }
 
 impl InFlight {
@@ -37,7 +37,7 @@
         }
         upstream.in_flight.set(upstream.in_flight.get() + 1);
         if upstream.unanswered.get() == 0 {
-            upstream.sign_ms.set(now_ms);
+            upstream.last_activity_ms.set(now_ms);
         }
         upstream.unanswered.set(upstream.unanswered.get() + 1);
         upstream
@@ -51,12 +51,12 @@
             upstream: Rc::clone(upstream),
             tokens: Cell::new(work.prefill_tokens),
             work,
-            is_answered: Cell::new(false),
+            has_head: Cell::new(false),
         }
     }
 
     /// Work of the request that is still to be read.
-    pub fn tokens(&self) -> f64 {
+    pub fn remaining_tokens(&self) -> f64 {
         self.tokens.get()
     }
 
@@ -68,7 +68,7 @@
     /// The answer's head has come.
     pub fn note_head(&self, now_ms: u64) {
         self.upstream.note_activity(now_ms);
-        if !self.is_answered.replace(true) {
+        if !self.has_head.replace(true) {
             let unanswered = self.upstream.unanswered.get();
             self.upstream.unanswered.set(unanswered.saturating_sub(1));
         }
@@ -84,7 +84,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.note_prefilled();
-        if !self.is_answered.get() {
+        if !self.has_head.get() {
             let now_ms = self.upstream.clock.now_ms();
             if self.upstream.is_silent(now_ms) {
                 // The silence must not be forgotten with the last request that waited in it.
--- a/crates/relay/src/upstream/prompt_cache.rs
+++ b/crates/relay/src/upstream/prompt_cache.rs
@@ -5,13 +5,13 @@
 /// Share of an engine's free memory that a belief about cached parts counts on; the rest goes to
 /// short prompts and output, of which nothing is noted. A belief of 1.1 did no better, one of 1.4 had
 /// half as much again read twice, since copies were asked for that were gone.
-const CACHE_SHARE: f64 = 0.85;
+const USABLE_MEMORY_FRACTION: f64 = 0.85;
 
 /// Parts shorter than this are read again sooner than remembered, in tokens.
 pub const MIN_CACHED_TOKENS: u32 = 200;
 
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct CachedPart {
     part: u64,
     tokens: f64,
     reading: PrefillProgress,
@@ -23,7 +23,7 @@
 /// costs a longer read, never a wrong answer.
 #[derive(Debug, Clone, Default)]
 pub struct CachedParts {
-    parts: Vec<Kept>,
+    parts: Vec<CachedPart>,
 }
 
 impl CachedParts {
@@ -32,18 +32,18 @@
         let at = self.parts.iter().position(|each| each.part == part);
         let known = at.map(|at| self.parts.remove(at).reading);
         let reading = known.map_or(reading, |known| known.max(reading));
-        self.parts.push(Kept {
+        self.parts.push(CachedPart {
             part,
             tokens,
             reading,
         });
         let mut held: f64 = self.parts.iter().map(|each| each.tokens).sum();
-        let mut yielding = 0;
-        while held > free_tokens * CACHE_SHARE && yielding + 1 < self.parts.len() {
-            held -= self.parts[yielding].tokens;
-            yielding += 1;
+        let mut evicted = 0;
+        while held > free_tokens * USABLE_MEMORY_FRACTION && evicted + 1 < self.parts.len() {
+            held -= self.parts[evicted].tokens;
+            evicted += 1;
         }
-        self.parts.drain(..yielding);
+        self.parts.drain(..evicted);
     }
 
     /// Tokens of a part; none if it is neither held nor being read.
@@ -62,7 +62,7 @@
         read.map_or(0.0, |each| each.tokens)
     }
 
-    fn find(&self, part: u64) -> Option<&Kept> {
+    fn find(&self, part: u64) -> Option<&CachedPart> {
         self.parts.iter().find(|each| each.part == part)
     }
 }
--- a/crates/relay/src/upstream/rate_limit.rs
+++ b/crates/relay/src/upstream/rate_limit.rs
@@ -4,25 +4,25 @@
 
 /// Time for which a limit holds after it was last named, whatever other answers say, in ms: an answer that names none may
 /// have been begun before it was named.
-const HELD_MS: u64 = 1_500;
+const MIN_HOLD_MS: u64 = 1_500;
 
 /// Time after which a limit that nobody has named again is forgotten, in ms: its users have nothing to send there, and what the
 /// others send tells them again.
-const FORGOTTEN_MS: u64 = 30_000;
+const EXPIRY_MS: u64 = 30_000;
 
 /// Time between two tellings of a limit that goes on being named, in ms; shorter than it is held.
-const TOLD_MS: u64 = 500;
+const GOSSIP_INTERVAL_MS: u64 = 500;
 
 /// What is known of an upstream's limit, and how much of it is left.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateLimit {
     per_s: Option<f64>,
     /// When it was last named, to anybody.
-    named_ms: u64,
+    observed_ms: u64,
     /// When it was last told to others.
-    told_ms: u64,
+    gossiped_ms: u64,
     /// Time of day of the word that counts.
-    word_ms: u64,
+    as_of_ms: u64,
     bucket: TokenBucket,
 }
 
@@ -38,14 +38,14 @@
 impl RateLimit {
     /// Requests a second that it takes from all instances together.
     pub fn per_s(&self, now_ms: u64) -> Option<f64> {
-        let is_known = now_ms < self.named_ms + FORGOTTEN_MS;
+        let is_known = now_ms < self.observed_ms + EXPIRY_MS;
         self.per_s.filter(|_| is_known)
     }
 
     /// An answer named a limit, or none, at `day_ms` of the fleet's time of day.
-    pub fn observe(&mut self, now_ms: u64, day_ms: u64, per_s: Option<f64>) -> LimitUpdate {
+    pub fn observe(&mut self, now_ms: u64, fleet_ms: u64, per_s: Option<f64>) -> LimitUpdate {
         let before = self.per_s(now_ms);
-        let is_held = before.is_some() && now_ms < self.named_ms + HELD_MS;
+        let is_held = before.is_some() && now_ms < self.observed_ms + MIN_HOLD_MS;
         if per_s.is_none() && (is_held || before.is_none()) {
             return LimitUpdate {
                 is_changed: false,
@@ -54,37 +54,37 @@
         }
         let is_changed = before != per_s;
         self.per_s = per_s;
-        self.named_ms = now_ms;
-        let is_due = is_changed || now_ms >= self.told_ms + TOLD_MS;
+        self.observed_ms = now_ms;
+        let is_due = is_changed || now_ms >= self.gossiped_ms + GOSSIP_INTERVAL_MS;
         if is_due {
-            self.told_ms = now_ms;
+            self.gossiped_ms = now_ms;
             // What was seen here counts, even where another one's time of day is ahead.
-            self.word_ms = day_ms.max(self.word_ms + 1);
+            self.as_of_ms = fleet_ms.max(self.as_of_ms + 1);
         }
         LimitUpdate {
             is_changed,
-            gossip_as_of_ms: is_due.then_some(self.word_ms),
+            gossip_as_of_ms: is_due.then_some(self.as_of_ms),
         }
     }
 
     /// Another instance was told so; gives whether that is news.
-    pub fn apply_from_peer(&mut self, now_ms: u64, word_ms: u64, per_s: Option<f64>) -> bool {
-        if word_ms <= self.word_ms {
+    pub fn apply_from_peer(&mut self, now_ms: u64, as_of_ms: u64, per_s: Option<f64>) -> bool {
+        if as_of_ms <= self.as_of_ms {
             return false;
         }
-        self.word_ms = word_ms;
+        self.as_of_ms = as_of_ms;
         self.per_s = per_s;
-        self.named_ms = now_ms;
+        self.observed_ms = now_ms;
         true
     }
 
     /// Whether a request may go there now, where this instance's part is `part_per_s`.
-    pub fn has_room(&mut self, now_ms: u64, part_per_s: f64) -> bool {
-        self.bucket.has_token(now_ms, part_per_s)
+    pub fn has_room(&mut self, now_ms: u64, share_per_s: f64) -> bool {
+        self.bucket.has_token(now_ms, share_per_s)
     }
 
     /// Takes the place of one request, if it may go there now.
-    pub fn take(&mut self, now_ms: u64, part_per_s: f64) -> bool {
-        self.bucket.try_take(now_ms, part_per_s)
+    pub fn take(&mut self, now_ms: u64, share_per_s: f64) -> bool {
+        self.bucket.try_take(now_ms, share_per_s)
     }
 }
--- a/crates/relay/src/urgency.rs
+++ b/crates/relay/src/urgency.rs
@@ -7,18 +7,18 @@
 
 /// First rank of what will be late. Engines know ten ranks; the six before it hold two for each of
 /// three priorities, so that no prompt goes behind one of a less urgent route.
-const LATE_RANK: u8 = 6;
+const FIRST_LATE_RANK: u8 = 6;
 
 /// The last rank that engines know.
 const LAST_RANK: u8 = 9;
 
 /// Prompts shorter than this are not ordered by length, in tokens: they are read in less time than
 /// their order could save.
-const ORDERED_TOKENS: f64 = 2_000.0;
+const MIN_ORDERED_TOKENS: f64 = 2_000.0;
 
 /// Length from which a prompt goes first, in usual lengths of its route: about the largest fifth
 /// of those that were seen.
-const LONG: f64 = 1.5;
+const LONG_PROMPT_RATIO: f64 = 1.5;
 
 /// Weight of one prompt in the usual length of its route.
 const SMOOTHING: f64 = 0.02;
@@ -40,9 +40,9 @@
         match self {
             Self::OnTime => {
                 let rank = priority.saturating_mul(2).saturating_add(yields.into());
-                rank.min(LATE_RANK - 1)
+                rank.min(FIRST_LATE_RANK - 1)
             }
-            Self::Late => priority.saturating_add(LATE_RANK).min(LAST_RANK),
+            Self::Late => priority.saturating_add(FIRST_LATE_RANK).min(LAST_RANK),
         }
     }
 }
@@ -58,6 +58,6 @@
     pub fn yields_to_longer(&mut self, tokens: f64) -> bool {
         let usual = self.tokens.unwrap_or(tokens);
         self.tokens = Some(usual + SMOOTHING * (tokens - usual));
-        tokens >= ORDERED_TOKENS && tokens < LONG * usual
+        tokens >= MIN_ORDERED_TOKENS && tokens < LONG_PROMPT_RATIO * usual
     }
 }
