--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -1,6 +1,6 @@
-//! Which upstream a request goes to, from what this instance sees of all.
+//! Chooses the upstreams that serve a request, from this instance's view of the fleet.
 //!
-//! The reckoning itself is in `plan`; here it is fed with the upstreams at hand.
+//! The cost model is in `plan`; this module collects its input and picks the cheapest candidate.
 
 use std::rc::Rc;
 
@@ -18,91 +18,92 @@
 use crate::upstream::{Stage, Upstream};
 use crate::urgency::Urgency;
 
-/// Prompts with fewer tokens to read are not worth reading apart and moving, in tokens: moving
-/// costs a request of its own and some ms of set-up.
+/// Shortest prompt that may be prefilled on a separate engine, in tokens. Transferring the KV cache
+/// takes another request and a few ms of setup, which shorter prompts do not repay.
 const MIN_DISAGGREGATED_TOKENS: f64 = 150.0;
 
-/// Time of a plain service's answer before any was seen, in ms: the usual work of the services
-/// served today.
+/// Assumed answer time of a service without generation until an answer has been observed, in ms.
 pub const DEFAULT_ANSWER_MS: f64 = 15.0;
 
-/// Part of an answer's time that a full set of places adds to it, before anything waits.
+/// Fraction by which answers take longer when all slots of an upstream are in use and nothing waits.
 const FULL_LOAD_SLOWDOWN: f64 = 0.3;
 
-/// Time that a place in a full batch takes to come free, in ms.
-const SLOT_WAIT_MS: f64 = 250.0;
+/// Time until a slot of a full batch becomes free, in ms.
+const SLOT_TURNOVER_MS: f64 = 250.0;
 
-/// Share of an objective up to which a prediction counts as on time.
+/// Fraction of the objective within which a predicted first event counts as on time.
 const ON_TIME_FRACTION: f64 = 1.0;
 
-/// How much more a prompt whose shared part nobody has read yet seems to cost where it is not at
-/// home, so that instances which see its first requests at once choose the same engine.
+/// Fraction of the prefill time that is added to the cost of an engine which caches nothing of the
+/// prompt and is not its affinity target. Instances that receive the first requests of a new prefix
+/// at the same time then choose the same engine.
 const NON_AFFINITY_PENALTY: f64 = 0.3;
 
-/// What a new connection weighs where engines are else alike, in ms: a round trip across zones and its
-/// set-up at the upstream, which is priced.
+/// Cost of opening a connection when engines are compared, in ms: a round trip between zones and the
+/// setup at the upstream, which is billed.
 const CONNECTION_COST_MS: f64 = 5.0;
 
-/// Share of the time left that a prediction may use up.
+/// Fraction of the remaining time that a prediction may use.
 const USABLE_TIME_FRACTION: f64 = 0.8;
 
-/// Time after which a caller is asked back when no upstream is there, in ms: the list of upstreams
-/// is read about twice in that time by the instances together.
+/// Retry delay sent to callers when no upstream is available, in ms. The instances together read the
+/// list of upstreams about twice in this time.
 const NO_UPSTREAM_RETRY_MS: f64 = 300.0;
 
-/// Bounds of the time after which a refused caller is asked back, in ms.
+/// Lower and upper bound of the retry delay sent with a refusal, in ms, before jitter.
 const RETRY_AFTER_BOUNDS_MS: (f64, f64) = (80.0, 900.0);
 
-/// Where a generation goes first.
+/// The engines chosen for a generation.
 #[derive(Clone)]
 pub enum Placement {
-    /// An engine reads the prompt, and another one makes the output from its KV cache.
+    /// One engine does the prefill; another one decodes from the transferred KV cache.
     Disaggregated(PrefillPlacement),
-    /// One engine does both.
+    /// One engine does both prefill and decode.
     Colocated(DecodePlacement),
 }
 
-/// Engine that reads a prompt.
+/// Choice of the engine that prefills a prompt for another one.
 #[derive(Clone)]
 pub struct PrefillPlacement {
     /// The engine.
     pub engine: Rc<Upstream>,
-    /// Engine from which it copies the prompt's start.
+    /// Engine from which it copies the cached prefix.
     pub copy_from: Option<Rc<Upstream>>,
-    /// Tokens of the prompt that it need not read.
+    /// Tokens of the prompt that are cached there, or will be after the copy.
     pub cached_tokens: f64,
-    /// Work of reading the rest there, in tokens.
+    /// Prefill work that remains, in tokens.
     pub prefill_tokens: f64,
-    /// Predicted time until it is read.
+    /// Predicted time until the prefill is complete.
     pub prefill: Prediction,
-    /// Whether it can be on time.
+    /// Whether the request can meet its objective.
     pub urgency: Urgency,
 }
 
-/// Engine that makes output.
+/// Choice of the engine that decodes, and prefills whatever it lacks of the prompt.
 #[derive(Clone)]
 pub struct DecodePlacement {
     /// The engine.
     pub engine: Rc<Upstream>,
-    /// Engine from which it copies the prompt's start.
+    /// Engine from which it copies the cached prefix.
     pub copy_from: Option<Rc<Upstream>>,
-    /// Tokens of the prompt that it need not read.
+    /// Tokens of the prompt that are cached there, or will be after the copy or transfer.
     pub cached_tokens: f64,
-    /// Work of reading what it then lacks of the prompt, in tokens.
+    /// Prefill work that remains, in tokens.
     pub prefill_tokens: f64,
     /// Predicted time to the first event.
     pub first_event: Prediction,
-    /// Whether it can be on time.
+    /// Whether the request can meet its objective.
     pub urgency: Urgency,
 }
 
-/// The engines of this instance among all of a stage.
-fn own_subset(relay: &Relay, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
+/// The subset of the given engines that this instance uses.
+fn own_subset(relay: &Relay, engines: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
     let own = InstanceKey::of(&relay.settings.borrow().name);
-    engine_subset(own, all, |engine| engine.id.as_str())
+    engine_subset(own, engines, |engine| engine.id.as_str())
 }
 
-/// Upstreams of a service that may be tried, the fit ones if there are any.
+/// Upstreams of the call's service in one of the given stages that have not been tried: the healthy
+/// ones, or all of them if none is healthy.
 fn candidates(relay: &Relay, call: &Call, tried: &[String], stages: &[Stage]) -> Vec<Rc<Upstream>> {
     let now_ms = relay.now_ms();
     let upstreams = relay.upstreams.borrow();
@@ -112,19 +113,20 @@
         .filter(|each| !each.is_changing_role(now_ms) && relay.has_rate_capacity(each))
         .cloned()
         .collect();
-    // A probe may meet a failing upstream, so only what can be repeated is spent on it.
+    // A probe may hit an upstream that still fails, so only repeatable requests are used as probes.
     let may_probe = call.route.is_retryable();
-    let fit = |each: &&Rc<Upstream>| match each.verdict(now_ms) {
+    let is_healthy = |each: &&Rc<Upstream>| match each.verdict(now_ms) {
         HealthStatus::Healthy => true,
         HealthStatus::Probe => may_probe,
         HealthStatus::Ejected => false,
     };
-    let fit: Vec<Rc<Upstream>> = all.iter().filter(fit).cloned().collect();
-    // A slow answer is better than none: with nobody fit, all are tried.
-    if fit.is_empty() { all } else { fit }
+    let healthy: Vec<Rc<Upstream>> = all.iter().filter(is_healthy).cloned().collect();
+    // A slow answer is better than none.
+    if healthy.is_empty() { all } else { healthy }
 }
 
-/// Chooses for a request that generates nothing.
+/// Chooses the upstream for a request that generates no text, or refuses it if the answer is
+/// predicted to come too late.
 pub fn choose_upstream(
     relay: &Relay,
     call: &Call,
@@ -146,7 +148,7 @@
             interference_ms: 0.0,
         }
     };
-    let Some((at, time)) = cheapest(all.iter().map(predicted)) else {
+    let Some((index, time)) = cheapest(all.iter().map(predicted)) else {
         return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_RETRY_MS));
     };
     let left_ms = call.left_ms(now_ms) as f64;
@@ -158,15 +160,14 @@
             time_ms - left_ms * USABLE_TIME_FRACTION,
         ));
     }
-    Ok(Rc::clone(&all[at]))
+    Ok(Rc::clone(&all[index]))
 }
 
-/// Chooses for a request that generates text, or refuses it if it would come too late.
+/// Chooses the engines for a generation, or refuses it if it would start too late.
 ///
-/// Load pattern: long prompts come at five times the usual rate for some seconds. In one queue
-/// all of them would be late. Those that can still start within their objective go first, and the
-/// others get what these leave, up to their deadlines; so as many are served, and more of them
-/// on time.
+/// In a burst of long prompts, a single queue would make every request late. Requests that can
+/// still meet their objective are therefore ranked first; the others use the remaining capacity
+/// until their deadline. The same number is served, and more of them on time.
 pub fn place_generation(
     relay: &Relay,
     call: &Call,
@@ -194,7 +195,7 @@
         if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), wait_ms = first.wait_ms, own_ms = first.processing_ms, latest_ms,
-                prompt_tokens = prompt.input_tokens, token_ms = relay.learned.pace(&call.service).token_ms();
+                prompt_tokens = prompt.input_tokens, token_ms = relay.learned.latency_model(&call.service).token_ms();
                 "would start too late"
             );
         }
@@ -204,32 +205,33 @@
     Ok(placement)
 }
 
-/// Counts what a request asks of the engines, whether it will be served or not.
+/// Records the prefill demand of a request, whether or not it will be served.
 ///
-/// Shared parts are left out. While caches are cold they are read everywhere, and the split that
-/// would suit those seconds is wrong for all that follow.
+/// Shared parts are left out: while caches are cold every engine prefills them, and a role split
+/// computed from that demand would be wrong as soon as the caches are warm.
 fn record_demand(relay: &Relay, call: &Call, prompt: &Prompt) {
     let tokens = f64::from(prompt.input_tokens);
-    let own_tokens = prompt
+    let unshared_tokens = prompt
         .parts
         .last()
         .map_or(tokens, |own| f64::from(own.tokens));
-    let read_ms =
-        work_tokens(tokens, tokens - own_tokens) * relay.learned.pace(&call.service).token_ms();
+    let prefill_ms = work_tokens(tokens, tokens - unshared_tokens)
+        * relay.learned.latency_model(&call.service).token_ms();
     relay
         .role_orders
-        .record_demand(&call.service, relay.now_ms(), read_ms);
+        .record_demand(&call.service, relay.now_ms(), prefill_ms);
 }
 
-/// Counts where a prompt is read, what is held of it there, and the wait that is expected.
+/// Updates the metrics of a placement: where the prompt is prefilled, how its prefix is cached
+/// there, and the predicted wait.
 fn record_placement(relay: &Relay, call: &Call, placement: &Placement, first: &Prediction) {
-    let (read, copies, held_tokens) = match placement {
-        Placement::Disaggregated(reader) => {
-            ("apart", reader.copy_from.is_some(), reader.cached_tokens)
+    let (read, is_copied, cached_tokens) = match placement {
+        Placement::Disaggregated(prefill) => {
+            ("apart", prefill.copy_from.is_some(), prefill.cached_tokens)
         }
-        Placement::Colocated(maker) => ("whole", maker.copy_from.is_some(), maker.cached_tokens),
+        Placement::Colocated(decode) => ("whole", decode.copy_from.is_some(), decode.cached_tokens),
     };
-    let held = match (copies, held_tokens > 0.0) {
+    let held = match (is_copied, cached_tokens > 0.0) {
         (true, _) => "copied",
         (false, true) => "there",
         (false, false) => "nowhere",
@@ -244,6 +246,8 @@
     wait.observe(first.wait_ms / 1_000.0);
 }
 
+/// The cheaper of a colocated and a disaggregated placement, with the predicted time to the first
+/// event.
 fn cheaper_placement(
     relay: &Relay,
     call: &Call,
@@ -251,86 +255,90 @@
     tried: &[String],
     urgency: Urgency,
 ) -> Result<(Placement, Prediction), Refusal> {
-    let whole = choose_decode_engine(relay, call, prompt, tried, false, urgency)?;
+    let colocated = choose_decode_engine(relay, call, prompt, tried, false, urgency)?;
     let tokens = f64::from(prompt.input_tokens);
-    let apart = (tokens >= MIN_DISAGGREGATED_TOKENS)
+    let prefill = (tokens >= MIN_DISAGGREGATED_TOKENS)
         .then(|| choose_prefill_engine(relay, call, prompt, tried, urgency))
         .flatten();
-    let after = choose_decode_engine(relay, call, prompt, tried, true, urgency)?.first_event;
-    // What a part displaces at the engine that reads apart decides among such engines only. Counted
-    // here it would send more reads beside output, where they make short answers late.
-    let first_of = |reader: &PrefillPlacement| Prediction {
-        wait_ms: reader.prefill.wait_ms + after.wait_ms,
-        processing_ms: reader.prefill.processing_ms + after.processing_ms,
-        interference_ms: after.interference_ms,
+    let decode = choose_decode_engine(relay, call, prompt, tried, true, urgency)?.first_event;
+    // Interference at the prefill engine only serves to choose among prefill engines. Counting it
+    // here would move prefills to decode engines, where they delay short answers.
+    let first_event = |placement: &PrefillPlacement| Prediction {
+        wait_ms: placement.prefill.wait_ms + decode.wait_ms,
+        processing_ms: placement.prefill.processing_ms + decode.processing_ms,
+        interference_ms: decode.interference_ms,
     };
-    let apart = apart.map(|reader| (first_of(&reader), reader));
-    Ok(match apart {
-        Some((first, reader)) if first.cost_ms() < whole.first_event.cost_ms() => {
-            (Placement::Disaggregated(reader), first)
+    let disaggregated = prefill.map(|placement| (first_event(&placement), placement));
+    Ok(match disaggregated {
+        Some((first, placement)) if first.cost_ms() < colocated.first_event.cost_ms() => {
+            (Placement::Disaggregated(placement), first)
         }
         _ => {
-            let first = whole.first_event;
-            (Placement::Colocated(whole), first)
+            let first = colocated.first_event;
+            (Placement::Colocated(colocated), first)
         }
     })
 }
 
-/// Chooses the engine that makes the output, for a prompt that was read or not.
+/// Chooses the engine that decodes. `is_prefilled` tells whether the prompt's KV cache will be
+/// transferred there, so that no prefill is left to do.
 ///
-/// After a prompt was read apart this is asked again: reading takes up to seconds in a rush, and
-/// an engine that looked best before may be leaving by then.
+/// Called again after a separate prefill, which can take seconds under load; the engine that was
+/// best before may be leaving by then.
 pub fn choose_decode_engine(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     tried: &[String],
-    is_read: bool,
+    is_prefilled: bool,
     urgency: Urgency,
 ) -> Result<DecodePlacement, Refusal> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
-    let pace = relay.learned.pace(&call.service);
-    let makers = own_subset(
+    let model = relay.learned.latency_model(&call.service);
+    let engines = own_subset(
         relay,
         &candidates(relay, call, tried, &[Stage::Decode, Stage::Whole]),
     );
-    let ask = DecodeRequest {
+    let decode_request = DecodeRequest {
         prompt_tokens: tokens,
-        slot_turnover_ms: SLOT_WAIT_MS,
+        slot_turnover_ms: SLOT_TURNOVER_MS,
         gap_goal_ms: call.route.gap_goal_ms as f64,
         event_tokens: f64::from(relay.engine_limits(&call.service).event_tokens.max(1)),
     };
     let holders = PrefixHolders::of(relay, call, prompt);
     let rank = call.rank(urgency);
-    let start = |each: &Rc<Upstream>| {
-        if is_read {
+    let cached = |each: &Rc<Upstream>| {
+        if is_prefilled {
             CachedPrefix::whole_prompt(each, prompt)
         } else {
             holders.best_at(each, prompt)
         }
     };
     let predicted = |each: &Rc<Upstream>| {
-        let mut first = pace.predict_decode(&start(each).engine_view(each, now_ms, rank), &ask);
+        let mut first = model.predict_decode(
+            &cached(each).engine_view(each, now_ms, rank),
+            &decode_request,
+        );
         first.interference_ms += connection_cost_ms(each);
         first
     };
-    let Some((at, first)) = cheapest(makers.iter().map(predicted)) else {
+    let Some((index, first)) = cheapest(engines.iter().map(predicted)) else {
         return Err(refuse(call, Reason::NoUpstream, NO_UPSTREAM_RETRY_MS));
     };
-    let engine = Rc::clone(&makers[at]);
-    let start = start(&engine);
+    let engine = Rc::clone(&engines[index]);
+    let cached = cached(&engine);
     Ok(DecodePlacement {
-        prefill_tokens: work_tokens(tokens, start.tokens),
-        copy_from: start.copy_from,
-        cached_tokens: start.tokens,
+        prefill_tokens: work_tokens(tokens, cached.tokens),
+        copy_from: cached.copy_from,
+        cached_tokens: cached.tokens,
         engine,
         first_event: first,
         urgency,
     })
 }
 
-/// What opening a connection costs the upstream and the callers, who pay for it.
+/// Cost of the connection that a request needs; zero if an idle one is open.
 fn connection_cost_ms(upstream: &Upstream) -> f64 {
     if upstream.pool.has_idle() {
         0.0
@@ -339,7 +347,10 @@
     }
 }
 
-/// Chooses the engine that reads a prompt apart.
+/// Chooses the engine for a separate prefill, if there is one.
+///
+/// Candidates are this instance's subset, the prompt's affinity target, and the engines that cache
+/// a prefix of it.
 fn choose_prefill_engine(
     relay: &Relay,
     call: &Call,
@@ -349,46 +360,48 @@
 ) -> Option<PrefillPlacement> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
-    let pace = relay.learned.pace(&call.service);
+    let model = relay.learned.latency_model(&call.service);
     let all = candidates(relay, call, tried, &[Stage::Prefill]);
     let affinity_target = affinity_target(&all, prompt).map(|each| each.id.clone());
     let holders = PrefixHolders::of(relay, call, prompt);
     let rank = call.rank(urgency);
-    let mut readers = own_subset(relay, &all);
-    let is_near = |each: &Rc<Upstream>| readers.iter().any(|near| near.id == each.id);
-    let meets = |each: &&Rc<Upstream>| {
+    let mut engines = own_subset(relay, &all);
+    let is_in_subset = |each: &Rc<Upstream>| engines.iter().any(|own| own.id == each.id);
+    let has_affinity = |each: &&Rc<Upstream>| {
         Some(&each.id) == affinity_target.as_ref() || holds_prefix(each, prompt)
     };
-    let others = all.iter().filter(meets).filter(|each| !is_near(each));
+    let others = all
+        .iter()
+        .filter(has_affinity)
+        .filter(|each| !is_in_subset(each));
     let others: Vec<Rc<Upstream>> = others.cloned().collect();
-    readers.extend(others);
-    let all = readers;
+    engines.extend(others);
     let predicted = |each: &Rc<Upstream>| {
-        let start = holders.best_at(each, prompt);
-        let mut read = pace.predict_prefill(&start.engine_view(each, now_ms, rank), tokens);
-        read.interference_ms += connection_cost_ms(each);
-        if start.tokens == 0.0 && Some(&each.id) != affinity_target.as_ref() {
-            read.interference_ms += read.processing_ms * NON_AFFINITY_PENALTY;
+        let cached = holders.best_at(each, prompt);
+        let mut prefill = model.predict_prefill(&cached.engine_view(each, now_ms, rank), tokens);
+        prefill.interference_ms += connection_cost_ms(each);
+        if cached.tokens == 0.0 && Some(&each.id) != affinity_target.as_ref() {
+            prefill.interference_ms += prefill.processing_ms * NON_AFFINITY_PENALTY;
         }
-        read
+        prefill
     };
-    let (at, read) = cheapest(all.iter().map(predicted))?;
-    let engine = Rc::clone(&all[at]);
-    let start = holders.best_at(&engine, prompt);
+    let (index, prefill) = cheapest(engines.iter().map(predicted))?;
+    let engine = Rc::clone(&engines[index]);
+    let cached = holders.best_at(&engine, prompt);
     Some(PrefillPlacement {
-        prefill_tokens: work_tokens(tokens, start.tokens),
-        copy_from: start.copy_from,
-        cached_tokens: start.tokens,
+        prefill_tokens: work_tokens(tokens, cached.tokens),
+        copy_from: cached.copy_from,
+        cached_tokens: cached.tokens,
         engine,
-        prefill: read,
+        prefill,
         urgency,
     })
 }
 
-/// A refusal, with the time after which a place is expected.
+/// Builds a refusal with a retry delay of about `wait_ms`, after which capacity is expected.
 ///
-/// The time is stretched by up to a half from the request's own draw, so that callers who were
-/// refused together do not come back together.
+/// The delay is lengthened by up to half, by the hash of the attempt's id, so that callers that were
+/// refused together do not retry together.
 fn refuse(call: &Call, reason: Reason, wait_ms: f64) -> Refusal {
     let spread = 1.0 + (call.id_hash % 512) as f64 / 1_024.0;
     let wait_ms = wait_ms.clamp(RETRY_AFTER_BOUNDS_MS.0, RETRY_AFTER_BOUNDS_MS.1) * spread;
