--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -1,9 +1,10 @@
-//! What is noted when a connection ends under a request.
+//! Failure attribution: what a connection that ended under a request says about request and upstream.
 //!
-//! A loss alone says little: an upstream may have closed one connection, or have ended with all of them. Only
-//! the second is held against a request that meets it twice (`view::poison`), so it is found out at once by
-//! opening another connection. One that is opened serves the next request; one that is refused spares the
-//! next request the finding out.
+//! A lost answer alone proves little, since the upstream may have closed just that connection. If the
+//! whole upstream ended, and it happens again to the same request, the request may be what ends
+//! upstreams (`view::poison`). A health check therefore opens another connection at once. If that
+//! succeeds, the connection serves the next request; if not, the upstream counts as unreachable
+//! before the next request tries it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,14 +18,14 @@
 use crate::send::{max_connections_to, note_exchange_error};
 use crate::upstream::Upstream;
 
-/// Time between two glances at a look that is under way, in ms: a look takes one round trip.
+/// Poll interval while a health check is running, in ms. A check takes about one round trip.
 const HEALTH_CHECK_POLL_MS: u64 = 2;
 
-/// Refuses a request under which upstreams end.
+/// Refuses a poison request, that is one that ends the upstreams which run it.
 ///
-/// Asked before each send, since a prompt may wait for seconds between two of them, in which other instances learn
-/// what it is. A request whose second upstream broke off just now waits until it is known whether that one has
-/// ended, a round trip as a rule; it would take a third one along in that time.
+/// Called before each send: a prompt may wait for seconds between two sends, and other instances may
+/// have identified it meanwhile. If the connection to a second upstream was lost just now, this waits
+/// until the health check of that upstream is complete; otherwise the request could end a third one.
 pub async fn ensure_not_poison(relay: &Relay, call: &Call) -> Result<(), Refusal> {
     while relay.is_attribution_pending(call) {
         actix_rt::time::sleep(Duration::from_millis(HEALTH_CHECK_POLL_MS)).await;
@@ -32,31 +33,33 @@
     relay.check_poison(call)
 }
 
-/// An upstream's connection ended under a request, without a whole answer.
+/// Records that a connection ended under a request before the answer was complete, and starts a
+/// health check of the upstream unless one is running.
 pub fn note_lost_answer(relay: &Rc<Relay>, call: &Call, upstream: &Rc<Upstream>) {
     relay.record_attribution(FailureEvidence::Lost {
         request: call.key,
         upstream: upstream.key,
     });
-    // An engine ends with dozens of answers; one look is enough for all.
+    // An engine that ends loses dozens of answers at once; one check is enough for all of them.
     if !upstream.begin_health_check() {
         return;
     }
-    let most = max_connections_to(relay, &call.service);
+    let max_open = max_connections_to(relay, &call.service);
     let (relay, upstream) = (Rc::clone(relay), Rc::clone(upstream));
     actix_rt::spawn(async move {
-        check_health(&relay, &upstream, most).await;
+        check_health(&relay, &upstream, max_open).await;
         upstream.end_health_check();
     });
 }
 
-async fn check_health(relay: &Relay, upstream: &Upstream, most: usize) {
-    let Err(fault) = upstream.pool.warm_up(most).await else {
+/// Opens a connection; if that fails, reports to the failure attribution that the upstream has ended.
+async fn check_health(relay: &Relay, upstream: &Upstream, max_open: usize) {
+    let Err(error) = upstream.pool.warm_up(max_open).await else {
         return;
     };
-    note_exchange_error(relay, upstream, &fault);
-    if let ExchangeError::Connect { .. } = fault {
-        log::info!(upstream = upstream.id, fault:%; "upstream has ended");
+    note_exchange_error(relay, upstream, &error);
+    if let ExchangeError::Connect { .. } = error {
+        log::info!(upstream = upstream.id, fault:% = error; "upstream has ended");
         relay.record_attribution(FailureEvidence::Ended(upstream.key));
     }
 }
--- a/crates/relay/src/retry.rs
+++ b/crates/relay/src/retry.rs
@@ -1,84 +1,86 @@
-//! What follows a send that brought no answer: another one, or a refusal that is true.
+//! Decides whether a request is retried or refused after a send that brought no answer.
 //!
-//! Load pattern: an upstream dies under a hundred claims. Some had not been sent, some were
-//! rejected, and of the rest nobody knows. The first two may be refused as not run, or sent again
-//! where the route allows it; the last must not be, however short the answer was in coming.
+//! When an upstream dies under many requests, some were not sent, some were rejected, and the rest
+//! may have run. The first two kinds may be refused as not run, or retried. A request that may have
+//! run must never be refused as not run, and is retried only if it is repeatable.
 
 use crate::answer::{Reason, Refusal};
 
-/// Upstreams to which no connection could be opened before a request is refused: nothing was
-/// sent, so trying is free but for its time.
+/// Number of unreachable upstreams after which a request is refused. Nothing was sent to them, so
+/// these attempts cost only time and need no retry budget.
 const MAX_UNREACHABLE: u32 = 3;
 
-/// Time after which a caller whose request was rejected unrun is asked back, in ms: a few times
-/// the length of a short request, after which a place may be free.
+/// Retry delay sent to a caller whose request upstreams rejected or did not receive, in ms: a few
+/// times the duration of a short request, after which a slot may be free.
 const REJECTED_RETRY_MS: u64 = 120;
 
-/// How a send ended that brought no answer.
+/// How a send without an answer failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendFailure {
     /// Nothing reached the upstream.
     Unsent,
-    /// The upstream rejected it unrun.
+    /// The upstream rejected the request without running it.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Lost,
 }
 
-/// What is known of the request.
+/// Facts about the request that the decision depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryContext {
     /// Whether it may run more than once.
     pub is_repeatable: bool,
-    /// Whether an earlier send of it may have run.
+    /// Whether one of its sends may have run.
     pub may_have_run: bool,
-    /// Upstreams that could not be reached, this one included.
+    /// Number of upstreams that could not be reached, including the last one.
     pub unreached: u32,
 }
 
-/// What follows.
+/// What to do after a failed send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It is sent to another upstream.
+    /// Send the request to another upstream.
     Retry,
-    /// It is refused, or ends with an error.
+    /// Answer the caller with this refusal or error.
     Refuse(Refusal),
 }
 
-/// A refusal as it may be given to a request of which a send may have run.
+/// Replaces a refusal that promises "not run" by [`Reason::Lost`] if a send may have run.
 ///
-/// Placing a second try can fail for want of an upstream or of time. Its refusal says that the
-/// request has not run, which is true of that try and not of the first; the caller would then
-/// take an effect that it had for one that it had not.
-pub fn without_false_not_run(refused: Refusal, may_have_run: bool) -> Refusal {
-    if may_have_run && refused.reason.says_not_run() {
+/// Placing a retry can fail for lack of an upstream or of time. Such a refusal is true of the retry
+/// but not of the first send: the caller would believe that an effect which took place did not.
+pub fn without_false_not_run(refusal: Refusal, may_have_run: bool) -> Refusal {
+    if may_have_run && refusal.reason.says_not_run() {
         return Refusal::new(Reason::Lost);
     }
-    refused
+    refusal
 }
 
-/// Decides what follows; `may_repeat` takes one more send from the route and the budget.
+/// Decides whether to retry after a failed send.
+///
+/// `may_retry` checks the route's maximum of attempts and takes one retry from the budget. It is not
+/// called for an unreachable upstream, which received nothing.
 pub fn decide(
-    outcome: SendFailure,
-    facts: &RetryContext,
-    may_repeat: impl Fn() -> bool,
+    failure: SendFailure,
+    context: &RetryContext,
+    may_retry: impl Fn() -> bool,
 ) -> RetryDecision {
-    match outcome {
-        SendFailure::Unsent if facts.unreached < MAX_UNREACHABLE => RetryDecision::Retry,
-        SendFailure::NotRun if may_repeat() => RetryDecision::Retry,
-        SendFailure::Lost if facts.is_repeatable && may_repeat() => RetryDecision::Retry,
+    match failure {
+        SendFailure::Unsent if context.unreached < MAX_UNREACHABLE => RetryDecision::Retry,
+        SendFailure::NotRun if may_retry() => RetryDecision::Retry,
+        SendFailure::Lost if context.is_repeatable && may_retry() => RetryDecision::Retry,
         SendFailure::Lost => RetryDecision::Refuse(Refusal::new(Reason::Lost)),
-        SendFailure::Unsent => refuse(Reason::NoUpstream, facts.may_have_run),
-        SendFailure::NotRun => refuse(Reason::Rejected, facts.may_have_run),
+        SendFailure::Unsent => refuse(Reason::NoUpstream, context.may_have_run),
+        SendFailure::NotRun => refuse(Reason::Rejected, context.may_have_run),
     }
 }
 
-/// Refuses a request that upstreams rejected, where no further repeat is allowed.
+/// Refuses a request that upstreams rejected and that may not be retried.
 pub fn refuse_rejected() -> Refusal {
     Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_MS)
 }
 
 fn refuse(reason: Reason, may_have_run: bool) -> RetryDecision {
-    let refused = Refusal::with_retry_after(reason, REJECTED_RETRY_MS);
-    RetryDecision::Refuse(without_false_not_run(refused, may_have_run))
+    let refusal = Refusal::with_retry_after(reason, REJECTED_RETRY_MS);
+    RetryDecision::Refuse(without_false_not_run(refusal, may_have_run))
 }
