--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,4 +1,5 @@
-//! One incarnation of an upstream, and what this instance has seen of it.
+//! One incarnation of an upstream: its connections, load, health and cached prompt parts as seen by
+//! this instance.
 
 mod in_flight;
 mod prompt_cache;
@@ -21,35 +22,37 @@
     Load, PrefillProgress, PrefillQueue, RANKS, Stage, UpstreamEntry, UpstreamKey, UpstreamState,
 };
 
-/// Time over which what an upstream told of the load that others put on it fades, in ms: a few
-/// times the length of a short answer, after which it describes other requests.
+/// Time constant by which the load that an upstream reported decays, in ms: a few times the duration
+/// of a short answer, after which most of the reported requests have ended.
 const REPORTED_LOAD_DECAY_MS: f64 = 400.0;
 
-/// Weight of one answer in the moving average of an upstream's answers.
+/// Weight of the latest answer in the moving average of an upstream's answer times.
 const ANSWER_SMOOTHING: f64 = 0.2;
 
-/// Usual answers' time without any answer after which a plain service counts as silent.
+/// Average answer times without any answer after which an upstream outside generation counts as
+/// silent.
 const SILENCE_ANSWERS: f64 = 8.0;
 
-/// Least time without any answer after which an upstream counts as silent, in ms.
+/// Lower bound on the time without any answer after which an upstream counts as silent, in ms.
 const MIN_SILENCE_MS: u64 = 250;
 
-/// Time for which an engine that rejected a request as having no room gets no other one, in ms: long
-/// enough that rejections, each of which counts as a repeat, stay a few a second; places come free in
-/// less.
+/// Time for which an engine that rejected a request for lack of capacity gets no other one, in ms.
+/// Each rejection counts against the retry budget; this limits them to a few a second. Slots become
+/// free in less time.
 const NO_CAPACITY_BACKOFF_MS: u64 = 500;
 
-/// Time without any answer after which an engine counts as silent, in ms: longer than it reads
+/// Time without any answer after which an engine counts as silent, in ms: longer than the prefill of
 /// the longest prompt.
 const ENGINE_SILENCE_MS: u64 = 1_500;
 
+/// Requests of other instances, derived from the load that the upstream reported.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReportedPeers {
     requests: f64,
     at_ms: u64,
 }
 
-/// An order to change its stage that it has, or may have.
+/// A role change that was ordered and that the list of upstreams does not show yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct RoleChange {
     stage: Stage,
@@ -57,34 +60,34 @@
     is_own: bool,
 }
 
-/// An upstream with its connections and what was seen of it.
+/// One incarnation of an upstream.
 pub struct Upstream {
-    /// Its id, which a restart may keep.
+    /// Its id. A restarted upstream may come back under the same one.
     pub id: String,
-    /// When the incarnation started, by its own clock.
+    /// Start of the incarnation, on the upstream's clock, in ms.
     pub born_ms: u64,
-    /// Its short name among instances.
+    /// Short key that identifies the incarnation in gossip.
     pub key: UpstreamKey,
-    /// Service that it runs.
+    /// Service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Time of one way to it, in ms.
+    /// One-way network latency, in ms.
     pub distance_ms: f64,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently; at least 1.
     pub slots: u32,
-    /// Whether it may be taken back at short notice.
+    /// Whether its machine may be reclaimed at short notice.
     pub is_spot: bool,
-    /// Its connections.
+    /// Connections to it.
     pub pool: Rc<Pool>,
     is_health_check_running: Cell<bool>,
     clock: Clock,
     joined_ms: u64,
     role_change: Cell<Option<RoleChange>>,
     no_capacity_until_ms: Cell<u64>,
-    standing: Cell<UpstreamState>,
+    state: Cell<UpstreamState>,
     stage: Cell<Stage>,
     seq: Cell<u64>,
     unanswered: Cell<u32>,
@@ -101,7 +104,7 @@
 }
 
 impl Upstream {
-    /// An upstream that was just heard of.
+    /// Creates the state of an upstream that has just appeared in the list.
     pub fn new(entry: &UpstreamEntry, distance_ms: f64, clock: Clock) -> Self {
         Self {
             id: entry.id.clone(),
@@ -119,7 +122,7 @@
             role_change: Cell::default(),
             no_capacity_until_ms: Cell::default(),
             clock,
-            standing: Cell::new(entry.state),
+            state: Cell::new(entry.state),
             stage: Cell::new(entry.stage),
             seq: Cell::new(entry.seq),
             unanswered: Cell::default(),
@@ -136,33 +139,34 @@
         }
     }
 
-    /// It is to be found out whether it has ended; gives whether that was not under way already.
+    /// Marks a health check as running; false if one already was.
     pub fn begin_health_check(&self) -> bool {
         !self.is_health_check_running.replace(true)
     }
 
-    /// It was found out.
+    /// Marks the health check as complete.
     pub fn end_health_check(&self) {
         self.is_health_check_running.set(false);
     }
 
-    /// Whether it is being found out if it has ended.
+    /// Whether a health check is running.
     pub fn is_health_check_running(&self) -> bool {
         self.is_health_check_running.get()
     }
 
-    /// Whether it gets new work.
+    /// Whether it accepts new requests according to the list.
     pub fn is_ready(&self) -> bool {
-        self.standing.get() == UpstreamState::Ready
+        self.state.get() == UpstreamState::Ready
     }
 
-    /// What it does of a generation.
+    /// The part of a generation that it runs.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// It was ordered to another stage, and is away until the list says that it is there or
-    /// `for_ms` have passed; `is_own` if this instance ordered it.
+    /// Records that a role change to `stage` was ordered, by this instance if `is_own`.
+    ///
+    /// The upstream gets no requests until the list shows the new stage or `for_ms` have passed.
     pub fn begin_role_change(&self, now_ms: u64, stage: Stage, for_ms: u64, is_own: bool) {
         self.role_change.set(Some(RoleChange {
             stage,
@@ -171,12 +175,12 @@
         }));
     }
 
-    /// It was not ordered to another stage after all.
+    /// Forgets a role change that was not ordered after all.
     pub fn cancel_role_change(&self) {
         self.role_change.set(None);
     }
 
-    /// Where it was ordered to by this instance, to be told to others.
+    /// The pending role change that this instance ordered, for gossip.
     pub fn own_role_change(&self, now_ms: u64) -> Option<view::PendingRoleChange> {
         let role_change = self.role_change(now_ms)?;
         role_change.is_own.then(|| view::PendingRoleChange {
@@ -191,30 +195,30 @@
         (role_change.stage != self.stage() && now_ms < role_change.until_ms).then_some(role_change)
     }
 
-    /// Whether it is on its way to another stage.
+    /// Whether a role change is pending.
     pub fn is_changing_role(&self, now_ms: u64) -> bool {
         self.role_change(now_ms).is_some()
     }
 
-    /// Its stage, or the one that it is on its way to.
+    /// The stage after the pending role change, or the current stage if none is pending.
     pub fn target_stage(&self, now_ms: u64) -> Stage {
         let role_change = self.role_change(now_ms);
         role_change.map_or_else(|| self.stage(), |role_change| role_change.stage)
     }
 
-    /// It rejected a generation as having no room.
+    /// Records that it rejected a generation for lack of capacity, and ejects it for a short time.
     ///
-    /// One that is turning rejects all that is new, and may do so for longer than was expected, or
-    /// though nobody has told of its order.
+    /// An engine also rejects all new requests during a role change. That may take longer than
+    /// expected, or its order may be unknown here.
     pub fn note_no_capacity(&self, now_ms: u64) {
         self.no_capacity_until_ms
             .set(now_ms + NO_CAPACITY_BACKOFF_MS);
     }
 
-    /// It rejected a step of a generation as not its own, so it does the other one by now.
+    /// Switches between prefill and decode after the engine rejected a request as not for its stage.
     ///
-    /// The list tells a change of stage only once its store can be read again; until then each
-    /// request that was sent there would be rejected and count as a repeat.
+    /// While the store is unavailable the list does not show the role change. Without this, each
+    /// request sent there would be rejected and count against the retry budget.
     pub fn assume_other_stage(&self) {
         self.stage.set(match self.stage.get() {
             Stage::Prefill => Stage::Decode,
@@ -223,28 +227,28 @@
         });
     }
 
-    /// Time since it was first heard of.
+    /// Time since this instance first saw it, in ms.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.joined_ms)
     }
 
-    /// Takes over what the list says now; gives whether anything changed.
+    /// Applies a list entry of this incarnation; returns whether its state or stage changed.
     ///
-    /// An entry that was written earlier may come later. It is passed over, and an incarnation
-    /// that was leaving stays so, or the old entry would bring it new work.
+    /// Entries can arrive out of order. An older one is ignored, and an incarnation that is leaving
+    /// never becomes ready again; otherwise an old entry would bring it new requests.
     pub fn update(&self, entry: &UpstreamEntry) -> bool {
         if entry.seq < self.seq.get() {
             return false;
         }
         self.seq.set(entry.seq);
-        let leaves = self.is_ready() && entry.state == UpstreamState::Leaving;
-        if leaves {
+        let is_leaving = self.is_ready() && entry.state == UpstreamState::Leaving;
+        if is_leaving {
             self.leave();
         }
-        leaves || self.stage.replace(entry.stage) != entry.stage
+        is_leaving || self.stage.replace(entry.stage) != entry.stage
     }
 
-    /// What the list says of it, as far as it was taken over.
+    /// Its list entry, as far as it has been applied.
     pub fn entry(&self) -> UpstreamEntry {
         UpstreamEntry {
             id: self.id.clone(),
@@ -253,35 +257,35 @@
             address: self.address,
             zone: self.zone.clone(),
             slots: self.slots,
-            state: self.standing.get(),
+            state: self.state.get(),
             stage: self.stage.get(),
             seq: self.seq.get(),
             is_spot: self.is_spot,
         }
     }
 
-    /// It gets no new work from now on.
+    /// Stops new requests to it and closes its connections as they become idle.
     pub fn leave(&self) {
-        self.standing.set(UpstreamState::Leaving);
+        self.state.set(UpstreamState::Leaving);
         self.pool.close();
     }
 
-    /// The latest entry of it that was taken over.
+    /// Sequence number of the latest entry that was applied.
     pub fn seq(&self) -> u64 {
         self.seq.get()
     }
 
-    /// Requests of ours that it has.
+    /// Requests of this instance in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
 
-    /// Requests of ours whose output it is making: those that wait or are read there are left out.
+    /// Requests of this instance that have passed prefill there and are in decode.
     pub fn decoding(&self) -> u32 {
         self.in_flight.get().saturating_sub(self.unanswered.get())
     }
 
-    /// What this instance has outstanding here, to be told to others.
+    /// This instance's load on it, for gossip; empty if nothing is in flight.
     pub fn outstanding(&self) -> Option<(UpstreamKey, Load)> {
         let load = || Load {
             requests: self.in_flight.get(),
@@ -291,7 +295,7 @@
         (self.in_flight.get() > 0).then(|| (self.key, load()))
     }
 
-    /// What others have outstanding here, by their word; nothing if nobody speaks for them.
+    /// Sets the load of all peers on it, as gossip tells; empty if no peer is heard.
     pub fn set_peer_load(&self, load: Option<Load>) {
         self.peer_load.set(load);
     }
@@ -300,11 +304,13 @@
         self.peer_load.get().unwrap_or_default()
     }
 
-    /// Requests that it has: ours exactly, those of others as they told, or, without word from
-    /// them, as it told itself with an answer.
+    /// Estimated requests in flight there from all instances.
+    ///
+    /// Requests of peers come from gossip or, without it, from the load that the upstream reported
+    /// with its last answer.
     pub fn load(&self, now_ms: u64) -> f64 {
-        if let Some(others) = self.peer_load.get() {
-            return f64::from(self.in_flight.get() + others.requests);
+        if let Some(peers) = self.peer_load.get() {
+            return f64::from(self.in_flight.get() + peers.requests);
         }
         let reported = self.reported.get();
         let age_ms = now_ms.saturating_sub(reported.at_ms) as f64;
@@ -312,22 +318,22 @@
             + reported.requests * (-age_ms / REPORTED_LOAD_DECAY_MS).exp()
     }
 
-    /// It told its load, of which `own` were ours.
+    /// Records the load that the upstream reported with an answer.
     pub fn note_reported_load(&self, now_ms: u64, load: ReportedLoad) {
         let all = f64::from(load.running + load.waiting);
-        let others = (all - f64::from(self.in_flight.get())).max(0.0);
+        let requests = (all - f64::from(self.in_flight.get())).max(0.0);
         self.reported.set(ReportedPeers {
-            requests: others,
+            requests,
             at_ms: now_ms,
         });
     }
 
-    /// What is known of how many requests it takes.
+    /// Its rate limit, as far as it has named one.
     pub(crate) fn limit(&self) -> RefMut<'_, RateLimit> {
         self.limit.borrow_mut()
     }
 
-    /// Whether it is fit for work.
+    /// Whether requests may be sent to it, by its health.
     pub fn verdict(&self, now_ms: u64) -> HealthStatus {
         if self.is_silent(now_ms) || now_ms < self.no_capacity_until_ms.get() {
             return HealthStatus::Ejected;
@@ -335,11 +341,11 @@
         self.health.borrow().status(now_ms)
     }
 
-    /// Whether it has requests and has answered none of them for too long.
+    /// Whether it has unanswered requests and has not answered any for too long.
     ///
-    /// An upstream whose machine has gone dark refuses nothing: requests on open connections just
-    /// wait, and each new one would wait with them until its deadline. One that is only busy
-    /// answers somebody in that time.
+    /// A machine that is cut off does not refuse connections: requests on open ones just wait, and
+    /// each new one would wait until its deadline. An upstream that is merely busy answers some
+    /// request in that time.
     fn is_silent(&self, now_ms: u64) -> bool {
         let longest_ms = match self.stage.get() {
             Stage::Whole => (SILENCE_ANSWERS * self.answer_ms.get()) as u64,
@@ -349,81 +355,83 @@
         self.unanswered.get() > 0 && now_ms > self.last_activity_ms.get() + longest_ms
     }
 
-    /// It gave a sign of life at `now_ms`.
+    /// Records that data arrived from it at `now_ms`.
     pub fn note_activity(&self, now_ms: u64) {
         self.last_activity_ms.set(now_ms);
     }
 
-    /// No connection to it could be opened.
+    /// Records that no connection to it could be opened.
     pub fn note_unreachable(&self, now_ms: u64) {
         self.health.borrow_mut().record_unreachable(now_ms);
     }
 
-    /// How much slower it is than predicted.
+    /// Factor by which its answers are slower than predicted.
     pub fn slowness(&self) -> f64 {
         self.health.borrow().slowness()
     }
 
-    /// It answered after `actual_ms` where `predicted_ms` was expected.
+    /// Records an answer after `actual_ms` where `predicted_ms` was predicted.
     pub fn note_answer(&self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
         self.health
             .borrow_mut()
             .record_latency(now_ms, predicted_ms, actual_ms);
-        let seen = self.answer_ms.get();
-        let next = if seen == 0.0 {
+        let average = self.answer_ms.get();
+        let next = if average == 0.0 {
             actual_ms
         } else {
-            seen + ANSWER_SMOOTHING * (actual_ms - seen)
+            average + ANSWER_SMOOTHING * (actual_ms - average)
         };
         self.answer_ms.set(next);
     }
 
-    /// It failed a request for its own sake.
+    /// Records a request that failed through the upstream's own fault.
     pub fn note_failure(&self, now_ms: u64) {
         self.health.borrow_mut().record_failure(now_ms);
     }
 
-    /// Moving average of its answers' times.
+    /// Moving average of its answer times, in ms; 0 before the first answer.
     pub fn answer_ms(&self) -> f64 {
         self.answer_ms.get()
     }
 
-    /// Work of reading prompts that it has, whoever sent it.
+    /// Queued prefill work from all instances, in tokens.
     pub fn queued_tokens(&self) -> f64 {
         self.queue.borrow().plus(&self.peer_load().queue).total()
     }
 
-    /// It has read, or been sent, a prompt part, where its memory has room for `room_tokens`.
+    /// Records that it has cached a prompt part, or is about to. `capacity_tokens` is the size of its
+    /// KV cache memory.
     pub fn note_cached_part(
         &self,
         part: u64,
         tokens: f64,
-        reading: PrefillProgress,
-        room_tokens: f64,
+        progress: PrefillProgress,
+        capacity_tokens: f64,
     ) {
         let running = self.context_tokens.get() + f64::from(self.peer_load().context);
         let mut cached_parts = self.cached_parts.borrow_mut();
-        cached_parts.add(part, tokens, reading, room_tokens - running);
+        cached_parts.add(part, tokens, progress, capacity_tokens - running);
     }
 
-    /// Tokens of a part that it is believed to hold or to be reading.
+    /// Tokens of a part that it is believed to cache or to be prefilling; 0 if neither.
     pub fn cached_tokens(&self, part: u64) -> f64 {
         self.cached_parts.borrow().tokens(part)
     }
 
-    /// Tokens of a part that others can copy from it.
+    /// Tokens of a part that other engines can copy from it; 0 if there is nothing to copy yet.
     pub fn copyable_tokens(&self, part: u64) -> f64 {
         self.cached_parts.borrow().copyable_tokens(part)
     }
 
-    /// The upstream as a placement of a prompt sees it that would wait there at a rank.
+    /// Input of the cost model for a prompt that would queue there at `rank`, with `cached_tokens` of
+    /// it cached.
     pub fn view(&self, now_ms: u64, cached_tokens: f64, rank: u8) -> EngineView {
-        let others = self.peer_load();
-        let queue = self.queue.borrow().plus(&others.queue);
+        let peers = self.peer_load();
+        let queue = self.queue.borrow().plus(&peers.queue);
         EngineView {
             queued_tokens: queue.tokens_up_to(rank),
             lower_priority_tokens: queue.tokens_after(rank),
-            context_tokens: self.context_tokens.get() + f64::from(others.context),
+            context_tokens: self.context_tokens.get() + f64::from(peers.context),
             cached_tokens,
             copy_ms: 0.0,
             new_tokens: 0.0,
--- a/crates/relay/src/upstream/in_flight.rs
+++ b/crates/relay/src/upstream/in_flight.rs
@@ -1,4 +1,4 @@
-//! What a request brings to an upstream, counted for as long as the request lives.
+//! Accounting of the load that a request puts on an upstream for as long as it is in flight.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,21 +7,21 @@
 
 use super::Upstream;
 
-/// What a request brings to an upstream.
+/// Load that a request puts on an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Work {
-    /// Work of reading its prompt, in tokens.
+    /// Prefill work, in tokens.
     pub prefill_tokens: f64,
-    /// Length of the prompt from which output will be made there, in tokens.
+    /// Length of the prompt from which the upstream will decode, in tokens.
     pub context_tokens: f64,
-    /// Rank at which the prompt waits to be read, 0 first.
+    /// Rank in the upstream's prefill queue, 0 first.
     pub rank: u8,
 }
 
-/// Counts a request against its upstream for as long as it lives.
+/// Guard that counts a request against its upstream until it is dropped.
 ///
-/// A request ends in many ways, a caller that leaves among them; only a count that falls when
-/// the request is dropped stays right through all of them.
+/// A request can end in many ways, for example when its caller disconnects. Only a count that is
+/// released on drop stays correct through all of them.
 pub struct InFlight {
     upstream: Rc<Upstream>,
     tokens: Cell<f64>,
@@ -30,7 +30,7 @@
 }
 
 impl InFlight {
-    /// A request that brings this work is about to be sent.
+    /// Counts a request that is about to be sent.
     pub fn begin(upstream: &Rc<Upstream>, now_ms: u64, work: Work) -> Self {
         if upstream.verdict(now_ms) == HealthStatus::Probe {
             upstream.health.borrow_mut().start_probe();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Work of the request that is still to be read.
+    /// Prefill work of the request that is not known to be complete, in tokens.
     pub fn remaining_tokens(&self) -> f64 {
         self.tokens.get()
     }
@@ -65,7 +65,7 @@
         &self.upstream
     }
 
-    /// The answer's head has come.
+    /// Records that the head of the answer has arrived.
     pub fn note_head(&self, now_ms: u64) {
         self.upstream.note_activity(now_ms);
         if !self.has_head.replace(true) {
@@ -74,10 +74,13 @@
         }
     }
 
-    /// The prompt has been read.
+    /// Records that the prefill is complete.
     pub fn note_prefilled(&self) {
-        let read = self.tokens.take();
-        self.upstream.queue.borrow_mut().add(self.work.rank, -read);
+        let prefilled = self.tokens.take();
+        self.upstream
+            .queue
+            .borrow_mut()
+            .add(self.work.rank, -prefilled);
     }
 }
 
@@ -87,7 +90,8 @@
         if !self.has_head.get() {
             let now_ms = self.upstream.clock.now_ms();
             if self.upstream.is_silent(now_ms) {
-                // The silence must not be forgotten with the last request that waited in it.
+                // With its last waiting request gone the upstream no longer counts as silent, so
+                // the failure has to be recorded in its health.
                 self.upstream.note_unreachable(now_ms);
             }
             let unanswered = self.upstream.unanswered.get();
--- a/crates/relay/src/upstream/prompt_cache.rs
+++ b/crates/relay/src/upstream/prompt_cache.rs
@@ -1,65 +1,66 @@
-//! Prompt parts that an engine is believed to hold.
+//! Model of the prompt parts in an engine's KV cache.
 
 use view::PrefillProgress;
 
-/// Share of an engine's free memory that a belief about cached parts counts on; the rest goes to
-/// short prompts and output, of which nothing is noted. A belief of 1.1 did no better, one of 1.4 had
-/// half as much again read twice, since copies were asked for that were gone.
+/// Fraction of an engine's free memory that is assumed to hold cached parts. The rest goes to short
+/// prompts and output, which are not tracked. With 1.1 placement did no better; with 1.4 half as much
+/// again was prefilled twice, because copies were requested of parts that had been evicted.
 const USABLE_MEMORY_FRACTION: f64 = 0.85;
 
-/// Parts shorter than this are read again sooner than remembered, in tokens.
+/// Shortest part that is tracked, in tokens. Shorter ones are cheaper to prefill again.
 pub const MIN_CACHED_TOKENS: u32 = 200;
 
 #[derive(Debug, Clone, Copy)]
 struct CachedPart {
     part: u64,
     tokens: f64,
-    reading: PrefillProgress,
+    progress: PrefillProgress,
 }
 
-/// What an engine is believed to hold, least recently used first.
+/// Parts that an engine is believed to cache, least recently used first.
 ///
-/// Engines drop what was used least recently and say nothing of it, so this is a hint: a wrong one
-/// costs a longer read, never a wrong answer.
+/// Engines evict the least recently used parts without notice, so this is only an estimate. A wrong
+/// one costs a longer prefill, never a wrong answer.
 #[derive(Debug, Clone, Default)]
 pub struct CachedParts {
     parts: Vec<CachedPart>,
 }
 
 impl CachedParts {
-    /// A part was used; those used least recently yield once the memory is full.
-    pub fn add(&mut self, part: u64, tokens: f64, reading: PrefillProgress, free_tokens: f64) {
+    /// Adds a part or marks it as used, then evicts the least recently used ones beyond the usable
+    /// part of `free_tokens`. The newest part always stays.
+    pub fn add(&mut self, part: u64, tokens: f64, progress: PrefillProgress, free_tokens: f64) {
         let at = self.parts.iter().position(|each| each.part == part);
-        let known = at.map(|at| self.parts.remove(at).reading);
-        let reading = known.map_or(reading, |known| known.max(reading));
+        let known = at.map(|at| self.parts.remove(at).progress);
+        let progress = known.map_or(progress, |known| known.max(progress));
         self.parts.push(CachedPart {
             part,
             tokens,
-            reading,
+            progress,
         });
-        let mut held: f64 = self.parts.iter().map(|each| each.tokens).sum();
+        let mut cached: f64 = self.parts.iter().map(|each| each.tokens).sum();
         let mut evicted = 0;
-        while held > free_tokens * USABLE_MEMORY_FRACTION && evicted + 1 < self.parts.len() {
-            held -= self.parts[evicted].tokens;
+        while cached > free_tokens * USABLE_MEMORY_FRACTION && evicted + 1 < self.parts.len() {
+            cached -= self.parts[evicted].tokens;
             evicted += 1;
         }
         self.parts.drain(..evicted);
     }
 
-    /// Tokens of a part; none if it is neither held nor being read.
+    /// Tokens of a part; 0 if it is neither cached nor being prefilled.
     pub fn tokens(&self, part: u64) -> f64 {
         self.find(part).map_or(0.0, |each| each.tokens)
     }
 
-    /// Tokens of a part that has been read.
+    /// Tokens of a part whose prefill is complete; 0 if it is not.
     ///
-    /// One that is still being read cannot be copied: the engine that asks for it finds nothing
-    /// and reads it a second time.
+    /// A part that is still being prefilled cannot be copied: the engine that requests the copy
+    /// would find nothing and prefill it again.
     pub fn copyable_tokens(&self, part: u64) -> f64 {
-        let read = self
+        let prefilled = self
             .find(part)
-            .filter(|each| each.reading == PrefillProgress::Done);
-        read.map_or(0.0, |each| each.tokens)
+            .filter(|each| each.progress == PrefillProgress::Done);
+        prefilled.map_or(0.0, |each| each.tokens)
     }
 
     fn find(&self, part: u64) -> Option<&CachedPart> {
--- a/crates/relay/src/upstream/rate_limit.rs
+++ b/crates/relay/src/upstream/rate_limit.rs
@@ -1,48 +1,49 @@
-//! How many requests an upstream takes from all instances together, as it names it in its answers.
+//! The rate limit that an upstream names in its answers, in requests from all instances together.
 
 use plan::TokenBucket;
 
-/// Time for which a limit holds after it was last named, whatever other answers say, in ms: an answer that names none may
-/// have been begun before it was named.
+/// Time for which a limit stays in force after an answer last named it, in ms. An answer without a
+/// limit within this time may have been started before the limit was set.
 const MIN_HOLD_MS: u64 = 1_500;
 
-/// Time after which a limit that nobody has named again is forgotten, in ms: its users have nothing to send there, and what the
-/// others send tells them again.
+/// Time after which a limit that no answer names again is dropped, in ms. By then no instance is
+/// sending requests to the upstream, and the first answer to a new one names the limit again.
 const EXPIRY_MS: u64 = 30_000;
 
-/// Time between two tellings of a limit that goes on being named, in ms; shorter than it is held.
+/// Interval between gossip messages about a limit that stays the same, in ms; shorter than
+/// [`MIN_HOLD_MS`], so that peers keep it in force.
 const GOSSIP_INTERVAL_MS: u64 = 500;
 
-/// What is known of an upstream's limit, and how much of it is left.
+/// An upstream's rate limit, and this instance's use of its share.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateLimit {
     per_s: Option<f64>,
-    /// When it was last named, to anybody.
+    /// When an answer last named the limit, to this instance or a peer.
     observed_ms: u64,
-    /// When it was last told to others.
+    /// When it was last sent to peers.
     gossiped_ms: u64,
-    /// Time of day of the word that counts.
+    /// Fleet time of the newest observation, by which observations are ordered.
     as_of_ms: u64,
     bucket: TokenBucket,
 }
 
-/// What an answer changed.
+/// Effect of an answer on the known limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitUpdate {
-    /// Whether the limit is another one now.
+    /// Whether the limit in force changed.
     pub is_changed: bool,
-    /// Time of day of the word for the others, if they are to be told.
+    /// Fleet time of the observation, if it is to be sent to peers.
     pub gossip_as_of_ms: Option<u64>,
 }
 
 impl RateLimit {
-    /// Requests a second that it takes from all instances together.
+    /// Limit in force, in requests per second from all instances; empty if there is none.
     pub fn per_s(&self, now_ms: u64) -> Option<f64> {
         let is_known = now_ms < self.observed_ms + EXPIRY_MS;
         self.per_s.filter(|_| is_known)
     }
 
-    /// An answer named a limit, or none, at `day_ms` of the fleet's time of day.
+    /// Applies an answer of fleet time `fleet_ms` that named a limit, or none.
     pub fn observe(&mut self, now_ms: u64, fleet_ms: u64, per_s: Option<f64>) -> LimitUpdate {
         let before = self.per_s(now_ms);
         let is_held = before.is_some() && now_ms < self.observed_ms + MIN_HOLD_MS;
@@ -58,7 +59,7 @@
         let is_due = is_changed || now_ms >= self.gossiped_ms + GOSSIP_INTERVAL_MS;
         if is_due {
             self.gossiped_ms = now_ms;
-            // What was seen here counts, even where another one's time of day is ahead.
+            // An own observation supersedes one of a peer, even if the peer's clock is ahead.
             self.as_of_ms = fleet_ms.max(self.as_of_ms + 1);
         }
         LimitUpdate {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Another instance was told so; gives whether that is news.
+    /// Applies an observation of a peer; returns whether it is newer than what was known.
     pub fn apply_from_peer(&mut self, now_ms: u64, as_of_ms: u64, per_s: Option<f64>) -> bool {
         if as_of_ms <= self.as_of_ms {
             return false;
@@ -78,12 +79,12 @@
         true
     }
 
-    /// Whether a request may go there now, where this instance's part is `part_per_s`.
+    /// Whether a request may be sent now, given this instance's share of the limit.
     pub fn has_room(&mut self, now_ms: u64, share_per_s: f64) -> bool {
         self.bucket.has_token(now_ms, share_per_s)
     }
 
-    /// Takes the place of one request, if it may go there now.
+    /// Consumes one request from this instance's share; false if none is left now.
     pub fn take(&mut self, now_ms: u64, share_per_s: f64) -> bool {
         self.bucket.try_take(now_ms, share_per_s)
     }
