--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -1,4 +1,4 @@
-//! The walk of one request: placed, sent, sent again where it may be, answered.
+//! Serves one request: places it, sends it, retries where that is allowed, and passes the answer on.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,48 +19,50 @@
 use crate::send::{CheckedAnswer, SendResult, note_response, send};
 use crate::upstream::{InFlight, Upstream, Work};
 
-/// Answers up to this length are read whole before they are passed on, so that one that breaks
-/// off can be asked for again; longer ones would cost too much memory.
+/// Longest answer that is buffered before it is passed on, in bytes, so that the request can be
+/// retried if the answer breaks off. Longer ones are streamed to save memory.
 const MAX_BUFFERED_BYTES: u64 = 256 * 1024;
 
-/// Serves one request up to the head of its answer.
+/// Serves one request and returns the head of its answer; the body may still be streamed.
 pub async fn forward(relay: &Rc<Relay>, call: Call) -> Response<AnswerBody> {
     let call = Rc::new(call);
     let left_ms = call.left_ms(relay.now_ms());
-    let serve_call = serve_call(relay, &call);
-    let outcome = match actix_rt::time::timeout(Duration::from_millis(left_ms), serve_call).await {
+    let serving = serve_call(relay, &call);
+    let outcome = match actix_rt::time::timeout(Duration::from_millis(left_ms), serving).await {
         Ok(outcome) => outcome,
-        // What was never sent to an upstream has not run and never will.
+        // A request that was not sent has not run and never will, so the refusal may say so.
         Err(_) if call.possible_runs.get() == 0 => Err(Refusal::new(Reason::TooLate)),
         Err(_) => Err(Refusal::new(Reason::TimedOut)),
     };
-    outcome.unwrap_or_else(|refused| {
+    outcome.unwrap_or_else(|refusal| {
         call.is_finished.set(true);
-        let refused = without_false_not_run(refused, call.possible_runs.get() > 0);
-        refusal(relay, &call, refused)
+        let refusal = without_false_not_run(refusal, call.possible_runs.get() > 0);
+        refusal_response(relay, &call, refusal)
     })
 }
 
-fn refusal(relay: &Relay, call: &Call, refused: Refusal) -> Response<AnswerBody> {
+/// Logs and counts a refusal, and builds its answer.
+fn refusal_response(relay: &Relay, call: &Call, refusal: Refusal) -> Response<AnswerBody> {
     let took_ms = relay.now_ms() - call.arrived_ms;
     if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, route = call.route.name, workspace = call.workspace_name(),
-            reason = refused.reason, took_ms,
-            sends = call.possible_runs.get(), retry_after_ms = refused.retry_after_ms.unwrap_or(0),
+            reason = refusal.reason, took_ms,
+            sends = call.possible_runs.get(), retry_after_ms = refusal.retry_after_ms.unwrap_or(0),
             version = relay.config().map_or(0, |config| config.version),
             list_age_ms = relay.list_age_ms().unwrap_or(u64::MAX);
             "request not served"
         );
     }
-    let end = refused.reason.status().as_u16().to_string();
-    let labels = [call.route.name.as_str(), &end];
+    let status = refusal.reason.status().as_u16().to_string();
+    let labels = [call.route.name.as_str(), &status];
     relay.metrics.requests.with_label_values(&labels).inc();
-    let labels = [call.route.name.as_str(), refused.reason.label()];
+    let labels = [call.route.name.as_str(), refusal.reason.label()];
     relay.metrics.refusals.with_label_values(&labels).inc();
-    refused.response(relay.dialect.encode_error(&refused.reason.to_string()))
+    refusal.response(relay.dialect.encode_error(&refusal.reason.to_string()))
 }
 
+/// Serves a request by the kind of its route.
 async fn serve_call(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Response<AnswerBody>, Refusal> {
     relay.count_first_send(&call.service);
     match &call.head.prompt {
@@ -69,6 +71,7 @@
     }
 }
 
+/// Serves a request that generates no text.
 async fn forward_plain(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
@@ -80,88 +83,93 @@
         let upstream = placement::choose_upstream(relay, call, &tried)?;
         tried.push(upstream.id.clone());
         let guard = InFlight::begin(&upstream, relay.now_ms(), Work::default());
-        let sending = SendOptions {
+        let options = SendOptions {
             instance: &upstream.id,
             deadline_ms: call.left_ms(relay.now_ms()),
             ..SendOptions::default()
         };
-        let sent = send_with_attempt_timeout(relay, call, &upstream, &sending).await;
+        let sent = send_with_attempt_timeout(relay, call, &upstream, &options).await;
         note_response(relay, &guard, &sent);
-        let outcome = match sent {
+        let failure = match sent {
             SendResult::Answer(checked) => {
-                let failed = checked.response.status().is_server_error();
-                let repeatable = failed && call.route.kind == RouteKind::Safe;
-                // The upstream's own failure is worth more to the caller than our refusal.
+                let is_failure = checked.response.status().is_server_error();
+                let is_repeatable = is_failure && call.route.kind == RouteKind::Safe;
+                // If no other upstream can answer, the caller gets this error: it says more than a
+                // refusal.
                 let has_other =
-                    repeatable && placement::choose_upstream(relay, call, &tried).is_ok();
+                    is_repeatable && placement::choose_upstream(relay, call, &tried).is_ok();
                 if has_other && may_retry(relay, call) {
                     continue;
                 }
                 match buffer_or_stream(relay, call, *checked, guard).await {
                     Ok(response) => return Ok(response),
-                    // The answer broke off before any of it was passed on.
+                    // Nothing of the broken answer was passed on.
                     Err(_) => SendFailure::Lost,
                 }
             }
-            unanswered => unanswered.failure(),
+            failed => failed.failure(),
         };
-        retry_or_refuse(relay, call, outcome, &mut unreached)?;
+        retry_or_refuse(relay, call, failure, &mut unreached)?;
     }
 }
 
-/// Goes on after a send without an answer, or refuses.
+/// Returns `Ok` if the request is to be retried after a failed send, and the refusal otherwise.
 pub fn retry_or_refuse(
     relay: &Relay,
     call: &Call,
-    outcome: SendFailure,
+    failure: SendFailure,
     unreached: &mut u32,
 ) -> Result<(), Refusal> {
-    *unreached += u32::from(outcome == SendFailure::Unsent);
+    *unreached += u32::from(failure == SendFailure::Unsent);
     let context = RetryContext {
         is_repeatable: call.route.is_retryable(),
         may_have_run: call.possible_runs.get() > 0,
         unreached: *unreached,
     };
-    match decide(outcome, &context, || may_retry(relay, call)) {
+    match decide(failure, &context, || may_retry(relay, call)) {
         RetryDecision::Retry => Ok(()),
-        RetryDecision::Refuse(refused) => Err(refused),
+        RetryDecision::Refuse(refusal) => Err(refusal),
     }
 }
 
-/// Whether the request may be sent to one more upstream, within its route and the budget.
+/// Whether the request may be sent to another upstream; takes a retry from the budget if
+/// the send needs one.
 pub fn may_retry(relay: &Relay, call: &Call) -> bool {
     call.attempts.get() < call.route.max_attempts && relay.may_send(call)
 }
 
-/// Sends a request that another upstream could still answer, for a part of the time left.
+/// Sends a request. If another upstream could still answer it, this attempt gets only a part of the
+/// remaining time.
 async fn send_with_attempt_timeout(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     upstream: &Rc<Upstream>,
-    sending: &SendOptions<'_>,
+    options: &SendOptions<'_>,
 ) -> SendResult {
     let left_ms = call.left_ms(relay.now_ms());
     let has_other = call.route.is_retryable() && call.attempts.get() + 1 < call.route.max_attempts;
     let budget = AttemptTimeout::next(left_ms, 1).filter(|_| has_other);
     let Some(budget) = budget else {
-        return send(relay, call, upstream, sending).await;
+        return send(relay, call, upstream, options).await;
     };
     let wait = Duration::from_millis(budget.timeout_ms);
-    let sent = actix_rt::time::timeout(wait, send(relay, call, upstream, sending)).await;
+    let sent = actix_rt::time::timeout(wait, send(relay, call, upstream, options)).await;
     sent.unwrap_or_else(|_| {
         upstream.note_failure(relay.now_ms());
         SendResult::Lost(format!("nothing within {} ms", budget.timeout_ms))
     })
 }
 
-/// Counts a whole answer; one that came late is told apart, since a success alone says little.
+/// Counts a complete answer, by whether it met the route's objective.
 pub fn count_answer(relay: &Relay, call: &Call, in_time: bool) {
     let in_time = if in_time { "yes" } else { "no" };
     let labels = [call.route.name.as_str(), in_time];
     relay.metrics.answers.with_label_values(&labels).inc();
 }
 
-/// Reads an answer whole and passes it on.
+/// Passes an answer on: buffered if it is short, streamed otherwise.
+///
+/// Fails if a buffered answer breaks off; the caller has received nothing of it then.
 pub async fn buffer_or_stream(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
@@ -171,8 +179,8 @@
     let (mut head, body) = checked.response.into_parts();
     strip_hop_by_hop(&mut head.headers, |_| false);
     let upstream = Rc::clone(guard.upstream());
-    let long = http_body::Body::size_hint(&body).lower() > MAX_BUFFERED_BYTES;
-    let body = if long {
+    let is_long = http_body::Body::size_hint(&body).lower() > MAX_BUFFERED_BYTES;
+    let body = if is_long {
         crate::stream::stream_answer(relay, call, body, checked.connection, guard)
     } else {
         let collected = body.collect().await;
@@ -193,8 +201,8 @@
         relay.record_answered(call);
         AnswerBody::whole(collected.to_bytes())
     };
-    let end = head.status.as_u16().to_string();
-    let labels = [call.route.name.as_str(), &end];
+    let status = head.status.as_u16().to_string();
+    let labels = [call.route.name.as_str(), &status];
     relay.metrics.requests.with_label_values(&labels).inc();
     let now_ms = relay.now_ms();
     call.is_finished.set(true);
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -1,4 +1,4 @@
-//! The walk of a request that generates text.
+//! Serves a request that generates text.
 
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
 use crate::upstream::{InFlight, MIN_CACHED_TOKENS, PrefillProgress, Upstream, Work};
 use crate::urgency::Urgency;
 
-/// Places, sends and answers it.
+/// Places a generation, has its prompt prefilled, and streams the output to the caller.
 pub async fn generate(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
@@ -27,12 +27,12 @@
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
     let mut unreached = 0;
-    let mut read = None;
+    let mut transferred = None;
     loop {
         ensure_not_poison(relay, call).await?;
-        let (maker, kv) = match read.take() {
-            // An engine that rejected the cache left it where it was; reading the prompt once more
-            // would cost a second time and count as a repeat.
+        let (decode, kv) = match transferred.take() {
+            // An engine that rejected the request did not fetch the KV cache, so it can be used
+            // again. Another prefill would cost time and count against the retry budget.
             Some((kv, urgency)) => (
                 choose_decode_engine(relay, call, prompt, &tried, Some(&kv), urgency)?,
                 Some(kv),
@@ -40,19 +40,21 @@
             None => place_and_prefill(relay, call, prompt, &tried).await?,
         };
         ensure_not_poison(relay, call).await?;
-        // Nothing has run: a prompt that was to be read apart, and was not, has reached its service all the same.
+        // Nothing has run yet, but a failed separate prefill has reached the service and counts as a
+        // send.
         if !relay.may_send(call) {
             return Err(refuse_rejected());
         }
         let (sent, guard, is_transferred) =
-            send_to_decode(relay, call, prompt, &maker, kv.as_ref()).await;
-        tried.push(maker.engine.id.clone());
-        let outcome = match sent {
+            send_to_decode(relay, call, prompt, &decode, kv.as_ref()).await;
+        tried.push(decode.engine.id.clone());
+        let failure = match sent {
             SendResult::Answer(checked) if checked.response.status() == StatusCode::OK => {
                 return Ok(StreamForwarder::start(relay, call, *checked, guard, tried));
             }
             SendResult::Answer(checked) => {
-                // The engine's own failure is worth more to the caller than our refusal.
+                // If no other engine can answer, the caller gets this error: it says more than a
+                // refusal.
                 let has_other = call.route.is_retryable()
                     && placement::choose_decode_engine(
                         relay,
@@ -60,7 +62,7 @@
                         prompt,
                         &tried,
                         false,
-                        maker.urgency,
+                        decode.urgency,
                     )
                     .is_ok();
                 if has_other && may_retry(relay, call) {
@@ -68,15 +70,15 @@
                 }
                 return buffer_or_stream(relay, call, *checked, guard).await;
             }
-            unanswered => unanswered.failure(),
+            failed => failed.failure(),
         };
-        let kept = kv.filter(|kv| is_transferred && kv.is_available());
-        read = kept.map(|kv| (kv, maker.urgency));
-        retry_or_refuse(relay, call, outcome, &mut unreached)?;
+        let reusable = kv.filter(|kv| is_transferred && kv.is_available());
+        transferred = reusable.map(|kv| (kv, decode.urgency));
+        retry_or_refuse(relay, call, failure, &mut unreached)?;
     }
 }
 
-/// Places it, and has its prompt read apart if that is where it goes.
+/// Places a generation and runs the separate prefill if the placement has one.
 async fn place_and_prefill(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
@@ -84,21 +86,21 @@
     tried: &[String],
 ) -> Result<(DecodePlacement, Option<PrefilledKv>), Refusal> {
     match placement::place_generation(relay, call, prompt, tried)? {
-        Placement::Colocated(maker) => Ok((maker, None)),
-        Placement::Disaggregated(reader) if !relay.may_prefill_apart(call) => {
-            let maker = choose_decode_engine(relay, call, prompt, tried, None, reader.urgency)?;
-            Ok((maker, None))
+        Placement::Colocated(decode) => Ok((decode, None)),
+        Placement::Disaggregated(prefill) if !relay.may_prefill_apart(call) => {
+            let decode = choose_decode_engine(relay, call, prompt, tried, None, prefill.urgency)?;
+            Ok((decode, None))
         }
-        Placement::Disaggregated(reader) => {
-            let kv = prefill_separately(relay, call, prompt, &reader).await;
-            let maker =
-                choose_decode_engine(relay, call, prompt, tried, kv.as_ref(), reader.urgency)?;
-            Ok((maker, kv))
+        Placement::Disaggregated(prefill) => {
+            let kv = prefill_separately(relay, call, prompt, &prefill).await;
+            let decode =
+                choose_decode_engine(relay, call, prompt, tried, kv.as_ref(), prefill.urgency)?;
+            Ok((decode, kv))
         }
     }
 }
 
-/// The engine for the output of a prompt that was read apart, or should have been.
+/// Chooses the decode engine after a separate prefill, whether or not it succeeded.
 fn choose_decode_engine(
     relay: &Relay,
     call: &Call,
@@ -110,32 +112,32 @@
     placement::choose_decode_engine(relay, call, prompt, tried, kv.is_some(), urgency)
 }
 
-/// Sends a generation to the engine that makes its output; also tells whether the KV cache was still
-/// offered in the end.
+/// Sends a generation to its decode engine. The flag tells whether the last send offered the
+/// transferred KV cache.
 async fn send_to_decode(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     prompt: &Prompt,
-    maker: &DecodePlacement,
+    placement: &DecodePlacement,
     kv: Option<&PrefilledKv>,
 ) -> (SendResult, InFlight, bool) {
-    let predicted_ms = maker.first_event.total_ms();
-    let rank = call.rank(maker.urgency);
+    let predicted_ms = placement.first_event.total_ms();
+    let rank = call.rank(placement.urgency);
     let guard = InFlight::begin(
-        &maker.engine,
+        &placement.engine,
         relay.now_ms(),
         Work {
-            prefill_tokens: maker.prefill_tokens,
+            prefill_tokens: placement.prefill_tokens,
             context_tokens: f64::from(prompt.input_tokens),
             rank,
         },
     );
-    let copy_from = maker.copy_from.as_ref().map(|holder| holder.address);
-    let held_tokens = maker.cached_tokens;
-    let first = maker.first_event;
-    let maker = &maker.engine;
-    let mut sending = SendOptions {
-        instance: &maker.id,
+    let copy_from = placement.copy_from.as_ref().map(|holder| holder.address);
+    let held_tokens = placement.cached_tokens;
+    let first = placement.first_event;
+    let engine = &placement.engine;
+    let mut options = SendOptions {
+        instance: &engine.id,
         deadline_ms: call.left_ms(relay.now_ms()),
         priority: Some(rank),
         kv: kv.map(|kv| &kv.handle),
@@ -144,7 +146,7 @@
         ..SendOptions::default()
     };
     let began_ms = relay.now_ms();
-    let mut sent = send(relay, call, maker, &sending).await;
+    let mut sent = send(relay, call, engine, &options).await;
     let mut is_transferred = kv.is_some();
     if let Some(kv) = kv {
         match sent {
@@ -152,12 +154,12 @@
             SendResult::NotRun(StatusCode::SERVICE_UNAVAILABLE)
                 if relay.check_poison(call).is_ok() && relay.may_send(call) =>
             {
-                // The handle lapsed or could not be fetched. The same engine can still read the
-                // prompt itself.
-                sending.kv = None;
+                // The KV cache expired or could not be fetched. The same engine can still do the
+                // prefill itself.
+                options.kv = None;
                 is_transferred = false;
-                sending.deadline_ms = call.left_ms(relay.now_ms());
-                sent = send(relay, call, maker, &sending).await;
+                options.deadline_ms = call.left_ms(relay.now_ms());
+                sent = send(relay, call, engine, &options).await;
             }
             SendResult::NotRun(_) | SendResult::Unsent(_) => {}
         }
@@ -165,48 +167,48 @@
     note_response(relay, &guard, &sent);
     if let SendResult::Answer(_) = &sent {
         guard.note_prefilled();
-        record_cached_parts(relay, call, prompt, maker, PrefillProgress::Done);
+        record_cached_parts(relay, call, prompt, engine, PrefillProgress::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
-                request = call.id(), upstream = maker.id, predicted_ms, took_ms, apart = is_transferred,
+                request = call.id(), upstream = engine.id, predicted_ms, took_ms, apart = is_transferred,
                 prompt_tokens = prompt.input_tokens, held_tokens,
-                load = maker.load(relay.now_ms()); "output begun"
+                load = engine.load(relay.now_ms()); "output begun"
             );
         }
         relay
             .learned
             .observe_first_event(&call.service, &first, is_transferred, took_ms);
         let predicted_ms = predicted_ms.max(call.route.goal_ms as f64 / 2.0);
-        maker.note_answer(relay.now_ms(), predicted_ms, took_ms);
+        engine.note_answer(relay.now_ms(), predicted_ms, took_ms);
     }
     (sent, guard, is_transferred)
 }
 
-/// Notes that an engine is reading or has read a prompt, here and for the other instances.
+/// Records that an engine is prefilling or has prefilled a prompt, here and for gossip to peers.
 ///
-/// It is noted as soon as the prompt is on its way: who asks next for the same part finds it read
-/// by then, or waits for it there instead of having it read twice. Each later use is told too,
-/// since engines drop what was used least recently.
+/// It is recorded as soon as the prompt is sent, so that the next request with the same part goes to
+/// this engine instead of being prefilled elsewhere too. Later uses are gossiped as well, since
+/// engines evict the least recently used parts.
 pub fn record_cached_parts(
     relay: &Relay,
     call: &Call,
     prompt: &Prompt,
     engine: &Upstream,
-    reading: PrefillProgress,
+    progress: PrefillProgress,
 ) {
     let kv_tokens = relay.engine_limits(&call.service).kv_tokens;
-    let long = |part: &&PromptPart| part.tokens >= MIN_CACHED_TOKENS;
-    for part in prompt.parts.iter().filter(long) {
-        let is_news = reading == PrefillProgress::Done || engine.cached_tokens(part.id) == 0.0;
+    let is_tracked = |part: &&PromptPart| part.tokens >= MIN_CACHED_TOKENS;
+    for part in prompt.parts.iter().filter(is_tracked) {
+        let is_gossiped = progress == PrefillProgress::Done || engine.cached_tokens(part.id) == 0.0;
         let tokens = f64::from(part.tokens);
-        engine.note_cached_part(part.id, tokens, reading, kv_tokens as f64);
-        if is_news {
+        engine.note_cached_part(part.id, tokens, progress, kv_tokens as f64);
+        if is_gossiped {
             relay.prefix_news.borrow_mut().push(PrefilledPart {
                 upstream: engine.key,
                 part: part.id,
                 tokens: part.tokens,
-                progress: reading,
+                progress,
             });
         }
     }
