--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Prompts read apart from the engine that makes the output.
+//! Prefill of a prompt on another engine than the one that decodes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,102 +21,101 @@
 };
 use crate::upstream::{InFlight, PrefillProgress, Upstream, Work};
 
-/// Times the predicted time after which a prompt's answer may have been lost.
+/// Multiple of the predicted time after which the answer to a prefill may have been lost.
 const OVERDUE_FACTOR: f64 = 3.0;
 
-/// Least time for that, in ms: an answer's fixed time and some queue that was not seen.
-const MIN_OVERDUE_MS: u64 = 500;
+/// Time added to that, in ms, for fixed costs and queued work that this instance does not know of.
+const OVERDUE_BASE_MS: u64 = 500;
 
-/// Work of others, in tokens, up to which an engine counts as having nothing else to read.
+/// Queued prefill work of other requests up to which an engine counts as idle, in tokens.
 const IDLE_QUEUE_TOKENS: f64 = 500.0;
 
-/// Time after which a prompt that is late behind others is looked at again, in ms.
+/// Interval at which the queue ahead of an overdue prefill is checked again, in ms.
 const RECHECK_MS: u64 = 200;
 
-/// A prompt's KV cache that waits to be taken; freed if nobody takes it.
-///
-/// A cache that is never taken fills the reader's memory until it lapses.
+/// The KV cache of a prefilled prompt. Dropping it frees the cache unless an engine fetched it;
+/// otherwise it would fill the prefill engine's memory until it expires.
 pub struct PrefilledKv {
     relay: Rc<Relay>,
-    reader: Rc<Upstream>,
-    /// Where the cache is.
+    engine: Rc<Upstream>,
+    /// Location of the cache.
     pub handle: KvHandle,
-    taken: Cell<bool>,
+    is_taken: Cell<bool>,
 }
 
 impl PrefilledKv {
-    /// An engine has taken the cache, or may have.
+    /// Records that an engine has fetched the cache, or may have.
     pub fn mark_taken(&self) {
-        self.taken.set(true);
+        self.is_taken.set(true);
     }
 
-    /// Whether another engine may still take it.
+    /// Whether the cache can still be fetched.
     pub fn is_available(&self) -> bool {
-        !self.taken.get()
+        !self.is_taken.get()
     }
 }
 
 impl Drop for PrefilledKv {
     fn drop(&mut self) {
-        if self.taken.get() {
+        if self.is_taken.get() {
             return;
         }
         let relay = Rc::clone(&self.relay);
-        let reader = Rc::clone(&self.reader);
+        let engine = Rc::clone(&self.engine);
         let handle = self.handle.clone();
-        actix_rt::spawn(async move { free_kv(&relay, &reader, &handle).await });
+        actix_rt::spawn(async move { free_kv(&relay, &engine, &handle).await });
     }
 }
 
-async fn free_kv(relay: &Relay, reader: &Rc<Upstream>, handle: &KvHandle) {
+async fn free_kv(relay: &Relay, engine: &Rc<Upstream>, handle: &KvHandle) {
     let (method, path) = relay.dialect.free_kv_request(handle);
     let request = http::Request::builder()
         .method(method)
         .uri(path)
-        .header(header::HOST, reader.address.to_string())
+        .header(header::HOST, engine.address.to_string())
         .body(http_body_util::Full::default());
     let Ok(request) = request else {
         return;
     };
-    match exchange(&reader.pool, usize::MAX, request).await {
-        Ok((response, lease)) => {
+    match exchange(&engine.pool, usize::MAX, request).await {
+        Ok((response, connection)) => {
             if response.into_body().collect().await.is_ok() {
-                lease.release();
+                connection.release();
             }
         }
-        Err(fault) => log::debug!(fault:%; "a prompt's cache could not be freed"),
+        Err(error) => log::debug!(fault:% = error; "KV cache of a prompt could not be freed"),
     }
 }
 
-/// Has the prompt read apart, where the placement says so; gives nothing if that failed, and the
-/// engine that makes the output then reads it itself.
+/// Prefills a prompt on the chosen engine. Returns nothing if that failed; the decode engine then
+/// does the prefill itself.
 pub async fn prefill_separately(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     prompt: &Prompt,
-    reader: &PrefillPlacement,
+    placement: &PrefillPlacement,
 ) -> Option<PrefilledKv> {
-    let rank = call.rank(reader.urgency);
+    let rank = call.rank(placement.urgency);
     let guard = InFlight::begin(
-        &reader.engine,
+        &placement.engine,
         relay.now_ms(),
         Work {
-            prefill_tokens: reader.prefill_tokens,
+            prefill_tokens: placement.prefill_tokens,
             context_tokens: 0.0,
             rank,
         },
     );
-    let read_ms = reader.prefill.total_ms();
-    let own_ms = reader.prefill.processing_ms;
-    let copy_from = reader.copy_from.clone();
-    let held_tokens = reader.cached_tokens;
-    let own_tokens = reader.prefill_tokens;
-    let reader = &reader.engine;
-    let before = reader.view(relay.now_ms(), 0.0, rank).queued_tokens;
-    record_cached_parts(relay, call, prompt, reader, PrefillProgress::Begun);
-    call.current_upstream.borrow_mut().clone_from(&reader.id);
-    let sending = SendOptions {
-        instance: &reader.id,
+    let read_ms = placement.prefill.total_ms();
+    let own_ms = placement.prefill.processing_ms;
+    let copy_from = placement.copy_from.clone();
+    let held_tokens = placement.cached_tokens;
+    let own_tokens = placement.prefill_tokens;
+    let engine = &placement.engine;
+    let queued_tokens = engine.view(relay.now_ms(), 0.0, rank).queued_tokens;
+    record_cached_parts(relay, call, prompt, engine, PrefillProgress::Begun);
+    call.current_upstream.borrow_mut().clone_from(&engine.id);
+    let options = SendOptions {
+        instance: &engine.id,
         deadline_ms: call.left_ms(relay.now_ms()),
         priority: Some(rank),
         step: Step::Prefill,
@@ -124,52 +123,52 @@
         ..SendOptions::default()
     };
     let began_ms = relay.now_ms();
-    let request = call.request(&*relay.dialect, &sending);
+    let request = call.request(&*relay.dialect, &options);
     call.note_prefill_sent();
     let prefill = async {
-        match exchange_with(relay, call, reader, request).await {
-            Ok((response, lease)) => {
+        match exchange_with(relay, call, engine, request).await {
+            Ok((response, connection)) => {
                 guard.note_head(relay.now_ms());
-                read_response(relay, call, reader, response, lease).await
+                read_response(relay, call, engine, response, connection).await
             }
-            Err(fault) => {
-                if !matches!(fault, ExchangeError::Lost { .. }) {
+            Err(error) => {
+                if !matches!(error, ExchangeError::Lost { .. }) {
                     call.note_prefill_unsent();
                 }
-                note_exchange_error(relay, reader, &fault);
-                log_not_prefilled(relay, call, reader, &fault.to_string());
+                note_exchange_error(relay, engine, &error);
+                log_not_prefilled(relay, call, engine, &error.to_string());
                 None
             }
         }
     };
     let kv = tokio::select! {
         kv = prefill => kv,
-        () = overdue(reader, &guard, read_ms) => {
-            log_not_prefilled(relay, call, reader, "nothing came, though nothing else is read there");
+        () = overdue(engine, &guard, read_ms) => {
+            log_not_prefilled(relay, call, engine, "no answer, although the engine has no other prefill work");
             None
         }
     };
     drop(guard);
     if kv.is_some() {
         call.note_prefill_accepted();
-        record_cached_parts(relay, call, prompt, reader, PrefillProgress::Done);
+        record_cached_parts(relay, call, prompt, engine, PrefillProgress::Done);
         let took_ms = (relay.now_ms() - began_ms) as f64;
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
-                request = call.id(), upstream = reader.id, rank, prompt_tokens = prompt.input_tokens, held_tokens,
-                queued_tokens = before, own_ms, read_ms, took_ms,
+                request = call.id(), upstream = engine.id, rank, prompt_tokens = prompt.input_tokens, held_tokens,
+                queued_tokens, own_ms, read_ms, took_ms,
                 copied_from = copy_from.as_ref().map_or("-", |holder| &holder.id),
-                load = reader.load(relay.now_ms());
+                load = engine.load(relay.now_ms());
                 "prompt read"
             );
         }
-        let seen = PrefillSample {
+        let sample = PrefillSample {
             own_tokens,
-            queued_tokens: (before - own_tokens).max(0.0),
+            queued_tokens: (queued_tokens - own_tokens).max(0.0),
             elapsed_ms: took_ms,
         };
-        relay.learned.observe_prefill(&call.service, &seen);
-        reader.note_answer(relay.now_ms(), read_ms, took_ms);
+        relay.learned.observe_prefill(&call.service, &sample);
+        engine.note_answer(relay.now_ms(), read_ms, took_ms);
         let labels = [call.service.as_str()];
         let histogram = relay.metrics.prefill_s.with_label_values(&labels);
         histogram.observe(took_ms / 1_000.0);
@@ -177,62 +176,64 @@
     kv
 }
 
-/// Returns once the answer to a prompt must have been lost.
+/// Completes once the answer to a prefill is presumed lost.
 ///
-/// A lost answer would hold the request to its deadline, so it is given up where it is long
-/// overdue and nothing else is read at the engine. In a rush the rest of the queue explains the
-/// wait, and beginning again elsewhere would cost more than waiting on.
-async fn overdue(reader: &Upstream, guard: &InFlight, read_ms: f64) {
-    let overdue_ms = (read_ms * OVERDUE_FACTOR) as u64 + MIN_OVERDUE_MS;
+/// A lost answer would block the request until its deadline. It is therefore given up if it is long
+/// overdue and the engine has no other prefill work. With a long queue, the queue explains the wait,
+/// and starting over elsewhere would cost more than waiting.
+async fn overdue(engine: &Upstream, guard: &InFlight, read_ms: f64) {
+    let overdue_ms = (read_ms * OVERDUE_FACTOR) as u64 + OVERDUE_BASE_MS;
     actix_rt::time::sleep(Duration::from_millis(overdue_ms)).await;
-    while reader.queued_tokens() > guard.remaining_tokens() + IDLE_QUEUE_TOKENS {
+    while engine.queued_tokens() > guard.remaining_tokens() + IDLE_QUEUE_TOKENS {
         actix_rt::time::sleep(Duration::from_millis(RECHECK_MS)).await;
     }
 }
 
-fn log_not_prefilled(relay: &Relay, call: &Call, reader: &Upstream, why: &str) {
+/// Logs why a separate prefill brought no KV cache.
+fn log_not_prefilled(relay: &Relay, call: &Call, engine: &Upstream, why: &str) {
     if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
-            request = call.id(), key:% = call.key, upstream = reader.id, why;
+            request = call.id(), key:% = call.key, upstream = engine.id, why;
             "prompt not read"
         );
     }
 }
 
+/// Checks the answer to a prefill and reads the handle of the KV cache from it.
 async fn read_response(
     relay: &Rc<Relay>,
     call: &Call,
-    reader: &Rc<Upstream>,
+    engine: &Rc<Upstream>,
     response: Response<Incoming>,
-    lease: PooledConnection,
+    connection: PooledConnection,
 ) -> Option<PrefilledKv> {
     let status = response.status();
     let answered = relay.dialect.parse_response_head(response.headers());
-    note_response_head(relay, reader, &answered);
-    // A late answer to an earlier request on the connection would lead to another prompt's cache.
+    note_response_head(relay, engine, &answered);
+    // A late answer to an earlier request on this connection would name another prompt's cache.
     if answered.attempt != call.head.attempt {
-        log_not_prefilled(relay, call, reader, "the answer is another request's");
+        log_not_prefilled(relay, call, engine, "the answer belongs to another request");
         return None;
     }
     let body = match response.into_body().collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) => {
-            note_lost_answer(relay, call, reader);
-            log_not_prefilled(relay, call, reader, &error.to_string());
+            note_lost_answer(relay, call, engine);
+            log_not_prefilled(relay, call, engine, &error.to_string());
             return None;
         }
     };
-    lease.release();
+    connection.release();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        note_misdirected(relay, reader, answered.instance.as_deref(), Step::Prefill);
+        note_misdirected(relay, engine, answered.instance.as_deref(), Step::Prefill);
     }
     if is_no_capacity(status) {
-        reader.note_no_capacity(relay.now_ms());
+        engine.note_no_capacity(relay.now_ms());
     }
     if status != StatusCode::OK {
         if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
-                request = call.id(), upstream = reader.id, status = status.as_u16();
+                request = call.id(), upstream = engine.id, status = status.as_u16();
                 "prompt rejected"
             );
         }
@@ -241,11 +242,11 @@
     let id = relay.dialect.parse_prefill_response(&body)?;
     Some(PrefilledKv {
         relay: Rc::clone(relay),
-        reader: Rc::clone(reader),
+        engine: Rc::clone(engine),
         handle: KvHandle {
-            holder: reader.address,
+            holder: engine.address,
             id,
         },
-        taken: Cell::new(false),
+        is_taken: Cell::new(false),
     })
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams passed on event by event, and gone on with elsewhere when one breaks off.
+//! Forwards streams event by event, and resumes them at another engine when one breaks off.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -23,14 +23,14 @@
 use crate::upstream::{InFlight, Work};
 use crate::urgency::Urgency;
 
-/// Silence of an engine, in objectives for the pause between events, after which a stream that
-/// may go on elsewhere does so. Callers leave after eight; what is left is for the other engine.
+/// Silence of an engine after which its stream is resumed elsewhere, in multiples of the objective
+/// for the gap between events. Callers give up after eight, which leaves time for the other engine.
 const MAX_SILENT_GAPS: u64 = 3;
 
-/// Least silence after which a stream goes on elsewhere, in ms.
+/// Shortest silence after which a stream is resumed elsewhere, in ms.
 const MIN_SILENCE_MS: u64 = 700;
 
-/// A stream on its way from an engine to a caller.
+/// State of a stream that is forwarded from an engine to a caller.
 pub struct StreamForwarder {
     relay: Rc<Relay>,
     call: Rc<Call>,
@@ -44,13 +44,14 @@
     longest_gap_ms: u64,
 }
 
+/// The part of a stream that comes from one engine.
 struct EngineStream {
     body: Incoming,
-    lease: PooledConnection,
+    connection: PooledConnection,
     guard: InFlight,
 }
 
-/// What came of waiting for the engine.
+/// Result of waiting for the engine.
 enum Received {
     Data(Bytes),
     End,
@@ -60,7 +61,7 @@
 }
 
 impl StreamForwarder {
-    /// Passes on the head of a stream, and its events as they come.
+    /// Returns the head of a stream, with a body that forwards its events as they arrive.
     pub fn start(
         relay: &Rc<Relay>,
         call: &Rc<Call>,
@@ -71,7 +72,7 @@
         let (mut head, body) = checked.response.into_parts();
         strip_hop_by_hop(&mut head.headers, |_| false);
         if call.route.is_retryable() {
-            // The rest may come from elsewhere and be of another length.
+            // The rest may come from another engine and differ in length.
             head.headers.remove(header::CONTENT_LENGTH);
         }
         let took_s = (relay.now_ms() - call.arrived_ms) as f64 / 1_000.0;
@@ -81,12 +82,12 @@
             .head_s
             .with_label_values(&labels)
             .observe(took_s);
-        let streaming = Self {
+        let forwarder = Self {
             relay: Rc::clone(relay),
             call: Rc::clone(call),
             source: Some(EngineStream {
                 body,
-                lease: checked.connection,
+                connection: checked.connection,
                 guard,
             }),
             splitter: EventSplitter::default(),
@@ -97,17 +98,18 @@
             last_ms: relay.now_ms(),
             longest_gap_ms: 0,
         };
-        let frames = unfold(Some(streaming), |streaming| async move {
-            let mut streaming = streaming?;
-            match streaming.next().await {
-                Some(Ok(bytes)) => Some((Ok(bytes), Some(streaming))),
-                Some(Err(broken)) => Some((Err(broken), None)),
+        let frames = unfold(Some(forwarder), |forwarder| async move {
+            let mut forwarder = forwarder?;
+            match forwarder.next().await {
+                Some(Ok(bytes)) => Some((Ok(bytes), Some(forwarder))),
+                Some(Err(truncated)) => Some((Err(truncated), None)),
                 None => None,
             }
         });
         Response::from_parts(head, AnswerBody::stream(frames))
     }
 
+    /// The next complete event, or the next chunk of a stream that cannot be resumed.
     async fn next(&mut self) -> Option<Result<Bytes, TruncatedAnswer>> {
         loop {
             if let Some(bytes) = self.ready.pop_front() {
@@ -125,19 +127,20 @@
                 }
                 Received::End => {
                     self.note_lost_answer();
-                    if let Err(broken) = self.resume_elsewhere("it ended within an event").await {
-                        return Some(Err(broken));
+                    if let Err(truncated) = self.resume_elsewhere("it ended within an event").await
+                    {
+                        return Some(Err(truncated));
                     }
                 }
                 Received::Broken(why) => {
                     self.note_lost_answer();
-                    if let Err(broken) = self.resume_elsewhere(&why).await {
-                        return Some(Err(broken));
+                    if let Err(truncated) = self.resume_elsewhere(&why).await {
+                        return Some(Err(truncated));
                     }
                 }
                 Received::Silent(why) => {
-                    if let Err(broken) = self.resume_elsewhere(&why).await {
-                        return Some(Err(broken));
+                    if let Err(truncated) = self.resume_elsewhere(&why).await {
+                        return Some(Err(truncated));
                     }
                 }
                 Received::OutOfTime => return Some(Err(self.fail("out of time"))),
@@ -145,13 +148,14 @@
         }
     }
 
+    /// Queues the complete events, without those that the caller already has.
     fn take_events(&mut self) {
         while let Some(event) = self.splitter.next_event() {
-            let is_old = match (event.id, self.last_event) {
+            let is_duplicate = match (event.id, self.last_event) {
                 (Some(id), Some(last)) => id <= last,
                 _ => false,
             };
-            if is_old {
+            if is_duplicate {
                 continue;
             }
             self.last_event = event.id.or(self.last_event);
@@ -159,12 +163,13 @@
         }
     }
 
+    /// Waits for data, as long as the deadline and the allowed silence permit.
     async fn receive(&mut self) -> Received {
         let left_ms = self.call.left_ms(self.relay.now_ms());
         let silent_ms = (self.call.route.gap_goal_ms * MAX_SILENT_GAPS).max(MIN_SILENCE_MS);
-        let may_move = self.call.route.is_retryable()
+        let may_resume = self.call.route.is_retryable()
             && self.call.attempts.get() < self.call.route.max_attempts;
-        let wait_ms = if may_move {
+        let wait_ms = if may_resume {
             left_ms.min(silent_ms)
         } else {
             left_ms
@@ -186,6 +191,7 @@
         }
     }
 
+    /// Updates the longest gap and the engine's last activity.
     fn note_progress(&mut self) {
         let now_ms = self.relay.now_ms();
         self.longest_gap_ms = self.longest_gap_ms.max(now_ms - self.last_ms);
@@ -195,13 +201,14 @@
         }
     }
 
+    /// Reports the lost connection to the failure attribution.
     fn note_lost_answer(&self) {
         if let Some(source) = &self.source {
             note_lost_answer(&self.relay, &self.call, source.guard.upstream());
         }
     }
 
-    /// Goes on with the stream at another engine, after the last whole event.
+    /// Resumes the stream at another engine, after the last complete event.
     async fn resume_elsewhere(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
         if let Some(source) = self.source.take() {
             source.guard.upstream().note_failure(self.relay.now_ms());
@@ -224,7 +231,7 @@
         if !may_retry(&self.relay, &call) {
             return Err(self.fail(why));
         }
-        let Ok(maker) = placement::choose_decode_engine(
+        let Ok(placement) = placement::choose_decode_engine(
             &self.relay,
             &call,
             prompt,
@@ -234,21 +241,20 @@
         ) else {
             return Err(self.fail(why));
         };
-        let tokens = maker.prefill_tokens;
-        let copy_from = maker.copy_from.map(|holder| holder.address);
-        let maker = maker.engine;
-        self.tried.push(maker.id.clone());
+        let copy_from = placement.copy_from.map(|holder| holder.address);
+        let engine = placement.engine;
+        self.tried.push(engine.id.clone());
         let guard = InFlight::begin(
-            &maker,
+            &engine,
             self.relay.now_ms(),
             Work {
-                prefill_tokens: tokens,
+                prefill_tokens: placement.prefill_tokens,
                 context_tokens: f64::from(prompt.input_tokens),
                 rank: call.rank(Urgency::OnTime),
             },
         );
-        let sending = SendOptions {
-            instance: &maker.id,
+        let options = SendOptions {
+            instance: &engine.id,
             deadline_ms: call.left_ms(self.relay.now_ms()),
             priority: Some(call.rank(Urgency::OnTime)),
             copy_from,
@@ -256,17 +262,17 @@
             ..SendOptions::default()
         };
         let left = Duration::from_millis(call.left_ms(self.relay.now_ms()));
-        let sent = actix_rt::time::timeout(left, send(&self.relay, &call, &maker, &sending)).await;
+        let sent = actix_rt::time::timeout(left, send(&self.relay, &call, &engine, &options)).await;
         match sent {
             Ok(SendResult::Answer(checked)) if checked.response.status() == StatusCode::OK => {
                 guard.note_prefilled();
                 guard.note_head(self.relay.now_ms());
                 if self.relay.failure_log_limit.take(self.relay.now_ms()) {
-                    log::info!(request = call.id(), upstream = maker.id; "stream goes on");
+                    log::info!(request = call.id(), upstream = engine.id; "stream goes on");
                 }
                 self.source = Some(EngineStream {
                     body: checked.response.into_body(),
-                    lease: checked.connection,
+                    connection: checked.connection,
                     guard,
                 });
                 Ok(())
@@ -275,9 +281,10 @@
         }
     }
 
-    fn finish(&mut self, end: &str) {
+    /// Counts and logs a complete stream, and releases its connection.
+    fn finish(&mut self, status: &str) {
         self.call.is_finished.set(true);
-        let labels = [self.call.route.name.as_str(), end];
+        let labels = [self.call.route.name.as_str(), status];
         self.relay.metrics.requests.with_label_values(&labels).inc();
         let route = &self.call.route;
         let first_ms = self.call.prior_wait_ms + self.first_ms;
@@ -293,10 +300,11 @@
                     "stream finished"
                 );
             }
-            source.lease.release();
+            source.connection.release();
         }
     }
 
+    /// Counts and logs a stream that ends incomplete.
     fn fail(&self, why: &str) -> TruncatedAnswer {
         self.call.is_finished.set(true);
         if self.relay.failure_log_limit.take(self.relay.now_ms()) {
@@ -314,26 +322,26 @@
     }
 }
 
-/// Passes on a long answer as it comes, up to the request's deadline.
+/// Streams a long answer to the caller as it arrives, until the request's deadline.
 pub fn stream_answer(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     body: Incoming,
-    lease: PooledConnection,
+    connection: PooledConnection,
     guard: InFlight,
 ) -> AnswerBody {
     struct State {
         relay: Rc<Relay>,
         call: Rc<Call>,
         body: Incoming,
-        lease: PooledConnection,
+        connection: PooledConnection,
         guard: InFlight,
     }
     let state = State {
         relay: Rc::clone(relay),
         call: Rc::clone(call),
         body,
-        lease,
+        connection,
         guard,
     };
     let frames = unfold(Some(state), |state| async move {
@@ -344,7 +352,7 @@
                 return Some((Ok(frame.into_data().unwrap_or_default()), Some(state)));
             }
             Ok(None) => {
-                state.lease.release();
+                state.connection.release();
                 state.relay.record_answered(&state.call);
                 return None;
             }
