--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of upstreams passed on, and refusals of our own.
+//! Answers to callers: forwarded answers of upstreams, and refusals by this instance.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -12,11 +12,12 @@
 use http_body::{Body, Frame, SizeHint};
 use log::kv::ToValue;
 
-/// An answer that ends early. Its connection is closed, so that it does not look whole.
+/// Error of an answer that ends early. The caller's connection is closed, so that the answer does not
+/// look complete.
 #[derive(Debug, Display, Error)]
 #[display("the answer broke off: {why}")]
 pub struct TruncatedAnswer {
-    /// What happened.
+    /// Cause.
     pub why: String,
 }
 
@@ -30,42 +31,42 @@
 /// Body of an answer to a caller.
 pub struct AnswerBody {
     content: Content,
-    busy: Option<ActiveRequest>,
+    active: Option<ActiveRequest>,
 }
 
 impl AnswerBody {
-    /// A body that is all there.
+    /// A complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self {
             content: Content::Whole(bytes.into()),
-            busy: None,
+            active: None,
         }
     }
 
-    /// Passes on what a stream gives.
+    /// A body whose chunks come from a stream.
     pub fn stream(frames: impl Stream<Item = Result<Bytes, TruncatedAnswer>> + 'static) -> Self {
         Self {
             content: Content::Streamed(Box::pin(frames)),
-            busy: None,
+            active: None,
         }
     }
 
-    /// Keeps the process counted as busy until the body has been sent.
-    pub fn track(&mut self, busy: ActiveRequest) {
-        self.busy = Some(busy);
+    /// Keeps the request counted as active until the body has been sent.
+    pub fn track(&mut self, active: ActiveRequest) {
+        self.active = Some(active);
     }
 }
 
-/// Counts a request from its arrival until its answer is out.
+/// Guard that counts a request from its arrival until its answer has been sent.
 ///
-/// A process that leaves ends when none is left. Connections without a request do not hold it
-/// up, since callers keep some open that they may never use again.
+/// A process that shuts down ends when no request is active. Idle connections do not delay it, since
+/// callers may keep them open without ever using them again.
 pub struct ActiveRequest {
     count: Rc<Cell<usize>>,
 }
 
 impl ActiveRequest {
-    /// One more request.
+    /// Counts one more request.
     pub fn enter(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self {
@@ -110,7 +111,7 @@
     }
 }
 
-/// Why a request was not served.
+/// Reason why a request was not served.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// This instance knows no configuration yet.
@@ -125,28 +126,28 @@
     /// The request cannot be read.
     #[display("the request is malformed")]
     Malformed,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     #[display("the request's body did not come in time")]
     BodyTimeout,
     /// The body is longer than allowed.
     #[display("the body is too long")]
     TooLong,
-    /// No upstream may take it now.
+    /// No upstream can take the request now.
     #[display("no upstream is free")]
     NoUpstream,
-    /// It would come too late.
+    /// The answer would come too late.
     #[display("no upstream would answer in time")]
     TooLate,
-    /// An upstream rejected it without running it.
+    /// Upstreams rejected the request without running it.
     #[display("an upstream rejected it unrun")]
     Rejected,
-    /// Upstreams end under it.
+    /// The request ends the upstreams that run it.
     #[display("upstreams end under this request")]
     PoisonRequest,
-    /// It was sent and no whole answer came.
+    /// The request was sent, and no complete answer came.
     #[display("the upstream's answer was lost")]
     Lost,
-    /// Its time ran out.
+    /// The deadline passed.
     #[display("out of time")]
     TimedOut,
 }
@@ -158,7 +159,7 @@
 }
 
 impl Reason {
-    /// Its name in metrics.
+    /// Label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoConfig => "no_config",
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Whether the answer promises that the request has not run and never will.
+    /// Whether the answer's status promises that the request has not run and never will.
     pub fn says_not_run(self) -> bool {
         matches!(
             self.status(),
@@ -184,7 +185,7 @@
         )
     }
 
-    /// Status of the answer; 503 says that the request has not run and will not.
+    /// Status of the answer; 503 and 408 promise that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfig
@@ -203,17 +204,17 @@
     }
 }
 
-/// A refusal, or an error of our own.
+/// A refusal or an error that this instance answers itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub reason: Reason,
-    /// When to come back, where that may help.
+    /// Delay after which a retry may succeed; empty if retrying does not help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal that coming back does not help.
+    /// A refusal without a retry delay.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A refusal with the time after which another try may go better.
+    /// A refusal with the delay after which a retry may succeed.
     pub fn with_retry_after(reason: Reason, retry_after_ms: u64) -> Self {
         Self {
             reason,
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The answer.
+    /// Builds the answer with the given JSON body.
     pub fn response(self, body: Vec<u8>) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::whole(body));
         *response.status_mut() = self.reason.status();
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers, the directory, readiness and metrics.
+//! HTTP listeners for callers, the directory, readiness, metrics and peers.
 
 use std::convert::Infallible;
 use std::io;
@@ -23,31 +23,31 @@
 use crate::forward::forward;
 use crate::relay::{Phase, Relay};
 
-/// Connections that may wait to be accepted, so that a wave of new ones is not turned away.
+/// Length of the accept queue, so that a burst of new connections is not refused.
 const BACKLOG: u32 = 1_024;
 
-/// Wait after a failed accept, such as one for want of descriptors, in ms.
+/// Delay after a failed accept, for example for lack of file descriptors, in ms.
 const ACCEPT_RETRY_MS: u64 = 20;
 
-/// Time after which a caller comes back to an instance that has no configuration yet, in ms.
+/// Retry delay sent to callers while the instance has no configuration, in ms.
 const NO_CONFIG_RETRY_MS: u64 = 250;
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// Requests of callers.
+    /// Callers' requests.
     Callers,
-    /// Addresses to connect to.
+    /// The directory: addresses of instances that callers can connect to.
     Directory,
-    /// Whether the instance takes callers.
+    /// Readiness of this instance.
     Readiness,
-    /// Metrics.
+    /// Metrics in Prometheus' text format.
     Metrics,
-    /// State for other instances.
+    /// State of this instance, for peers that catch up.
     Peers,
 }
 
-/// Opens a listener that another start of the same program can follow at once.
+/// Opens a listening socket with address reuse, so that a restarted program can bind at once.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -55,7 +55,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts and serves connections until the phase says otherwise.
+/// Accepts and serves connections. The listener for callers stops when the phase becomes
+/// [`Phase::Closing`]; the others run on.
 pub async fn serve(
     relay: Rc<Relay>,
     kind: ListenerKind,
@@ -71,24 +72,25 @@
             Ok((stream, _)) => {
                 let relay = Rc::clone(&relay);
                 let phase = phase.clone();
-                actix_rt::spawn(connection(relay, kind, stream, phase));
+                actix_rt::spawn(serve_connection(relay, kind, stream, phase));
             }
             Err(error) => {
-                log::warn!(error:%; "connection not accepted");
+                log::warn!(error:%; "could not accept connection");
                 actix_rt::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
 }
 
-async fn connection(
+/// Serves the requests of one connection until it ends or the phase becomes [`Phase::Closing`].
+async fn serve_connection(
     relay: Rc<Relay>,
     kind: ListenerKind,
     stream: TcpStream,
     mut phase: watch::Receiver<Phase>,
 ) {
     if let Err(error) = crate::pool::configure_socket(&stream) {
-        log::debug!(error:%; "connection with default options");
+        log::debug!(error:%; "could not set socket options, using defaults");
     }
     let limits = relay
         .config()
@@ -99,8 +101,8 @@
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        // A connection may idle for as long as callers are told; this bounds both that and a
-        // head that never ends.
+        // Bounds the idle time of a connection, which callers are told, and the time to receive a
+        // request's head.
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
         .max_buf_size(limits.head_bytes.max(16_384))
         .serve_connection(TokioIo::new(stream), service);
@@ -117,6 +119,8 @@
     }
 }
 
+/// Answers one request. Once the instance is leaving, the answer asks the peer to close the
+/// connection.
 async fn respond(
     relay: &Rc<Relay>,
     kind: ListenerKind,
@@ -124,9 +128,9 @@
 ) -> Response<AnswerBody> {
     let mut response = match kind {
         ListenerKind::Callers => {
-            let busy = ActiveRequest::enter(&relay.in_flight);
+            let active = ActiveRequest::enter(&relay.in_flight);
             let mut response = serve_caller(relay, request).await;
-            response.body_mut().track(busy);
+            response.body_mut().track(active);
             response
         }
         ListenerKind::Directory => directory_response(relay, &request),
@@ -148,7 +152,7 @@
     match serde_json::to_vec(&relay.snapshot()) {
         Ok(body) => full_response(body, "application/json"),
         Err(error) => {
-            log::error!(error:%; "state not written");
+            log::error!(error:%; "could not serialize the state");
             empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
@@ -186,6 +190,7 @@
     )
 }
 
+/// Reads and admits a caller's request, and forwards it.
 async fn serve_caller(relay: &Rc<Relay>, request: Request<Incoming>) -> Response<AnswerBody> {
     let arrived_ms = relay.now_ms();
     let (parts, body) = request.into_parts();
@@ -194,7 +199,7 @@
     let limits = config
         .as_ref()
         .map_or_else(Limits::default, |config| config.limits);
-    // A caller that falls silent within its body must not hold up a process that leaves.
+    // A caller that stops within its body must not delay a shutdown.
     let wait = Duration::from_millis(limits.idle_ms.min(head.deadline_ms.unwrap_or(u64::MAX)));
     let body = Limited::new(body, limits.body_bytes).collect();
     let Ok(body) = actix_rt::time::timeout(wait, body).await else {
@@ -206,7 +211,7 @@
             return refuse(relay, Refusal::new(Reason::TooLong));
         }
         Err(error) => {
-            log::debug!(error:%; "request's body not read");
+            log::debug!(error:%; "could not read the request's body");
             return refuse(relay, Refusal::new(Reason::Malformed));
         }
     };
@@ -239,10 +244,11 @@
     forward(relay, call).await
 }
 
-fn refuse(relay: &Relay, refused: Refusal) -> Response<AnswerBody> {
-    let labels = ["-", refused.reason.label()];
+/// Counts and builds the answer to a request that was refused before it had a route.
+fn refuse(relay: &Relay, refusal: Refusal) -> Response<AnswerBody> {
+    let labels = ["-", refusal.reason.label()];
     relay.metrics.refusals.with_label_values(&labels).inc();
-    refused.response(relay.dialect.encode_error(&refused.reason.to_string()))
+    refusal.response(relay.dialect.encode_error(&refusal.reason.to_string()))
 }
 
 fn empty_response(status: StatusCode) -> Response<AnswerBody> {
