--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, read and ready to be sent on.
+//! One request of a caller: what was read from it, and how far it has been served.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::relay::Relay;
 use crate::urgency::Urgency;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TE,
@@ -28,45 +28,45 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// A request of a caller.
+/// One attempt of a caller's request.
 pub struct Call {
     /// Its route.
     pub route: Rc<Route>,
-    /// Workspace that it is for, if its caller named one by a key.
+    /// Workspace of the caller's key, if it presented one.
     pub workspace: Option<Rc<Workspace>>,
-    /// Service that is to run it.
+    /// Service that it is sent to.
     pub service: String,
-    /// What its head says.
+    /// The fields that the dialect read from its head.
     pub head: RequestHead,
-    /// What it asks, the same for all attempts of one request.
+    /// Identity of its content, the same for all attempts of one request.
     pub key: RequestKey,
-    /// Number drawn from its id, the same wherever the attempt is seen.
+    /// Hash of the attempt's id, the same at every instance; the time of arrival if it has none.
     pub id_hash: u64,
-    /// When its head had come, on the instance's clock.
+    /// When its head was received, on the instance's clock.
     pub arrived_ms: u64,
-    /// Whether it lets longer prompts of its route go first.
+    /// Whether longer prompts of its route are ranked before it.
     pub yields_to_longer: bool,
-    /// How long its caller had waited before this attempt, as its deadline tells.
+    /// Time that its caller had waited before this attempt, estimated from its deadline.
     pub prior_wait_ms: u64,
-    /// When its answer must be complete.
+    /// Deadline of the complete answer, on the instance's clock.
     pub deadline_at_ms: u64,
-    /// Sends of it that may have run.
+    /// Number of its sends that may have run.
     pub possible_runs: Cell<u32>,
-    /// Upstreams that it was sent to, those that rejected it included.
+    /// Number of upstreams that it was sent to, including those that rejected it.
     pub attempts: Cell<u32>,
-    /// Reads of its prompt apart that reached an engine, but for the first that was accepted.
+    /// Separate prefills that reached an engine, without the first that was accepted.
     prefill_sends: Cell<u32>,
-    /// Whether a read of its prompt apart has been accepted.
+    /// Whether a separate prefill has been accepted.
     pub(crate) prefill_accepted: Cell<bool>,
-    /// Arrivals of it at its service that the bound on repeats allows; the first always is.
+    /// Arrivals at its service that the retry budget has allowed so far, the first included.
     pub(crate) allowed_arrivals: Cell<u32>,
-    /// Whether an upstream has begun with it, as far as is known.
+    /// Whether an upstream is known to have started it.
     pub has_started: Cell<bool>,
-    /// Whether its answer has ended, well or not.
+    /// Whether its answer has ended, successfully or not.
     pub is_finished: Cell<bool>,
-    /// Whether it has been sent to an upstream, run there or not.
+    /// Whether it has been sent to an upstream at least once.
     pub is_sent: Cell<bool>,
-    /// Upstream that has it.
+    /// Id of the upstream that it was last sent to; empty before the first send.
     pub current_upstream: RefCell<String>,
     relay: Rc<Relay>,
     method: Method,
@@ -76,7 +76,7 @@
 }
 
 impl Call {
-    /// Takes a request over; gives nothing if its route has no service.
+    /// Builds the state of an admitted request; returns nothing if its route has no service.
     pub fn new(
         relay: &Rc<Relay>,
         admitted: Admitted,
@@ -137,66 +137,66 @@
         })
     }
 
-    /// Time left.
+    /// Time until the deadline.
     pub fn left_ms(&self, now_ms: u64) -> u64 {
         self.deadline_at_ms.saturating_sub(now_ms)
     }
 
-    /// Times that it has reached its service, as the bound on repeats counts them: rejected or not, but for
-    /// the first read of its prompt that was accepted.
+    /// Number of arrivals at its service as the retry budget counts them: every send, rejected or not,
+    /// except the first separate prefill that was accepted.
     pub(crate) fn arrivals(&self) -> u32 {
         self.attempts.get() + self.prefill_sends.get()
     }
 
-    /// Its prompt is sent to be read apart.
+    /// Counts a separate prefill that is about to be sent.
     pub(crate) fn note_prefill_sent(&self) {
         self.prefill_sends.set(self.prefill_sends.get() + 1);
     }
 
-    /// That read has reached nobody.
+    /// Takes back the count of a separate prefill that did not reach an engine.
     pub(crate) fn note_prefill_unsent(&self) {
         self.prefill_sends.set(self.prefill_sends.get() - 1);
     }
 
-    /// That read was accepted.
+    /// Records that a separate prefill was accepted; the first one no longer counts as an arrival.
     pub(crate) fn note_prefill_accepted(&self) {
         if !self.prefill_accepted.replace(true) {
             self.prefill_sends.set(self.prefill_sends.get() - 1);
         }
     }
 
-    /// Rank at an engine, 0 first.
+    /// Rank in an engine's queue, 0 first.
     pub fn rank(&self, urgency: Urgency) -> u8 {
         urgency.rank(self.priority(), self.yields_to_longer)
     }
 
-    /// Its priority, 0 first: its workspace's goes before its route's.
+    /// Its priority, 0 first: that of its workspace if set, else that of its route.
     pub fn priority(&self) -> u8 {
         let workspace = self.workspace.as_ref();
         let own = workspace.and_then(|workspace| workspace.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// Name of its workspace, for logs.
+    /// Name of its workspace for logs; `-` if there is none.
     pub fn workspace_name(&self) -> &str {
         self.workspace
             .as_ref()
             .map_or("-", |workspace| &workspace.name)
     }
 
-    /// The caller's id for the attempt, for logs.
+    /// The caller's id of the attempt for logs; `-` if there is none.
     pub fn id(&self) -> &str {
         let attempt = self.head.attempt.as_ref();
         attempt.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// The request as it is sent to an upstream.
-    pub fn request(&self, dialect: &dyn Dialect, sending: &SendOptions) -> Request<Full<Bytes>> {
+    /// Builds the request that is sent to an upstream.
+    pub fn request(&self, dialect: &dyn Dialect, options: &SendOptions) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         let mut headers = self.headers.clone();
-        dialect.write_send_options(&mut headers, sending);
+        dialect.write_send_options(&mut headers, options);
         *request.headers_mut() = headers;
         request
     }
@@ -204,12 +204,12 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let terms = self.relay.settings.borrow().singleton_tasks;
-        self.relay.singleton_tasks.count_unanswered(terms, self);
+        let settings = self.relay.settings.borrow().singleton_tasks;
+        self.relay.singleton_tasks.count_unanswered(settings, self);
         if self.is_finished.get() {
             return;
         }
-        // The caller closed its connection, and all work on the request was dropped with it.
+        // The caller closed its connection, which dropped all work on the request.
         let now_ms = self.relay.now_ms();
         let labels = [self.route.name.as_str(), "left"];
         self.relay.metrics.requests.with_label_values(&labels).inc();
@@ -224,9 +224,10 @@
     }
 }
 
-/// Takes out headers that concern one connection, those named in `Connection` included.
+/// Removes hop-by-hop headers, including those named in `Connection`.
 ///
-/// A caller could otherwise have the headers that identify its request dropped on the way.
+/// Headers for which `keeps` holds stay even if they are named there; otherwise a caller could remove
+/// the headers that identify its request.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap, keeps: impl Fn(&HeaderName) -> bool) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -246,7 +247,7 @@
     headers.remove("proxy-connection");
 }
 
-/// The host that a request names, in lower case and without a port.
+/// The host that a request names, in lower case and without the port.
 pub fn host(uri: &Uri, headers: &HeaderMap) -> Option<String> {
     let named = headers.get(header::HOST).map(HeaderValue::to_str);
     let host = match (uri.authority(), named) {
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to an upstream, and what came of it.
+//! Sends a request once to an upstream and classifies the result.
 
 use std::rc::Rc;
 
@@ -16,38 +16,39 @@
 use crate::retry::SendFailure;
 use crate::upstream::{InFlight, Stage, Upstream};
 
-/// Part of an instance's share of an upstream's connections that it uses; the rest is for instances
-/// that do not know of each other yet.
+/// Fraction of its share of an upstream's connections that an instance uses. The rest is left for
+/// instances that do not know of each other yet.
 const USED_CONNECTION_FRACTION: f64 = 0.9;
 
-/// Connections that an instance may open however many share an upstream: one in use, one that is
-/// being replaced.
+/// Connections to an upstream that an instance may always open, however many instances share it: one
+/// in use and one being replaced.
 const MIN_CONNECTIONS: usize = 2;
 
-/// An answer's head that has been checked to belong to the request.
+/// An answer whose head has been checked to belong to the request.
 pub struct CheckedAnswer {
-    /// The answer.
+    /// Head of the answer, with the body still to be read.
     pub response: Response<Incoming>,
-    /// What its head says.
+    /// The fields that the dialect read from the head.
     pub head: ResponseHead,
-    /// The connection.
+    /// Connection on which the body arrives.
     pub connection: PooledConnection,
 }
 
-/// How one send ended.
+/// Result of one send.
 pub enum SendResult {
     /// The upstream answered, with success or failure.
     Answer(Box<CheckedAnswer>),
     /// Nothing reached the upstream.
     Unsent(ExchangeError),
-    /// The upstream rejected it unrun.
+    /// The upstream rejected the request without running it.
     NotRun(StatusCode),
-    /// It may have run, and there is no answer.
+    /// The request may have run, and there is no answer; with the reason.
     Lost(String),
 }
 
 impl SendResult {
-    /// How it ended, as far as the next step goes; an answer at this point is of no use.
+    /// The result as a failure for the retry decision. An answer counts as lost: it is only asked for
+    /// one that cannot be used.
     pub fn failure(&self) -> SendFailure {
         match self {
             Self::Unsent(_) => SendFailure::Unsent,
@@ -57,31 +58,35 @@
     }
 }
 
-/// Sends a request once and checks that the answer is its own.
+/// Sends a request once and checks that the answer belongs to it.
+///
+/// The caller must have taken the send from the retry budget (`Relay::may_send`).
 pub async fn send(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     upstream: &Rc<Upstream>,
-    sending: &SendOptions<'_>,
+    options: &SendOptions<'_>,
 ) -> SendResult {
-    let request = call.request(&*relay.dialect, sending);
+    let request = call.request(&*relay.dialect, options);
     debug_assert!(
         call.arrivals() < call.allowed_arrivals.get(),
-        "a send beyond the bound"
+        "a send beyond the retry budget"
     );
     call.attempts.set(call.attempts.get() + 1);
     call.possible_runs.set(call.possible_runs.get() + 1);
     call.current_upstream.borrow_mut().clone_from(&upstream.id);
     let began_ms = relay.now_ms();
     let sent = match exchange_with(relay, call, upstream, request).await {
-        Ok((response, lease)) => check_answer(relay, call, upstream, sending.step, response, lease),
-        Err(fault @ ExchangeError::Lost { .. }) => SendResult::Lost(fault.to_string()),
-        Err(fault) => SendResult::Unsent(fault),
+        Ok((response, connection)) => {
+            check_answer(relay, call, upstream, options.step, response, connection)
+        }
+        Err(error @ ExchangeError::Lost { .. }) => SendResult::Lost(error.to_string()),
+        Err(error) => SendResult::Unsent(error),
     };
     match &sent {
         SendResult::Answer(checked) => {
-            let terms = relay.settings.borrow().singleton_tasks;
-            relay.singleton_tasks.count_started(terms, call);
+            let settings = relay.settings.borrow().singleton_tasks;
+            relay.singleton_tasks.count_started(settings, call);
             let took_ms = (relay.now_ms() - began_ms) as f64;
             if call.route.kind != RouteKind::Stream && checked.response.status().is_success() {
                 let usual_ms = upstream.answer_ms().max(DEFAULT_ANSWER_MS);
@@ -90,19 +95,19 @@
                 upstream.note_failure(relay.now_ms());
             }
         }
-        SendResult::Unsent(fault) => {
+        SendResult::Unsent(error) => {
             call.attempts.set(call.attempts.get() - 1);
             call.possible_runs.set(call.possible_runs.get() - 1);
-            note_exchange_error(relay, upstream, fault);
+            note_exchange_error(relay, upstream, error);
             if relay.failure_log_limit.take(relay.now_ms()) {
-                log::info!(request = call.id(), upstream = upstream.id, fault:%; "request not sent");
+                log::info!(request = call.id(), upstream = upstream.id, fault:% = error; "request not sent");
             }
         }
         SendResult::NotRun(status) => {
-            // It is certain that this send did not run.
+            // This send has certainly not run.
             call.possible_runs.set(call.possible_runs.get() - 1);
-            // With a cache to fetch it may be the cache that is missing, and not room.
-            if sending.kv.is_none() && is_no_capacity(*status) && upstream.stage() != Stage::Whole {
+            // If a KV cache was to be fetched, the rejection may mean that the cache is missing.
+            if options.kv.is_none() && is_no_capacity(*status) && upstream.stage() != Stage::Whole {
                 upstream.note_no_capacity(relay.now_ms());
             }
             if relay.failure_log_limit.take(relay.now_ms()) {
@@ -125,7 +130,7 @@
     sent
 }
 
-/// Takes an answer of any kind as a sign of life.
+/// Records an answer of any kind as activity of the upstream.
 pub fn note_response(relay: &Relay, guard: &InFlight, sent: &SendResult) {
     match sent {
         SendResult::Answer(_) | SendResult::NotRun(_) => guard.note_head(relay.now_ms()),
@@ -133,16 +138,16 @@
     }
 }
 
-/// Counts a fault against its upstream, unless it is that this instance may send nothing there now.
-pub fn note_exchange_error(relay: &Relay, upstream: &Upstream, fault: &ExchangeError) {
-    match fault {
+/// Records an error against the upstream's health, unless the cause is a limit on this instance.
+pub fn note_exchange_error(relay: &Relay, upstream: &Upstream, error: &ExchangeError) {
+    match error {
         ExchangeError::Connect { .. } => upstream.note_unreachable(relay.now_ms()),
         ExchangeError::Lost { .. } => upstream.note_failure(relay.now_ms()),
         ExchangeError::PoolExhausted { .. } | ExchangeError::RateLimited { .. } => {}
     }
 }
 
-/// Sends a request over one of the connections that this instance may open.
+/// Sends a request within the upstream's rate limit and this instance's share of its connections.
 pub async fn exchange_with(
     relay: &Rc<Relay>,
     call: &Call,
@@ -154,24 +159,24 @@
             peer: upstream.address,
         });
     }
-    let most = max_connections_to(relay, &call.service);
+    let max_open = max_connections_to(relay, &call.service);
     let began_ms = relay.now_ms();
     let seconds = |from_ms: u64| (relay.now_ms() - from_ms) as f64 / 1_000.0;
     if !call.is_sent.replace(true) {
-        let own = relay
+        let histogram = relay
             .metrics
             .time_to_send_s
             .with_label_values(&[&call.route.name]);
-        own.observe(seconds(call.arrived_ms));
+        histogram.observe(seconds(call.arrived_ms));
     }
-    let exchanged = exchange(&upstream.pool, most, request).await;
+    let exchanged = exchange(&upstream.pool, max_open, request).await;
     match &exchanged {
         Ok(_) => {
-            let at_upstream = relay
+            let histogram = relay
                 .metrics
                 .upstream_head_s
                 .with_label_values(&[&call.service]);
-            at_upstream.observe(seconds(began_ms));
+            histogram.observe(seconds(began_ms));
         }
         Err(ExchangeError::Lost { .. }) => note_lost_answer(relay, call, upstream),
         Err(
@@ -183,25 +188,25 @@
     exchanged
 }
 
-/// Connections that this instance may open to an upstream of a service.
+/// Maximum number of connections that this instance may open to an upstream of a service.
 pub fn max_connections_to(relay: &Relay, service: &str) -> usize {
     let config = relay.config();
     let service = config.as_ref().and_then(|config| config.service(service));
-    let most = service.map_or(usize::MAX, |service| service.max_connections);
-    let most = (most as f64 * USED_CONNECTION_FRACTION / relay.instance_count() as f64) as usize;
-    most.max(MIN_CONNECTIONS)
+    let max = service.map_or(usize::MAX, |service| service.max_connections);
+    let max = (max as f64 * USED_CONNECTION_FRACTION / relay.instance_count() as f64) as usize;
+    max.max(MIN_CONNECTIONS)
 }
 
-/// Whether a rejection says that there is no room, and not that the request is another's.
+/// Whether the status of a rejection means that the upstream has no capacity.
 pub fn is_no_capacity(status: StatusCode) -> bool {
-    let full = [
+    let statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    full.contains(&status)
+    statuses.contains(&status)
 }
 
-/// A request was rejected as another's: the incarnation is gone, or does another step by now.
+/// Handles the rejection of a misdirected request: the incarnation was replaced, or its role changed.
 pub fn note_misdirected(relay: &Relay, upstream: &Upstream, instance: Option<&str>, step: Step) {
     let is_stale = match step {
         Step::Prefill => upstream.stage() == Stage::Prefill,
@@ -217,48 +222,50 @@
     }
 }
 
-/// Takes in what an upstream says of itself in an answer's head, whichever request it answers.
-pub fn note_response_head(relay: &Relay, upstream: &Upstream, answered: &ResponseHead) {
+/// Records the load and rate limit that an upstream reports in an answer, whichever request it
+/// answers.
+pub fn note_response_head(relay: &Relay, upstream: &Upstream, head: &ResponseHead) {
     let is_another = |id: &String| *id != upstream.id;
-    if answered.instance.as_ref().is_some_and(is_another) {
+    if head.instance.as_ref().is_some_and(is_another) {
         return;
     }
-    if let Some(load) = answered.load {
+    if let Some(load) = head.load {
         upstream.note_reported_load(relay.now_ms(), load);
     }
-    relay.record_rate_limit(upstream, answered.limit_per_s);
+    relay.record_rate_limit(upstream, head.limit_per_s);
 }
 
+/// Classifies an answer by its head.
 fn check_answer(
     relay: &Rc<Relay>,
     call: &Call,
     upstream: &Rc<Upstream>,
     step: Step,
     response: Response<Incoming>,
-    lease: PooledConnection,
+    connection: PooledConnection,
 ) -> SendResult {
-    let answered = relay.dialect.parse_response_head(response.headers());
-    note_response_head(relay, upstream, &answered);
+    let head = relay.dialect.parse_response_head(response.headers());
+    note_response_head(relay, upstream, &head);
     let status = response.status();
-    // An answer that came late to an earlier request on the connection names another attempt. It
-    // says nothing of this one, not even that it has not run.
-    if answered.attempt != call.head.attempt {
-        return SendResult::Lost("the answer is another request's".to_owned());
+    // A late answer to an earlier request on this connection names another attempt. It says nothing
+    // about this request, not even that it has not run.
+    if head.attempt != call.head.attempt {
+        return SendResult::Lost("the answer belongs to another request".to_owned());
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        note_misdirected(relay, upstream, answered.instance.as_deref(), step);
+        note_misdirected(relay, upstream, head.instance.as_deref(), step);
         return SendResult::NotRun(status);
     }
-    if answered.not_run {
+    if head.not_run {
         return SendResult::NotRun(status);
     }
-    let encoded = response.headers().contains_key(header::CONTENT_ENCODING);
-    if status.is_success() && (!answered.is_signed || encoded) {
+    let is_encoded = response.headers().contains_key(header::CONTENT_ENCODING);
+    if status.is_success() && (!head.is_signed || is_encoded) {
         return SendResult::Lost("the answer has no signature".to_owned());
     }
     SendResult::Answer(Box::new(CheckedAnswer {
         response,
-        head: answered,
-        connection: lease,
+        head,
+        connection,
     }))
 }
