--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one peer.
+//! Pool of HTTP/1 connections to one peer.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,57 +17,59 @@
 use tick::Clock;
 use tokio::net::TcpStream;
 
-/// Longest time to open a connection, in ms: several round trips between availability zones and
-/// one lost packet's first repeat.
+/// Timeout for opening a connection, in ms: several round trips between availability zones and the
+/// first retransmission of a lost packet.
 const CONNECT_TIMEOUT_MS: u64 = 350;
 
-/// Time for which sent bytes may stay unacknowledged, in ms: longer than a link that loses some
-/// packets takes to repeat them, shorter than the usual grace of a stop.
+/// Time for which sent data may stay unacknowledged, in ms: longer than retransmissions take on a lossy
+/// link, shorter than the usual grace period of a shutdown.
 const UNACKED_TIMEOUT_MS: u64 = 4_000;
 
-/// Silence after which a connection is probed, in s.
+/// Idle time before the first TCP keepalive probe, in s.
 const KEEPALIVE_IDLE_S: u64 = 2;
 
-/// Time for which an idle connection is kept when the upstream names none, in ms; shorter than
-/// the usual five seconds of servers, so that a request rarely meets their close.
+/// Time for which an idle connection is kept if the peer does not announce one, in ms; shorter than
+/// the usual five seconds of servers, so that requests rarely race with the peer's close.
 const DEFAULT_IDLE_MS: u64 = 4_000;
 
-/// Part of an announced idle time that is used: the last second may already be the upstream's.
+/// Time by which an announced idle timeout is shortened, in ms, since the peer may already be closing
+/// the connection then.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
-/// Why no answer came.
+/// Error of a request that brought no answer.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
 pub enum ExchangeError {
     /// No connection could be opened; nothing was sent.
     #[display("connecting to {peer}: {why}")]
     Connect {
-        /// Where to.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What happened.
+        /// Cause.
         why: String,
     },
     /// All connections that this instance may open are in use; nothing was sent.
     #[display("no connection to {peer} is free")]
     PoolExhausted {
-        /// Where to.
+        /// Address of the peer.
         peer: SocketAddr,
     },
-    /// The peer names a limit, of which nothing is left for this instance; nothing was sent.
-    #[display("{peer} takes no more for now")]
+    /// This instance's share of the peer's rate limit is used up; nothing was sent.
+    #[display("rate limit of {peer} is used up")]
     RateLimited {
-        /// Where to.
+        /// Address of the peer.
         peer: SocketAddr,
     },
-    /// The request was sent, wholly or in part, and may have run.
+    /// The request was sent, at least in part, and may have run.
     #[display("answer of {peer}: {why}")]
     Lost {
-        /// Who was asked.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What happened.
+        /// Cause.
         why: String,
     },
 }
 
+/// An open connection and the task that drives it, which ends with the connection.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
@@ -80,7 +82,7 @@
     }
 }
 
-/// Idle connections to one peer, and the number of all that are open.
+/// Idle connections to one peer, and the number of open ones.
 pub struct Pool {
     peer: SocketAddr,
     clock: Clock,
@@ -90,7 +92,7 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(peer: SocketAddr, clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             peer,
@@ -101,14 +103,14 @@
         })
     }
 
-    /// Closes what is idle now, and each other connection as soon as its answer is whole.
+    /// Closes the idle connections now, and each other one as soon as its answer is complete.
     pub fn close(&self) {
         self.is_closing.set(true);
         let closed = std::mem::take(&mut *self.idle.borrow_mut());
         self.open.set(self.open.get() - closed.len());
     }
 
-    /// Opens a connection for the next request.
+    /// Opens an idle connection for the next request.
     pub async fn warm_up(self: &Rc<Self>, max_open: usize) -> Result<(), ExchangeError> {
         let connection = open(self, max_open).await?;
         let pooled = PooledConnection {
@@ -120,26 +122,27 @@
         Ok(())
     }
 
-    /// Connections that are open.
+    /// Number of open connections, idle or in use.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Whether a request can be sent now without opening a connection.
+    /// Whether a request can be sent without opening a connection.
     pub fn has_idle(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        let usable = |connection: &Connection| {
+        let is_usable = |connection: &Connection| {
             connection.idle_until_ms > now_ms && connection.sender.is_ready()
         };
-        self.idle.borrow().iter().any(usable)
+        self.idle.borrow().iter().any(is_usable)
     }
 
+    /// Takes the most recently used idle connection that is still usable; closes those that are not.
     fn take_idle(&self) -> Option<Connection> {
         let now_ms = self.clock.now_ms();
         loop {
             let connection = self.idle.borrow_mut().pop()?;
-            let usable = connection.idle_until_ms > now_ms && connection.sender.is_ready();
-            if usable {
+            let is_usable = connection.idle_until_ms > now_ms && connection.sender.is_ready();
+            if is_usable {
                 return Some(connection);
             }
             self.open.set(self.open.get() - 1);
@@ -147,8 +150,8 @@
     }
 }
 
-/// A connection in use. It is closed when dropped, which tells the upstream to stop working;
-/// only a whole answer gives it back.
+/// A connection in use. Dropping it closes the connection, which tells the peer to stop working; it
+/// returns to the pool only through [`Self::release`] after a complete answer.
 pub struct PooledConnection {
     connection: Option<Connection>,
     pool: Rc<Pool>,
@@ -156,14 +159,14 @@
 }
 
 impl PooledConnection {
-    /// The answer was read to its end and the connection may serve the next request.
+    /// Returns the connection to the pool after its answer was read completely.
     pub fn release(mut self) {
         let Some(mut connection) = self.connection.take() else {
             return;
         };
-        let keep =
+        let is_kept =
             self.idle_ms > 0 && !self.pool.is_closing.get() && !connection.sender.is_closed();
-        if !keep {
+        if !is_kept {
             self.pool.open.set(self.pool.open.get() - 1);
             return;
         }
@@ -180,13 +183,13 @@
     }
 }
 
-/// A request's answer and the connection on which the rest of it comes.
+/// Head of an answer, and the connection on which its body arrives.
 pub type Exchanged = (Response<Incoming>, PooledConnection);
 
 /// Sends a request and waits for the head of its answer.
 ///
-/// A connection that closed before anything was written is replaced; once a byte was written the
-/// request counts as sent. Dropping the future closes the connection.
+/// An idle connection that closed before anything was written is replaced. Once a byte was written,
+/// the request counts as sent. Dropping the future closes the connection.
 pub async fn exchange(
     pool: &Rc<Pool>,
     max_open: usize,
@@ -223,11 +226,11 @@
     }
 }
 
-/// Sets what every connection needs.
+/// Sets the socket options that all connections need.
 ///
-/// Small messages must not wait for the acknowledgement of the one before. A peer whose machine
-/// is gone or cut off answers nothing and resets nothing: without these bounds a connection to
-/// it, and all that its request holds, would stay for many minutes.
+/// Nagle's algorithm is off, since small messages must not wait for the acknowledgement of earlier
+/// ones. A machine that is gone or cut off neither answers nor resets a connection; without the
+/// timeouts, the connection and all resources of its request would stay for many minutes.
 pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -239,15 +242,16 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Has the connection reset when it is dropped, which discards what was not delivered.
+/// Makes the kernel reset the connection on close and discard undelivered data.
 ///
-/// While the way to a peer is cut, a closed connection goes on sending what it was given: a request whose caller left
-/// would reach the peer seconds later, when that may be leaving. One is dropped with something on it only when nobody
-/// waits for the answer any more, so nothing is lost that counts.
+/// While a peer is unreachable, the kernel would keep sending the data of a closed connection: a
+/// request whose caller disconnected could reach the peer seconds later, when it may be leaving. A
+/// connection with undelivered data is dropped only when nobody waits for the answer.
 fn reset_on_drop(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
+/// Opens a connection, unless `max_open` are open already.
 async fn open(pool: &Rc<Pool>, max_open: usize) -> Result<Connection, ExchangeError> {
     let peer = pool.peer;
     if pool.open.get() >= max_open {
@@ -272,8 +276,8 @@
     pool.open.set(pool.open.get() + 1);
     let connection = Connection {
         sender: {
-            // The task has to run once before the connection takes a request.
-            // If it failed, so will the send, with the request unsent.
+            // The task has to run once before the connection accepts a request. An error is ignored:
+            // the send will fail too, with the request unsent.
             let _ = sender.ready().await;
             sender
         },
@@ -283,14 +287,14 @@
     Ok(connection)
 }
 
-/// Time for which the upstream keeps the connection after this answer.
+/// Time for which the connection may idle after this answer, in ms; 0 if the peer closes it.
 fn idle_ms(response: &Response<Incoming>) -> u64 {
     let headers = response.headers();
-    let closes = headers
+    let is_closed = headers
         .get(http::header::CONNECTION)
         .and_then(|value| value.to_str().ok())
         .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
-    if closes {
+    if is_closed {
         return 0;
     }
     let announced = headers
@@ -308,8 +312,9 @@
     }
 }
 
-/// One call over a connection of its own, which ends with it: what the kernel still holds of a call that was given up
-/// does not leave over a connection that lives on.
+/// Sends a request on a new connection, which is closed afterwards, and reads the whole answer.
+///
+/// If the call is given up, its undelivered data is discarded with the connection.
 pub async fn call_on_new_connection(
     peer: SocketAddr,
     clock: Clock,
@@ -320,7 +325,7 @@
         let pool = Pool::new(peer, clock);
         let (response, _pooled) = exchange(&pool, 1, request)
             .await
-            .map_err(|fault| fault.to_string())?;
+            .map_err(|error| error.to_string())?;
         let status = response.status();
         let collected = response.into_body().collect().await;
         let body = collected.map_err(|error| error.to_string())?.to_bytes();
--- a/crates/relay/src/prefix.rs
+++ b/crates/relay/src/prefix.rs
@@ -1,4 +1,4 @@
-//! Which engines hold the start of a prompt, and which of them another one copies it from.
+//! Prefix caching: which engines cache the start of a prompt, and from which one it is best copied.
 
 use std::rc::Rc;
 
@@ -10,25 +10,25 @@
 use crate::relay::Relay;
 use crate::upstream::Upstream;
 
-/// Prompts shorter than this are not copied for, in tokens: the transfer's set-up alone takes as
-/// long as reading them.
+/// Shortest prompt for which a cached prefix is copied, in tokens. For shorter ones, setting up the
+/// transfer alone takes as long as the prefill.
 const MIN_COPY_TOKENS: u32 = 900;
 
-/// What an engine need not read of a prompt.
+/// The prefix of a prompt that an engine does not have to prefill.
 #[derive(Clone, Default)]
 pub struct CachedPrefix {
-    /// Tokens that it holds, or will hold once they are copied.
+    /// Tokens that are cached, or will be after the copy.
     pub tokens: f64,
-    /// Time that the copy takes.
+    /// Duration of the copy, in ms.
     pub copy_ms: f64,
-    /// Engine to copy from.
+    /// Engine to copy from; empty if nothing is copied.
     pub copy_from: Option<Rc<Upstream>>,
-    /// Tokens of shared parts that its memory does not have yet.
+    /// Tokens of shared parts that the engine does not cache yet.
     pub uncached_shared_tokens: f64,
 }
 
 impl CachedPrefix {
-    /// At an engine that gets the whole prompt from another one.
+    /// For an engine to which the KV cache of the whole prompt is transferred.
     pub fn whole_prompt(engine: &Upstream, prompt: &Prompt) -> Self {
         Self {
             tokens: f64::from(prompt.input_tokens),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The engine as a placement of this prompt at a rank sees it.
+    /// Input of the cost model for this prompt at the engine and rank.
     pub fn engine_view(&self, engine: &Upstream, now_ms: u64, rank: u8) -> EngineView {
         EngineView {
             copy_ms: self.copy_ms,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The engines that hold something of one prompt's start.
+/// Engines that cache a prefix of a prompt.
 pub struct PrefixHolders {
     link: KvLink,
     now_ms: u64,
@@ -55,13 +55,13 @@
 }
 
 impl PrefixHolders {
-    /// Those among the engines of the request's service that are fit.
+    /// Finds them among the healthy engines of the call's service.
     pub fn of(relay: &Relay, call: &Call, prompt: &Prompt) -> Self {
         let now_ms = relay.now_ms();
-        let engine = relay.engine_limits(&call.service);
+        let limits = relay.engine_limits(&call.service);
         let link = KvLink {
-            token_bytes: engine.token_bytes as f64,
-            mbps: engine.link_mbps as f64,
+            token_bytes: limits.token_bytes as f64,
+            mbps: limits.link_mbps as f64,
         };
         if prompt.input_tokens < MIN_COPY_TOKENS {
             return Self {
@@ -85,7 +85,7 @@
         Self { link, now_ms, all }
     }
 
-    /// What an engine need not read: what it holds, or more if a copy is worth it.
+    /// The prefix that an engine caches itself, or a longer one if copying it is worth while.
     pub fn best_at(&self, engine: &Rc<Upstream>, prompt: &Prompt) -> CachedPrefix {
         let own_tokens = prefix_tokens(prompt, |id| engine.cached_tokens(id));
         let holders = self.all.iter().map(|(holder, tokens)| PrefixHolder {
@@ -109,7 +109,8 @@
     }
 }
 
-/// The engine at which requests that share this prompt's first part meet.
+/// Affinity target: the engine at which requests with the same first prompt part meet, by rendezvous
+/// hashing.
 pub fn affinity_target<'a>(
     engines: &'a [Rc<Upstream>],
     prompt: &Prompt,
@@ -120,25 +121,25 @@
         .max_by_key(|engine| xxh3_64_with_seed(engine.id.as_bytes(), part.id))
 }
 
-/// Whether an engine holds or is reading the start of a prompt.
+/// Whether an engine caches or is prefilling a prefix of a prompt.
 pub fn holds_prefix(engine: &Upstream, prompt: &Prompt) -> bool {
     prefix_tokens(prompt, |id| engine.cached_tokens(id)) > 0.0
 }
 
-/// Tokens at the start of a prompt, part by part up to the first that is not held.
+/// Length of a prompt's cached prefix in tokens, up to the first part that is not cached.
 fn prefix_tokens(prompt: &Prompt, tokens_of: impl Fn(u64) -> f64) -> f64 {
-    let held = prompt.parts.iter().map(|part| tokens_of(part.id));
-    held.take_while(|&tokens| tokens > 0.0).sum()
+    let cached = prompt.parts.iter().map(|part| tokens_of(part.id));
+    cached.take_while(|&tokens| tokens > 0.0).sum()
 }
 
-/// Tokens of the parts that a prompt shares with others and that an engine does not hold.
+/// Tokens of the shared parts of a prompt that an engine does not cache. The last part is not shared.
 fn uncached_shared_tokens(engine: &Upstream, prompt: &Prompt) -> f64 {
     let shared = prompt
         .parts
         .split_last()
         .map_or(&[][..], |(_, shared)| shared);
-    let new = shared
+    let uncached = shared
         .iter()
         .filter(|part| engine.cached_tokens(part.id) == 0.0);
-    new.map(|part| f64::from(part.tokens)).sum()
+    uncached.map(|part| f64::from(part.tokens)).sum()
 }
--- a/crates/relay/src/subset.rs
+++ b/crates/relay/src/subset.rs
@@ -1,18 +1,18 @@
-//! Which engines of a stage an instance chooses among.
+//! Deterministic subsetting: the engines of a stage that an instance chooses from.
 //!
-//! Load pattern: eighty instances see the same idle engine for as long as news of it takes, and all send
-//! there what comes in that time; its streams pause for all that is read beside them. With a few engines
-//! of its own each, an engine is chosen by a few instances, and each of them keeps connections to fewer.
+//! Gossip takes a moment, and until then all instances see the same idle engine. Eighty of them would
+//! all send their requests there, and its streams would stall behind the prefills. With a subset for
+//! each instance, only a few of them compete for an engine, and each keeps fewer connections.
 
 use view::InstanceKey;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Engines of one stage among which an instance chooses, beside those that hold the prompt: more than the
-/// smallest fleets have.
+/// Size of the subset of one stage; larger than the smallest fleets. Engines that cache a prefix of the
+/// prompt are added to it.
 const SUBSET_SIZE: usize = 12;
 
-/// The engines of an instance by their ids: always the same while they are there, and others for each
-/// instance.
+/// The subset of an instance, by rendezvous hashing of engine ids: stable while its engines exist, and
+/// different for each instance.
 pub fn engine_subset<E: Clone>(own: InstanceKey, all: &[E], id: impl Fn(&E) -> &str) -> Vec<E> {
     if all.len() <= SUBSET_SIZE {
         return all.to_vec();
