--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -1,7 +1,7 @@
-//! What a deployment calls things on the wire.
+//! Translation between the relay's types and the wire names of a deployment.
 //!
-//! The relay works with its own types; an implementation of [`Dialect`] reads and writes the
-//! headers and bodies of one deployment. It decides nothing.
+//! An implementation of [`Dialect`] parses and writes the headers, paths and small bodies of one
+//! deployment. It makes no decisions.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use keys::KeyHash;
@@ -9,164 +9,164 @@
 use crate::role_orders::RoleOrder;
 use crate::upstream::Stage;
 
-/// A part of a prompt that requests may share.
+/// Part of a prompt that several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of its text.
+    /// Identifies its text.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a generation request says of its prompt and output.
+/// Prompt and output lengths that a generation request declares.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Prompt {
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub input_tokens: u32,
-    /// Most output tokens.
+    /// Maximum length of the output, in tokens.
     pub output_tokens: u32,
-    /// The caller's estimate of the output; right at the median and often far off.
+    /// The caller's estimate of the output length; accurate in the median, but often far off.
     pub output_hint_tokens: Option<u32>,
-    /// The prompt's parts in order; the last is the request's own.
+    /// Parts of the prompt in order. The last one belongs to this request alone.
     pub parts: Vec<PromptPart>,
 }
 
-/// What the relay reads in a request's head.
+/// Fields of a request's head that the relay uses.
 #[derive(Debug, Clone, Default)]
 pub struct RequestHead {
     /// Id of the attempt, as the caller wrote it.
     pub attempt: Option<HeaderValue>,
-    /// How long the caller waits, in ms.
+    /// Time for which the caller waits for the answer, in ms.
     pub deadline_ms: Option<u64>,
-    /// Set on requests that generate text.
+    /// The prompt, on requests that generate text.
     pub prompt: Option<Prompt>,
-    /// Last event that the caller has of a stream that it resumes.
+    /// Last event that the caller received of a stream that it resumes.
     pub last_event: Option<u64>,
-    /// The key that it presents.
+    /// The key that the caller presents.
     pub key: PresentedKey,
 }
 
-/// The key that a caller presents, of which only the hash is kept.
+/// The key that a caller presents. Only its hash is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PresentedKey {
-    /// None.
+    /// No key.
     #[default]
     Nothing,
-    /// One.
+    /// One key.
     Key(KeyHash),
-    /// More than one, and it is not told which counts.
+    /// Several keys, of which none takes precedence.
     Several,
 }
 
-/// Where an engine finds the KV cache of a prompt that another has read.
+/// Location of the KV cache of a prompt that another engine has prefilled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvHandle {
     /// Address of the engine that holds it.
     pub holder: std::net::SocketAddr,
-    /// Name that it gave the cache.
+    /// Id that the engine gave the cache.
     pub id: String,
 }
 
-/// Which part of a generation is asked for.
+/// Part of a generation that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Step {
-    /// All of it.
+    /// The whole generation, or the rest after a transferred prefill.
     #[default]
     Whole,
-    /// Only the reading of the prompt.
+    /// Only the prefill.
     Prefill,
 }
 
-/// What the relay sets on a request that it sends to an upstream.
+/// Values that the relay sets on a request to an upstream.
 #[derive(Debug, Clone, Default)]
 pub struct SendOptions<'a> {
-    /// Incarnation that is to run it; any other rejects it.
+    /// Id of the incarnation that may run the request; any other one rejects it.
     pub instance: &'a str,
-    /// Time left, in ms.
+    /// Time until the deadline, in ms.
     pub deadline_ms: u64,
-    /// Urgency for the engine, 0 first.
+    /// Rank in the engine's queue, 0 first.
     pub priority: Option<u8>,
-    /// Part of the generation.
+    /// Part of the generation to run.
     pub step: Step,
-    /// KV cache to go on from.
+    /// KV cache of the prompt, to be fetched before decoding.
     pub kv: Option<&'a KvHandle>,
-    /// Engine from which the one that is asked copies what it lacks of the prompt's start.
+    /// Engine from which the receiving one copies the cached prefix that it lacks.
     pub copy_from: Option<std::net::SocketAddr>,
-    /// Event after which a resumed stream goes on.
+    /// Event after which a resumed stream continues.
     pub last_event: Option<u64>,
 }
 
-/// Load as an upstream told it with an answer.
+/// Load that an upstream reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are waiting.
     pub waiting: u32,
 }
 
-/// What the relay reads in an answer's head.
+/// Fields of an answer's head that the relay uses.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseHead {
-    /// Id of the attempt that it answers.
+    /// Id of the attempt that is answered.
     pub attempt: Option<HeaderValue>,
-    /// Whether it bears the upstream's signature.
+    /// Whether the answer carries the upstream's signature.
     pub is_signed: bool,
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
-    /// The incarnation that answers, where it says so.
+    /// Id of the incarnation that answers, if it is named.
     pub instance: Option<String>,
     /// The upstream's load.
     pub load: Option<ReportedLoad>,
-    /// Requests a second that the upstream takes from all instances together, if it names a limit.
+    /// Rate limit that the upstream names, in requests per second from all instances together.
     pub limit_per_s: Option<f64>,
 }
 
-/// What an engine says of itself.
+/// State that an engine reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
-    /// What it does of a generation.
+    /// Part of a generation that it runs.
     pub stage: Stage,
-    /// Whether it is carrying out an order.
+    /// Whether it is executing an order.
     pub is_busy: bool,
-    /// Orders that it has taken since its start.
+    /// Number of orders that it has accepted since its start.
     pub orders: u64,
 }
 
-/// Reads and writes one deployment's headers, paths and small bodies.
+/// Parses and writes the headers, paths and small bodies of one deployment.
 pub trait Dialect {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
-    /// Takes out what a caller may not set, and leaves all else.
+    /// Removes the headers that a caller must not set.
     fn strip_reserved_headers(&self, headers: &mut HeaderMap);
-    /// Whether a header belongs to the request even if the caller names it in `Connection`.
+    /// Whether a header is forwarded even if the caller names it in `Connection`.
     fn is_end_to_end(&self, name: &HeaderName) -> bool;
-    /// Writes what the relay sets.
-    fn write_send_options(&self, headers: &mut HeaderMap, sending: &SendOptions);
-    /// Names the workspace that a request is for.
+    /// Writes the headers that the relay sets.
+    fn write_send_options(&self, headers: &mut HeaderMap, options: &SendOptions);
+    /// Writes the name of the workspace that a request belongs to.
     fn write_workspace(&self, headers: &mut HeaderMap, name: &str);
-    /// Reads an answer's head.
+    /// Parses the head of an answer.
     fn parse_response_head(&self, headers: &HeaderMap) -> ResponseHead;
-    /// Reads the name that an engine gave to the KV cache of a prompt that it read.
+    /// Parses the id that an engine gave to the KV cache of a prompt that it prefilled.
     fn parse_prefill_response(&self, body: &[u8]) -> Option<String>;
-    /// The call that frees a KV cache which nobody will take.
+    /// Method and path of the call that frees an unused KV cache.
     fn free_kv_request(&self, handle: &KvHandle) -> (Method, String);
-    /// Path at which an engine reports on itself.
+    /// Path of an engine's report.
     fn report_path(&self) -> &str;
-    /// Reads an engine's report.
+    /// Parses an engine's report.
     fn parse_engine_report(&self, body: &[u8]) -> Option<EngineReport>;
     /// Path and body of an order to an engine.
     fn order_request(&self, order: &RoleOrder) -> (String, Vec<u8>);
-    /// Names the incarnation that alone may take a call.
+    /// Writes the id of the only incarnation that may accept a request.
     fn write_expected_instance(&self, headers: &mut HeaderMap, instance: &str);
-    /// Path at which instances say whether they are ready.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &str;
-    /// Path at which callers ask for addresses.
+    /// Path at which callers look up addresses.
     fn resolve_path(&self) -> &str;
-    /// Writes the answer to a caller who asks for addresses.
+    /// Encodes the answer to a lookup of addresses.
     fn encode_addresses(&self, addresses: &[std::net::SocketAddr], ttl_ms: u64) -> Vec<u8>;
-    /// The zone that a caller who asks for addresses names in its query.
+    /// The caller's zone, if the query of a lookup names one.
     fn parse_caller_zone(&self, query: &str) -> Option<String>;
-    /// Writes the body of an error of our own.
+    /// Encodes the body of an error that this instance answers itself.
     fn encode_error(&self, reason: &str) -> Vec<u8>;
 }
--- a/crates/relay/src/urgency.rs
+++ b/crates/relay/src/urgency.rs
@@ -1,41 +1,40 @@
-//! Whether a generation can still be on time, and the rank that engines are told.
+//! Urgency of a generation, and the rank that it gets in engines' queues.
 //!
-//! Load pattern: in a rush the largest prompts of a route are late or refused first, since they take
-//! the longest to read and have least to spare, and their callers are the worst served of all.
-//! Among those that can be on time they go first; the others, which need a fraction of their
-//! time, mostly still fit behind them.
+//! Under overload, the longest prompts of a route would be late or refused first, since their prefill
+//! takes longest and leaves the least slack. Among requests that can be on time they are therefore
+//! ranked first; the others need a fraction of their time and mostly still fit behind them.
 
-/// First rank of what will be late. Engines know ten ranks; the six before it hold two for each of
-/// three priorities, so that no prompt goes behind one of a less urgent route.
+/// First rank of requests that will be late. Engines have ten ranks. The six before this one are two
+/// for each of three priorities, so that no prompt queues behind one of a less urgent route.
 const FIRST_LATE_RANK: u8 = 6;
 
-/// The last rank that engines know.
+/// Last rank that engines have.
 const LAST_RANK: u8 = 9;
 
-/// Prompts shorter than this are not ordered by length, in tokens: they are read in less time than
-/// their order could save.
+/// Shortest prompt that yields to longer ones, in tokens. Shorter ones are prefilled in less time than
+/// reordering could save.
 const MIN_ORDERED_TOKENS: f64 = 2_000.0;
 
-/// Length from which a prompt goes first, in usual lengths of its route: about the largest fifth
-/// of those that were seen.
+/// Multiple of the route's typical length from which a prompt is ranked first; about the longest fifth
+/// of prompts.
 const LONG_PROMPT_RATIO: f64 = 1.5;
 
-/// Weight of one prompt in the usual length of its route.
+/// Weight of the latest prompt in the moving average of a route's prompt lengths.
 const SMOOTHING: f64 = 0.02;
 
-/// Whether a generation can still start within its objective.
+/// Whether a generation can meet its objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Urgency {
-    /// It can.
+    /// It can still start within its objective.
     #[default]
     OnTime,
-    /// It will be late, and is served with what the others leave.
+    /// It will be late, and uses the capacity that requests on time leave.
     Late,
 }
 
 impl Urgency {
-    /// Rank at an engine of a request of this priority, 0 first; one that yields lets longer prompts
-    /// of its route go before it.
+    /// Rank in an engine's queue for a request of this priority, 0 first. One that `yields` is ranked
+    /// behind longer prompts of its route.
     pub fn rank(self, priority: u8, yields: bool) -> u8 {
         match self {
             Self::OnTime => {
@@ -47,17 +46,17 @@
     }
 }
 
-/// Usual length of a route's prompts.
+/// Moving average of the length of a route's prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TypicalLength {
     tokens: Option<f64>,
 }
 
 impl TypicalLength {
-    /// Takes one prompt in; gives whether it lets longer ones of its route go first.
+    /// Adds a prompt to the average; returns whether it yields to longer ones of its route.
     pub fn yields_to_longer(&mut self, tokens: f64) -> bool {
-        let usual = self.tokens.unwrap_or(tokens);
-        self.tokens = Some(usual + SMOOTHING * (tokens - usual));
-        tokens >= MIN_ORDERED_TOKENS && tokens < LONG_PROMPT_RATIO * usual
+        let typical = self.tokens.unwrap_or(tokens);
+        self.tokens = Some(typical + SMOOTHING * (tokens - typical));
+        tokens >= MIN_ORDERED_TOKENS && tokens < LONG_PROMPT_RATIO * typical
     }
 }
