--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -120,10 +120,10 @@
     /// No route matches.
     #[display("no such route")]
     NoRoute,
-    /// The caller has no key of a workspace.
+    /// The caller presented no valid key of a workspace.
     #[display("no valid key")]
     NoKey,
-    /// The request cannot be read.
+    /// The request cannot be parsed.
     #[display("the request is malformed")]
     Malformed,
     /// The body did not arrive in time.
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -160,7 +160,7 @@
     })
 }
 
-/// Counts a complete answer, by whether it met the route's objective.
+/// Counts a complete answer by whether it met the route's objective, which its status does not show.
 pub fn count_answer(relay: &Relay, call: &Call, in_time: bool) {
     let in_time = if in_time { "yes" } else { "no" };
     let labels = [call.route.name.as_str(), in_time];
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -22,7 +22,8 @@
 /// takes another request and a few ms of setup, which shorter prompts do not repay.
 const MIN_DISAGGREGATED_TOKENS: f64 = 150.0;
 
-/// Assumed answer time of a service without generation until an answer has been observed, in ms.
+/// Assumed answer time of a service without generation until an answer has been observed, in ms; about
+/// what such services usually need.
 pub const DEFAULT_ANSWER_MS: f64 = 15.0;
 
 /// Fraction by which answers take longer when all slots of an upstream are in use and nothing waits.
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -197,7 +197,8 @@
     max.max(MIN_CONNECTIONS)
 }
 
-/// Whether the status of a rejection means that the upstream has no capacity.
+/// Whether the status of a rejection means that the upstream has no capacity, rather than that the
+/// request was misdirected.
 pub fn is_no_capacity(status: StatusCode) -> bool {
     let statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
