--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams passed on event by event, and gone on with elsewhere when one breaks off.
+//! Forwards streams event by event, and resumes them at another engine when one breaks off.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -14,27 +14,27 @@
 use crate::attribution::{ensure_not_poison, note_lost_answer};
 use crate::call::{Call, strip_hop_by_hop};
 use crate::dialect::SendOptions;
-use crate::forward::{may_repeat, note_answer};
+use crate::forward::{count_answer, may_retry};
 use crate::placement;
 use crate::pool::PooledConnection;
 use crate::relay::Relay;
-use crate::send::{Checked, Sent, send};
+use crate::send::{CheckedAnswer, SendResult, send};
 use crate::sse::EventSplitter;
 use crate::upstream::{InFlight, Work};
 use crate::urgency::Urgency;
 
-/// Silence of an engine, in objectives for the pause between events, after which a stream that
-/// may go on elsewhere does so. Callers leave after eight; what is left is for the other engine.
-const SILENT_GAPS: u64 = 3;
+/// Silence of an engine after which its stream is resumed elsewhere, in multiples of the objective
+/// for the gap between events. Callers give up after eight, which leaves time for the other engine.
+const MAX_SILENT_GAPS: u64 = 3;
 
-/// Least silence after which a stream goes on elsewhere, in ms.
-const SILENT_MS: u64 = 700;
+/// Shortest silence after which a stream is resumed elsewhere, in ms.
+const MIN_SILENCE_MS: u64 = 700;
 
-/// A stream on its way from an engine to a caller.
-pub struct Streaming {
+/// State of a stream that is forwarded from an engine to a caller.
+pub struct StreamForwarder {
     relay: Rc<Relay>,
     call: Rc<Call>,
-    source: Option<Source>,
+    source: Option<EngineStream>,
     splitter: EventSplitter,
     ready: VecDeque<Bytes>,
     last_event: Option<u64>,
@@ -44,14 +44,15 @@
     longest_gap_ms: u64,
 }
 
-struct Source {
+/// The part of a stream that comes from one engine.
+struct EngineStream {
     body: Incoming,
-    lease: PooledConnection,
+    connection: PooledConnection,
     guard: InFlight,
 }
 
-/// What came of waiting for the engine.
-enum Next {
+/// Result of waiting for the engine.
+enum Received {
     Data(Bytes),
     End,
     Broken(String),
@@ -59,19 +60,19 @@
     OutOfTime,
 }
 
-impl Streaming {
-    /// Passes on the head of a stream, and its events as they come.
+impl StreamForwarder {
+    /// Returns the head of a stream, with a body that forwards its events as they arrive.
     pub fn start(
         relay: &Rc<Relay>,
         call: &Rc<Call>,
-        checked: Checked,
+        checked: CheckedAnswer,
         guard: InFlight,
         tried: Vec<String>,
     ) -> Response<AnswerBody> {
         let (mut head, body) = checked.response.into_parts();
         strip_hop_by_hop(&mut head.headers, |_| false);
         if call.route.is_retryable() {
-            // The rest may come from elsewhere and be of another length.
+            // The rest may come from another engine and differ in length.
             head.headers.remove(header::CONTENT_LENGTH);
         }
         let took_s = (relay.now_ms() - call.arrived_ms) as f64 / 1_000.0;
@@ -81,12 +82,12 @@
             .head_s
             .with_label_values(&labels)
             .observe(took_s);
-        let streaming = Self {
+        let forwarder = Self {
             relay: Rc::clone(relay),
             call: Rc::clone(call),
-            source: Some(Source {
+            source: Some(EngineStream {
                 body,
-                lease: checked.lease,
+                connection: checked.connection,
                 guard,
             }),
             splitter: EventSplitter::default(),
@@ -97,61 +98,64 @@
             last_ms: relay.now_ms(),
             longest_gap_ms: 0,
         };
-        let frames = unfold(Some(streaming), |streaming| async move {
-            let mut streaming = streaming?;
-            match streaming.next().await {
-                Some(Ok(bytes)) => Some((Ok(bytes), Some(streaming))),
-                Some(Err(broken)) => Some((Err(broken), None)),
+        let frames = unfold(Some(forwarder), |forwarder| async move {
+            let mut forwarder = forwarder?;
+            match forwarder.next().await {
+                Some(Ok(bytes)) => Some((Ok(bytes), Some(forwarder))),
+                Some(Err(truncated)) => Some((Err(truncated), None)),
                 None => None,
             }
         });
         Response::from_parts(head, AnswerBody::stream(frames))
     }
 
+    /// The next complete event, or the next chunk of a stream that cannot be resumed.
     async fn next(&mut self) -> Option<Result<Bytes, TruncatedAnswer>> {
         loop {
             if let Some(bytes) = self.ready.pop_front() {
                 return Some(Ok(bytes));
             }
-            match self.wait().await {
-                Next::Data(bytes) if !self.call.route.is_retryable() => return Some(Ok(bytes)),
-                Next::Data(bytes) => {
+            match self.receive().await {
+                Received::Data(bytes) if !self.call.route.is_retryable() => return Some(Ok(bytes)),
+                Received::Data(bytes) => {
                     self.splitter.push(&bytes);
                     self.take_events();
                 }
-                Next::End if !self.splitter.has_partial_event() => {
+                Received::End if !self.splitter.has_partial_event() => {
                     self.finish("200");
                     return None;
                 }
-                Next::End => {
+                Received::End => {
                     self.note_lost_answer();
-                    if let Err(broken) = self.go_on("it ended within an event").await {
-                        return Some(Err(broken));
+                    if let Err(truncated) = self.resume_elsewhere("it ended within an event").await
+                    {
+                        return Some(Err(truncated));
                     }
                 }
-                Next::Broken(why) => {
+                Received::Broken(why) => {
                     self.note_lost_answer();
-                    if let Err(broken) = self.go_on(&why).await {
-                        return Some(Err(broken));
+                    if let Err(truncated) = self.resume_elsewhere(&why).await {
+                        return Some(Err(truncated));
                     }
                 }
-                Next::Silent(why) => {
-                    if let Err(broken) = self.go_on(&why).await {
-                        return Some(Err(broken));
+                Received::Silent(why) => {
+                    if let Err(truncated) = self.resume_elsewhere(&why).await {
+                        return Some(Err(truncated));
                     }
                 }
-                Next::OutOfTime => return Some(Err(self.broken("out of time"))),
+                Received::OutOfTime => return Some(Err(self.fail("out of time"))),
             }
         }
     }
 
+    /// Queues the complete events, without those that the caller already has.
     fn take_events(&mut self) {
         while let Some(event) = self.splitter.next_event() {
-            let is_old = match (event.id, self.last_event) {
+            let is_duplicate = match (event.id, self.last_event) {
                 (Some(id), Some(last)) => id <= last,
                 _ => false,
             };
-            if is_old {
+            if is_duplicate {
                 continue;
             }
             self.last_event = event.id.or(self.last_event);
@@ -159,34 +163,36 @@
         }
     }
 
-    async fn wait(&mut self) -> Next {
+    /// Waits for data, as long as the deadline and the allowed silence permit.
+    async fn receive(&mut self) -> Received {
         let left_ms = self.call.left_ms(self.relay.now_ms());
-        let silent_ms = (self.call.route.gap_goal_ms * SILENT_GAPS).max(SILENT_MS);
-        let may_move = self.call.route.is_retryable()
+        let silent_ms = (self.call.route.gap_goal_ms * MAX_SILENT_GAPS).max(MIN_SILENCE_MS);
+        let may_resume = self.call.route.is_retryable()
             && self.call.attempts.get() < self.call.route.max_attempts;
-        let wait_ms = if may_move {
+        let wait_ms = if may_resume {
             left_ms.min(silent_ms)
         } else {
             left_ms
         };
         let Some(source) = self.source.as_mut() else {
-            return Next::End;
+            return Received::End;
         };
         let frame = source.body.frame();
         let waited = actix_rt::time::timeout(Duration::from_millis(wait_ms), frame).await;
         match waited {
-            Err(_) if wait_ms == left_ms => Next::OutOfTime,
-            Err(_) => Next::Silent(format!("silent for {wait_ms} ms")),
-            Ok(None) => Next::End,
-            Ok(Some(Err(error))) => Next::Broken(error.to_string()),
+            Err(_) if wait_ms == left_ms => Received::OutOfTime,
+            Err(_) => Received::Silent(format!("silent for {wait_ms} ms")),
+            Ok(None) => Received::End,
+            Ok(Some(Err(error))) => Received::Broken(error.to_string()),
             Ok(Some(Ok(frame))) => {
-                self.moved();
-                Next::Data(frame.into_data().unwrap_or_default())
+                self.note_progress();
+                Received::Data(frame.into_data().unwrap_or_default())
             }
         }
     }
 
-    fn moved(&mut self) {
+    /// Updates the longest gap and the engine's last activity.
+    fn note_progress(&mut self) {
         let now_ms = self.relay.now_ms();
         self.longest_gap_ms = self.longest_gap_ms.max(now_ms - self.last_ms);
         self.last_ms = now_ms;
@@ -195,14 +201,15 @@
         }
     }
 
+    /// Reports the lost connection to the failure attribution.
     fn note_lost_answer(&self) {
         if let Some(source) = &self.source {
             note_lost_answer(&self.relay, &self.call, source.guard.upstream());
         }
     }
 
-    /// Goes on with the stream at another engine, after the last whole event.
-    async fn go_on(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
+    /// Resumes the stream at another engine, after the last complete event.
+    async fn resume_elsewhere(&mut self, why: &str) -> Result<(), TruncatedAnswer> {
         if let Some(source) = self.source.take() {
             source.guard.upstream().note_failure(self.relay.now_ms());
             if self.relay.failure_log_limit.take(self.relay.now_ms()) {
@@ -216,15 +223,15 @@
         self.splitter.clear();
         let call = Rc::clone(&self.call);
         let Some(prompt) = call.head.prompt.as_ref() else {
-            return Err(self.broken(why));
+            return Err(self.fail(why));
         };
         if !call.route.is_retryable() || ensure_not_poison(&self.relay, &call).await.is_err() {
-            return Err(self.broken(why));
+            return Err(self.fail(why));
         }
-        if !may_repeat(&self.relay, &call) {
-            return Err(self.broken(why));
+        if !may_retry(&self.relay, &call) {
+            return Err(self.fail(why));
         }
-        let Ok(maker) = placement::maker(
+        let Ok(placement) = placement::choose_decode_engine(
             &self.relay,
             &call,
             prompt,
@@ -232,23 +239,22 @@
             false,
             Urgency::OnTime,
         ) else {
-            return Err(self.broken(why));
+            return Err(self.fail(why));
         };
-        let tokens = maker.tokens;
-        let copy_from = maker.copy_from.map(|holder| holder.address);
-        let maker = maker.engine;
-        self.tried.push(maker.id.clone());
+        let copy_from = placement.copy_from.map(|holder| holder.address);
+        let engine = placement.engine;
+        self.tried.push(engine.id.clone());
         let guard = InFlight::begin(
-            &maker,
+            &engine,
             self.relay.now_ms(),
             Work {
-                prefill_tokens: tokens,
+                prefill_tokens: placement.prefill_tokens,
                 context_tokens: f64::from(prompt.input_tokens),
                 rank: call.rank(Urgency::OnTime),
             },
         );
-        let sending = SendOptions {
-            instance: &maker.id,
+        let options = SendOptions {
+            instance: &engine.id,
             deadline_ms: call.left_ms(self.relay.now_ms()),
             priority: Some(call.rank(Urgency::OnTime)),
             copy_from,
@@ -256,33 +262,34 @@
             ..SendOptions::default()
         };
         let left = Duration::from_millis(call.left_ms(self.relay.now_ms()));
-        let sent = actix_rt::time::timeout(left, send(&self.relay, &call, &maker, &sending)).await;
+        let sent = actix_rt::time::timeout(left, send(&self.relay, &call, &engine, &options)).await;
         match sent {
-            Ok(Sent::Answer(checked)) if checked.response.status() == StatusCode::OK => {
+            Ok(SendResult::Answer(checked)) if checked.response.status() == StatusCode::OK => {
                 guard.note_prefilled();
                 guard.note_head(self.relay.now_ms());
                 if self.relay.failure_log_limit.take(self.relay.now_ms()) {
-                    log::info!(request = call.id(), upstream = maker.id; "stream goes on");
+                    log::info!(request = call.id(), upstream = engine.id; "stream goes on");
                 }
-                self.source = Some(Source {
+                self.source = Some(EngineStream {
                     body: checked.response.into_body(),
-                    lease: checked.lease,
+                    connection: checked.connection,
                     guard,
                 });
                 Ok(())
             }
-            _ => Err(self.broken(why)),
+            _ => Err(self.fail(why)),
         }
     }
 
-    fn finish(&mut self, end: &str) {
+    /// Counts and logs a complete stream, and releases its connection.
+    fn finish(&mut self, status: &str) {
         self.call.is_finished.set(true);
-        let labels = [self.call.route.name.as_str(), end];
+        let labels = [self.call.route.name.as_str(), status];
         self.relay.metrics.requests.with_label_values(&labels).inc();
         let route = &self.call.route;
         let first_ms = self.call.prior_wait_ms + self.first_ms;
         let in_time = first_ms <= route.goal_ms && self.longest_gap_ms <= route.gap_goal_ms;
-        note_answer(&self.relay, &self.call, in_time);
+        count_answer(&self.relay, &self.call, in_time);
         self.relay.record_answered(&self.call);
         if let Some(source) = self.source.take() {
             if self.relay.success_log_limit.take(self.relay.now_ms()) {
@@ -293,11 +300,12 @@
                     "stream finished"
                 );
             }
-            source.lease.release();
+            source.connection.release();
         }
     }
 
-    fn broken(&self, why: &str) -> TruncatedAnswer {
+    /// Counts and logs a stream that ends incomplete.
+    fn fail(&self, why: &str) -> TruncatedAnswer {
         self.call.is_finished.set(true);
         if self.relay.failure_log_limit.take(self.relay.now_ms()) {
             log::info!(
@@ -314,26 +322,26 @@
     }
 }
 
-/// Passes on a long answer as it comes, up to the request's deadline.
-pub fn relayed(
+/// Streams a long answer to the caller as it arrives, until the request's deadline.
+pub fn stream_answer(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
     body: Incoming,
-    lease: PooledConnection,
+    connection: PooledConnection,
     guard: InFlight,
 ) -> AnswerBody {
     struct State {
         relay: Rc<Relay>,
         call: Rc<Call>,
         body: Incoming,
-        lease: PooledConnection,
+        connection: PooledConnection,
         guard: InFlight,
     }
     let state = State {
         relay: Rc::clone(relay),
         call: Rc::clone(call),
         body,
-        lease,
+        connection,
         guard,
     };
     let frames = unfold(Some(state), |state| async move {
@@ -344,7 +352,7 @@
                 return Some((Ok(frame.into_data().unwrap_or_default()), Some(state)));
             }
             Ok(None) => {
-                state.lease.release();
+                state.connection.release();
                 state.relay.record_answered(&state.call);
                 return None;
             }
