--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -34,7 +34,7 @@
 }
 
 /// Least time that a successor waits beyond the ttl: the time for which the kernel may hold back
-/// an order (`lease::HELD_BACK_MS`), with room for the way to the engine.
+/// an order (`lease::TCP_USER_TIMEOUT_MS`), with room for the way to the engine.
 const LEAST_MARGIN_MS: u64 = 500;
 
 fn check(settings: &Settings) -> Vec<crate::Problem> {
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Every instance counts what runs for whom, and what it has counted reaches a few others soon ([`UsageLedger`]). Of these
 //! one reports each window of time once ([`UsageReports`]) and orders engines ([`scale`]). Who that is, and that no two are
-//! heard at a time, rests on `lease::Turns`. Nothing here does input or output. See docs/design/duties.md.
+//! heard at a time, rests on `lease::AppendLease`. Nothing here does input or output. See docs/design/duties.md.
 
 mod ledger;
 mod reports;
--- a/crates/entry/src/app.rs
+++ b/crates/entry/src/app.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use conf::{BundleIndex, Settings};
-use feed::{Cursor, HttpLog, Outbox, Outcome};
+use feed::{HttpLog, LogReader, Outbox, Outcome};
 use lease::Identity;
-use once::{Epochs, Home, Witness};
-use peer::Members;
+use once::{EpochCounter, Home, Witness};
+use peer::PeerTable;
 use plan::{Fleet, Forecast, RetryBudget, RouteSettings, Router, WorkspaceLimiter};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -34,17 +34,17 @@
     pub(crate) identity: Identity,
     pub(crate) clock: Clock,
     pub(crate) timers: Timers,
-    pub(crate) epochs: Epochs,
+    pub(crate) epochs: EpochCounter,
     pub(crate) caller_address: String,
     pub(crate) log: HttpLog,
     pub(crate) client: awc::Client,
     pub(crate) peers: peer::Client,
-    pub(crate) cursor: RefCell<Cursor>,
+    pub(crate) cursor: RefCell<LogReader>,
     pub(crate) outbox: RefCell<Outbox>,
     pub(crate) outgoing: Notify,
     pub(crate) waiting: RefCell<HashMap<u64, oneshot::Sender<Landed>>>,
     pub(crate) bundle: RefCell<Option<Rc<BundleIndex>>>,
-    pub(crate) members: RefCell<Members>,
+    pub(crate) members: RefCell<PeerTable>,
     pub(crate) fleet: RefCell<Fleet>,
     pub(crate) upstreams: RefCell<Upstreams>,
     /// `model@version` that new requests are sent to, by model.
@@ -77,8 +77,8 @@
             instance: settings.instance.clone(),
             incarnation,
         };
-        let epochs = Epochs::new(clock.now_ms());
-        let membership = peer::Settings {
+        let epochs = EpochCounter::new(clock.now_ms());
+        let membership = peer::MembershipSettings {
             suspect_ms: settings.membership.suspect_ms,
             fan_out: settings.membership.fan_out as usize,
         };
@@ -91,7 +91,7 @@
         Rc::new(Self {
             log: HttpLog::new(&settings.platform.log),
             outbox: RefCell::new(Outbox::new(&settings.instance, incarnation)),
-            members: RefCell::new(Members::new(membership)),
+            members: RefCell::new(PeerTable::new(membership)),
             home: RefCell::new(Home::new(&settings.instance, incarnation, epochs)),
             witness: RefCell::new(Witness::new(&settings.instance, incarnation, epochs)),
             timers: Timers::start(clock),
--- a/crates/entry/src/beats.rs
+++ b/crates/entry/src/beats.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use feed::Entry;
-use once::{BodyDigest, Key};
+use feed::RawRecord;
+use once::{BodyDigest, IdempotencyKey};
 use plan::Outstanding;
 use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, Condition, Load};
 
@@ -24,7 +24,7 @@
     while let Some(tick) = ticks.next().await {
         if tick.now_ms > last_ms + PAUSE_BEATS * period_ms {
             log::warn!(step = "beat", paused_ms = tick.now_ms - last_ms; "this process was paused");
-            app.members.borrow_mut().resumed(tick.now_ms);
+            app.members.borrow_mut().record_pause(tick.now_ms);
         }
         last_ms = tick.now_ms;
         expect(&app, tick.now_ms);
@@ -32,7 +32,9 @@
         app.witness.borrow_mut().expire(tick.now_ms);
         let targets = {
             let mut rng = app.rng.borrow_mut();
-            app.members.borrow().targets(&app.settings.zone, &mut *rng)
+            app.members
+                .borrow()
+                .heartbeat_targets(&app.settings.zone, &mut *rng)
         };
         for target in targets {
             actix_rt::spawn(exchange(app.clone(), target));
@@ -75,7 +77,7 @@
     let limit_ms = app.settings.membership.suspect_ms;
     match app.peers.exchange(&peer, &mine, limit_ms).await {
         Ok(theirs) => hear(&app, theirs),
-        Err(error) => log::debug!(step = error.step, peer = error.peer.as_str(); "{error}"),
+        Err(error) => log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}"),
     }
 }
 
@@ -91,7 +93,7 @@
         zone: app.settings.zone.clone(),
         condition: app.condition.get(),
         applied_offset: app.cursor.borrow().state().next_offset(),
-        epoch: app.epochs.at(now_ms),
+        epoch: app.epochs.epoch_at(now_ms),
         caller_address: app.caller_address.clone(),
         sent,
         bundle_version: app.bundle().map_or(0, |bundle| bundle.bundle().version),
@@ -135,7 +137,7 @@
             }
         }
     }
-    app.members.borrow_mut().heard(now_ms, beat);
+    app.members.borrow_mut().record_heartbeat(now_ms, beat);
 }
 
 fn outstanding(load: &Load) -> Outstanding {
@@ -162,16 +164,16 @@
         beat(&self.0)
     }
 
-    fn records(&self, from: u64) -> (Vec<Entry>, u64, Option<Vec<u8>>) {
+    fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>) {
         let cursor = self.0.cursor.borrow();
         let next = cursor.state().next_offset();
-        match cursor.tail(from) {
+        match cursor.records_from(from) {
             Some(entries) => (entries, next, None),
             None => (Vec::new(), next, Some(cursor.state().snapshot().encode())),
         }
     }
 
-    fn claim(&self, key: &Key, digest: BodyDigest) -> ClaimVerdict {
+    fn claim(&self, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict {
         if self.0.condition.get() == Condition::Starting {
             return ClaimVerdict::Foreign;
         }
@@ -179,12 +181,12 @@
         self.0.witness.borrow_mut().claim(now_ms, key, digest)
     }
 
-    fn fence(&self, key: &Key, digest: BodyDigest) -> CallStatus {
+    fn fence(&self, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus {
         let now_ms = self.0.now_ms();
         self.0.witness.borrow_mut().fence(now_ms, key, digest)
     }
 
-    fn finish(&self, key: &Key, answer: Answer) {
+    fn finish(&self, key: &IdempotencyKey, answer: Answer) {
         self.0.witness.borrow_mut().finish(key, answer);
     }
 
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -6,7 +6,7 @@
 
 use std::rc::Rc;
 
-use ::once::Key;
+use ::once::IdempotencyKey;
 use actix_http::{Request, StatusCode};
 use sha2::{Digest, Sha256};
 use web::Response;
@@ -63,7 +63,7 @@
     result.map(|answer| respond(&answer))
 }
 
-fn key(request: &Request) -> Result<Key, Refusal> {
+fn key(request: &Request) -> Result<IdempotencyKey, Refusal> {
     let text = header(request, "idempotency-key").ok_or_else(|| {
         let text = "Idempotency-Key: missing; this call may not be repeated without one";
         Refusal::new(Code::BadRequest, text)
--- a/crates/entry/src/call/once.rs
+++ b/crates/entry/src/call/once.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ::once::{Admission, Key};
+use ::once::{Admission, IdempotencyKey};
 use wire::{Answer, Call, CallState, CallStatus, ClaimVerdict};
 
 use super::send::{Failed, pick, send};
@@ -14,8 +14,12 @@
 const PEER_MS: u64 = 800;
 
 /// A call that may not be repeated, wherever it arrived.
-pub(super) async fn once_only(app: &Rc<App>, key: &Key, call: Call) -> Result<Answer, Refusal> {
-    let status = if app.home.borrow().is_mine(key) {
+pub(super) async fn once_only(
+    app: &Rc<App>,
+    key: &IdempotencyKey,
+    call: Call,
+) -> Result<Answer, Refusal> {
+    let status = if app.home.borrow().is_home(key) {
         at_home(app, call).await
     } else {
         elsewhere(app, key, &call).await
@@ -55,7 +59,7 @@
 
 /// Runs a call at its home, or waits for the run that is under way.
 pub(crate) async fn at_home(app: &Rc<App>, call: Call) -> CallStatus {
-    let Ok(key) = call.key.parse::<Key>() else {
+    let Ok(key) = call.key.parse::<IdempotencyKey>() else {
         return CallStatus::bare(CallState::Foreign);
     };
     let now_ms = app.now_ms();
@@ -81,15 +85,15 @@
     }
 }
 
-async fn run(app: Rc<App>, key: Key, call: Call) {
+async fn run(app: Rc<App>, key: IdempotencyKey, call: Call) {
     let verdict = ask_witness(&app, &key, &call).await;
-    if app.home.borrow_mut().granted(&key, verdict) {
+    if app.home.borrow_mut().record_verdict(&key, verdict) {
         dispatch(&app, &key, &call).await;
     }
     app.call_ended.send_modify(|count| *count += 1);
 }
 
-async fn ask_witness(app: &App, key: &Key, call: &Call) -> Option<ClaimVerdict> {
+async fn ask_witness(app: &App, key: &IdempotencyKey, call: &Call) -> Option<ClaimVerdict> {
     let witness = &key.witness;
     let address = {
         let members = app.members.borrow();
@@ -102,38 +106,38 @@
         .claim(&address, key, call.body_digest, limit_ms)
         .await;
     if let Err(error) = &answer {
-        log::info!(step = error.step, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
+        log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
         // The next key must not name a witness that does not answer.
-        app.members.borrow_mut().failed(&witness.instance);
+        app.members.borrow_mut().record_failure(&witness.instance);
     }
     answer.ok()
 }
 
 /// Sends a granted call to one instance of the service, and to another only while nothing was sent.
-async fn dispatch(app: &Rc<App>, key: &Key, call: &Call) {
+async fn dispatch(app: &Rc<App>, key: &IdempotencyKey, call: &Call) {
     let mut tried = Vec::new();
     loop {
         let (chosen, _) = pick(app, &call.service, &tried);
         let Some((name, address)) = chosen else {
-            app.home.borrow_mut().not_sent(key);
+            app.home.borrow_mut().record_not_sent(key);
             return;
         };
         match send(app, call, &name, &address, call.deadline_ms).await {
             Ok(answer) => {
-                app.home.borrow_mut().finished(key, answer.clone());
+                app.home.borrow_mut().record_answer(key, answer.clone());
                 actix_rt::spawn(tell_witness(app.clone(), key.clone(), answer));
                 return;
             }
             Err(Failed::NeverSent) => tried.push(name),
             Err(Failed::Unknown(_)) => {
-                app.home.borrow_mut().lost(key);
+                app.home.borrow_mut().record_unknown(key);
                 return;
             }
         }
     }
 }
 
-async fn tell_witness(app: Rc<App>, key: Key, answer: Answer) {
+async fn tell_witness(app: Rc<App>, key: IdempotencyKey, answer: Answer) {
     let witness = &key.witness;
     let address = {
         let members = app.members.borrow();
@@ -144,12 +148,12 @@
         return;
     };
     if let Err(error) = app.peers.finish(&address, &key, &answer, PEER_MS).await {
-        log::debug!(step = error.step, peer = error.peer.as_str(); "{error}");
+        log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}");
     }
 }
 
 /// A call whose home is another instance: handed to it, or settled by its witness.
-async fn elsewhere(app: &Rc<App>, key: &Key, call: &Call) -> CallStatus {
+async fn elsewhere(app: &Rc<App>, key: &IdempotencyKey, call: &Call) -> CallStatus {
     let home = {
         let members = app.members.borrow();
         let address = members.address(&key.home.instance, key.home.incarnation);
@@ -160,16 +164,16 @@
             Ok(status) if status.state != CallState::Foreign => return status,
             Ok(_) => {}
             Err(error) => {
-                log::info!(step = error.step, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
+                log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
                 // The next key must not name it as its witness.
-                app.members.borrow_mut().failed(&key.home.instance);
+                app.members.borrow_mut().record_failure(&key.home.instance);
             }
         }
     }
     settle(app, key, call).await
 }
 
-async fn settle(app: &App, key: &Key, call: &Call) -> CallStatus {
+async fn settle(app: &App, key: &IdempotencyKey, call: &Call) -> CallStatus {
     let witness = &key.witness;
     if witness.instance == app.identity.instance {
         let now_ms = app.now_ms();
@@ -191,8 +195,8 @@
         .fence(&address, key, call.body_digest, PEER_MS)
         .await;
     asked.unwrap_or_else(|error| {
-        log::info!(step = error.step, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
-        app.members.borrow_mut().failed(&witness.instance);
+        log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
+        app.members.borrow_mut().record_failure(&witness.instance);
         CallStatus::bare(CallState::Unknown)
     })
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lease::{Action, Authority, Desk, Elector, Move, Times, Wish};
+use lease::{
+    Authority, DesiredState, Elector, LeaseAction, LeaseTimes, OrderAction, OrderScheduler,
+};
 use plan::{RolePlanner, RoleSettings};
 use wire::{Body, LeaseClaimed, LeaseRef, OrderPlaced, OrderSettled};
 
@@ -24,7 +26,7 @@
 
 struct Group {
     elector: Elector,
-    desk: Desk,
+    desk: OrderScheduler,
     planner: RolePlanner,
 }
 
@@ -68,7 +70,7 @@
     fn add_groups(&self) {
         let now_ms = self.app.now_ms();
         let lease = &self.app.settings.lease;
-        let times = Times {
+        let times = LeaseTimes {
             ttl_ms: lease.ttl_ms,
             margin_ms: lease.margin_ms,
         };
@@ -87,7 +89,7 @@
                 };
                 Group {
                     elector,
-                    desk: Desk::default(),
+                    desk: OrderScheduler::default(),
                     planner: RolePlanner::new(settings),
                 }
             });
@@ -104,7 +106,7 @@
         let (since, last) = {
             let cursor = self.app.cursor.borrow();
             (
-                cursor.state().since_snapshot(),
+                cursor.state().records_since_snapshot(),
                 cursor.state().snapshot_offset(),
             )
         };
@@ -157,19 +159,19 @@
         };
         let ttl_ms = self.app.settings.lease.ttl_ms;
         let body = match group.elector.poll(now_ms, rank) {
-            Action::Wait => return,
-            Action::Claim { supersedes } => Body::LeaseClaimed(LeaseClaimed {
+            LeaseAction::Wait => return,
+            LeaseAction::Claim { supersedes } => Body::LeaseClaimed(LeaseClaimed {
                 group: name.to_owned(),
                 supersedes,
                 ttl_ms,
             }),
-            Action::Renew { fence } => Body::LeaseRenewed(LeaseRef {
+            LeaseAction::Renew { fence } => Body::LeaseRenewed(LeaseRef {
                 group: name.to_owned(),
                 fence,
             }),
         };
         let sequence = self.app.write(me, body, Some(now_ms + ttl_ms));
-        group.elector.sent(now_ms, sequence);
+        group.elector.record_sent(now_ms, sequence);
     }
 
     fn command(self: &Rc<Self>, name: &str) {
@@ -188,16 +190,22 @@
         let wishes = self.wishes(name, now_ms);
         for next in self.moves(name, now_ms, authority, &wishes) {
             match next {
-                Move::Place(order) => self.place(order),
-                Move::Settle(settled) => self.settle(settled),
-                Move::Send(order) => {
+                OrderAction::Place(order) => self.place(order),
+                OrderAction::Settle(settled) => self.settle(settled),
+                OrderAction::Send(order) => {
                     actix_rt::spawn(self.clone().send(order));
                 }
             }
         }
     }
 
-    fn moves(&self, name: &str, now_ms: u64, authority: Authority, wishes: &[Wish]) -> Vec<Move> {
+    fn moves(
+        &self,
+        name: &str,
+        now_ms: u64,
+        authority: Authority,
+        wishes: &[DesiredState],
+    ) -> Vec<OrderAction> {
         let cursor = self.app.cursor.borrow();
         let upstreams = self.app.upstreams.borrow();
         let report = |engine: &str| upstreams.engines.get(engine)?.report.clone();
@@ -208,7 +216,7 @@
         let open = cursor.state().open_orders(name);
         group
             .desk
-            .moves(now_ms, authority, name, wishes, open, report)
+            .next_actions(now_ms, authority, name, wishes, open, report)
     }
 
     fn place(&self, order: OrderPlaced) {
@@ -225,7 +233,7 @@
             .write(me, Body::OrderSettled(settled), Some(expires_ms));
     }
 
-    async fn send(self: Rc<Self>, order: lease::Send) {
+    async fn send(self: Rc<Self>, order: lease::OutgoingOrder) {
         let address = {
             let upstreams = self.app.upstreams.borrow();
             upstreams
@@ -236,7 +244,7 @@
         let Some(address) = address else {
             return;
         };
-        let (engine, number) = (order.engine.clone(), order.order);
+        let (engine, number) = (order.engine.clone(), order.fencing_token);
         let kind = format!("{:?}", order.kind).to_lowercase();
         self.app.metrics.orders.with_label_values(&[&kind]).inc();
         match self.orderer.send(order, address).await {
@@ -254,7 +262,7 @@
         let now_ms = self.app.now_ms();
         let me = &self.app.identity.instance;
         for (name, group) in self.groups.borrow_mut().iter_mut() {
-            if let Some(fence) = group.elector.leave(now_ms) {
+            if let Some(fence) = group.elector.resign(now_ms) {
                 let released = LeaseRef {
                     group: name.clone(),
                     fence,
--- a/crates/entry/src/control/wishes.rs
+++ b/crates/entry/src/control/wishes.rs
@@ -1,6 +1,6 @@
 //! What the engines of a group should be doing, from the bundle in force, their reports and the forecast.
 
-use lease::Wish;
+use lease::DesiredState;
 use wire::OrderKind;
 
 use super::Control;
@@ -13,7 +13,7 @@
 
 impl Control {
     /// What the engines of a group should be doing: versions first, then roles.
-    pub(super) fn wishes(&self, name: &str, now_ms: u64) -> Vec<Wish> {
+    pub(super) fn wishes(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let mut wishes = self.load_wishes(name);
         wishes.extend(self.unload_wishes(name, now_ms));
         if wishes.is_empty() {
@@ -25,7 +25,7 @@
         wishes
     }
 
-    fn load_wishes(&self, name: &str) -> Vec<Wish> {
+    fn load_wishes(&self, name: &str) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
@@ -45,7 +45,7 @@
                 let argument = format!("{}@{}", model.name, model.version);
                 let report = upstreams.engines.get(&engine.name)?.report.as_ref()?;
                 let has = report.loaded.contains(&argument);
-                (!has).then(|| Wish {
+                (!has).then(|| DesiredState {
                     engine: engine.name.clone(),
                     kind: OrderKind::Load,
                     argument,
@@ -57,7 +57,7 @@
     }
 
     /// Versions that no bundle in force names, once every instance has moved on for a while.
-    fn unload_wishes(&self, name: &str, now_ms: u64) -> Vec<Wish> {
+    fn unload_wishes(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
@@ -87,7 +87,7 @@
                 continue;
             }
             if let Some(old) = report.loaded.iter().find(|loaded| **loaded != current) {
-                wishes.push(Wish {
+                wishes.push(DesiredState {
                     engine: engine.name.clone(),
                     kind: OrderKind::Unload,
                     argument: old.clone(),
@@ -99,7 +99,7 @@
 
     /// Engines whose role differs from their last order: a stray order reached them, or they
     /// were restarted. Giving the last order again, under a new number, puts them right.
-    fn strays(&self, name: &str) -> Vec<Wish> {
+    fn strays(&self, name: &str) -> Vec<DesiredState> {
         let cursor = self.app.cursor.borrow();
         let upstreams = self.app.upstreams.borrow();
         let of_group = upstreams
@@ -108,11 +108,11 @@
             .filter(|(_, engine)| engine.group == name);
         of_group
             .filter_map(|(engine, entry)| {
-                let last = cursor.state().order(engine)?;
+                let last = cursor.state().last_order(engine)?;
                 let report = entry.report.as_ref()?;
                 let role = last.placed.kind == OrderKind::Role && last.settled && last.done;
                 let strayed = role && !report.changing && report.role != last.placed.argument;
-                strayed.then(|| Wish {
+                strayed.then(|| DesiredState {
                     engine: engine.clone(),
                     kind: OrderKind::Role,
                     argument: last.placed.argument.clone(),
@@ -121,7 +121,7 @@
             .collect()
     }
 
-    fn role_wishes(&self, name: &str, now_ms: u64) -> Vec<Wish> {
+    fn role_wishes(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
@@ -155,7 +155,7 @@
         let changes = group
             .planner
             .plan(now_ms, &fleet, &places, &forecast, allows);
-        let wishes = changes.iter().map(|change| Wish {
+        let wishes = changes.iter().map(|change| DesiredState {
             engine: fleet.get(change.engine).name.clone(),
             kind: OrderKind::Role,
             argument: change.role.to_string(),
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use conf::BundleIndex;
-use feed::{Log, Step};
+use feed::{AppliedRecord, Log};
 use rand::seq::IteratorRandom;
 use wire::{Condition, Snapshot};
 
@@ -22,17 +22,17 @@
 /// Reads the log on and on, and peers while the log does not answer.
 pub(crate) async fn follow(app: Rc<App>) {
     loop {
-        let from = app.cursor.borrow().from();
+        let from = app.cursor.borrow().read_offset();
         // The first read asks what there is; later ones wait for what is new.
         let wait_ms = if app.log_up.get() { WAIT_MS } else { 0 };
         match app.log.read(from, wait_ms).await {
             Ok(page) => {
                 app.log_up.set(true);
                 app.metrics.log_up.set(1);
-                let caught_up = page.entries.is_empty();
-                let steps = app.cursor.borrow_mut().take(&page);
+                let caught_up = page.records.is_empty();
+                let steps = app.cursor.borrow_mut().apply_page(&page);
                 applied(&app, &steps);
-                if app.cursor.borrow().is_searching() {
+                if app.cursor.borrow().needs_snapshot() {
                     // The log has lost what came before and holds no snapshot that fits: without
                     // a peer's state this instance would never serve.
                     learn_from_peer(&app).await;
@@ -42,7 +42,7 @@
             }
             Err(error) => {
                 if app.log_up.replace(false) {
-                    log::warn!(step = error.step, peer = error.peer.as_str(); "log is down: {error}");
+                    log::warn!(step = error.operation, peer = error.peer.as_str(); "log is down: {error}");
                 }
                 app.metrics.log_up.set(0);
                 learn_from_peer(&app).await;
@@ -69,14 +69,14 @@
     let records = match app.peers.records(&peer, from, PEER_MS).await {
         Ok(records) => records,
         Err(error) => {
-            log::debug!(step = error.step, peer = error.peer.as_str(); "{error}");
+            log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}");
             return;
         }
     };
     if let Some(bytes) = records.snapshot {
         match Snapshot::decode(&bytes) {
             Ok(snapshot) => {
-                app.cursor.borrow_mut().adopt(snapshot);
+                app.cursor.borrow_mut().install_snapshot(snapshot);
             }
             Err(error) => {
                 log::warn!(step = "records", peer = peer.as_str(); "{error}");
@@ -85,10 +85,10 @@
         }
         applied(app, &[]);
     } else {
-        let steps = app
-            .cursor
-            .borrow_mut()
-            .relay(from, &records.entries, records.next);
+        let steps =
+            app.cursor
+                .borrow_mut()
+                .apply_peer_records(from, &records.records, records.next_offset);
         applied(app, &steps);
     }
     // A peer that has nothing yet must not make this instance ready with nothing.
@@ -107,7 +107,7 @@
 }
 
 /// Acts on records that were folded in.
-fn applied(app: &Rc<App>, steps: &[Step]) {
+fn applied(app: &Rc<App>, steps: &[AppliedRecord]) {
     for step in steps {
         let origin = &step.record.origin;
         if origin.writer == app.identity.instance && origin.incarnation == app.identity.incarnation
@@ -121,7 +121,7 @@
     app.metrics
         .offset
         .set(app.cursor.borrow().state().next_offset().cast_signed());
-    let since = app.cursor.borrow().state().since_snapshot();
+    let since = app.cursor.borrow().state().records_since_snapshot();
     app.metrics.since_snapshot.set(since.cast_signed());
     put_in_force(app);
     crate::upstreams::drains_changed(app);
@@ -158,16 +158,16 @@
 /// Appends what the instance has to say, one batch at a time.
 pub(crate) async fn append(app: Rc<App>) {
     loop {
-        let batch = app.outbox.borrow_mut().batch(app.now_ms());
+        let batch = app.outbox.borrow_mut().next_batch(app.now_ms());
         let Some(batch) = batch else {
             app.outgoing.notified().await;
             continue;
         };
         match app.log.append(&batch).await {
-            Ok(_) => app.outbox.borrow_mut().appended(),
+            Ok(_) => app.outbox.borrow_mut().confirm_batch(),
             Err(error) => {
-                log::warn!(step = error.step, peer = error.peer.as_str(); "{error}");
-                app.outbox.borrow_mut().failed();
+                log::warn!(step = error.operation, peer = error.peer.as_str(); "{error}");
+                app.outbox.borrow_mut().requeue_batch();
                 actix_rt::time::sleep(Duration::from_millis(AGAIN_MS)).await;
             }
         }
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -1,6 +1,6 @@
 //! `GET /v1/lookup`: which instances a caller should use.
 
-use once::{Key, KeyPlace};
+use once::{IdempotencyKey, InstanceEpoch};
 use serde::{Deserialize, Serialize};
 use wire::{Beat, Condition};
 
@@ -79,17 +79,17 @@
     let pool = if far.is_empty() { &usable } else { &far };
     let pick = rand::Rng::random_range(&mut *app.rng.borrow_mut(), 0..pool.len().max(1));
     let witness = pool.get(pick)?;
-    let home = KeyPlace {
+    let home = InstanceEpoch {
         instance: app.identity.instance.clone(),
         incarnation: app.identity.incarnation,
-        epoch: app.epochs.at(now_ms),
+        epoch: app.epochs.epoch_at(now_ms),
     };
-    let witness = KeyPlace {
+    let witness = InstanceEpoch {
         instance: witness.instance.clone(),
         incarnation: witness.incarnation,
         epoch: witness.epoch,
     };
-    Some(Key::prefix(&home, &witness))
+    Some(IdempotencyKey::prefix(&home, &witness))
 }
 
 impl From<&Beat> for Instance {
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/ordering.rs
@@ -7,7 +7,7 @@
 use actix_http::Uri;
 use actix_service::Service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
-use lease::{Guard, Send as Order, Watch};
+use lease::{ArmedGuard, ConnectionGuard, OutgoingOrder as Order};
 use serde::Serialize;
 use tick::Clock;
 use tokio::net::TcpStream;
@@ -71,7 +71,7 @@
     mut errands: mpsc::UnboundedReceiver<Errand>,
     ready: oneshot::Sender<std::io::Result<()>>,
 ) {
-    let guard = match Guard::new(clock) {
+    let guard = match ConnectionGuard::new(clock) {
         Ok(guard) => Rc::new(guard),
         Err(error) => {
             let _ = ready.send(Err(error));
@@ -86,12 +86,12 @@
     }
 }
 
-async fn send(guard: &Rc<Guard>, clock: Clock, order: &Order, address: &str) -> Sent {
-    let left_ms = order.until_ms.saturating_sub(clock.now_ms());
+async fn send(guard: &Rc<ConnectionGuard>, clock: Clock, order: &Order, address: &str) -> Sent {
+    let left_ms = order.expires_ms.saturating_sub(clock.now_ms());
     let limit = Duration::from_millis(left_ms);
     let connector = GuardedConnector {
         guard: guard.clone(),
-        until_ms: order.until_ms,
+        until_ms: order.expires_ms,
         watch: Rc::default(),
     };
     let watch = connector.watch.clone();
@@ -101,7 +101,7 @@
         .disable_redirects()
         .finish();
     let body = Body {
-        order: order.order,
+        order: order.fencing_token,
         kind: match order.kind {
             OrderKind::Role => "role",
             OrderKind::Load => "load",
@@ -122,9 +122,9 @@
 /// Connects as usual, then puts the connection under the guard before a byte is written.
 #[derive(Clone)]
 struct GuardedConnector {
-    guard: Rc<Guard>,
+    guard: Rc<ConnectionGuard>,
     until_ms: u64,
-    watch: Rc<RefCell<Option<Watch>>>,
+    watch: Rc<RefCell<Option<ArmedGuard>>>,
 }
 
 impl Service<ConnectInfo<Uri>> for GuardedConnector {
@@ -149,7 +149,7 @@
 
 impl GuardedConnector {
     fn put_under_guard(&self, stream: &TcpStream) -> std::io::Result<()> {
-        let watch = self.guard.watch(stream, self.until_ms)?;
+        let watch = self.guard.arm(stream, self.until_ms)?;
         self.watch.replace(Some(watch));
         Ok(())
     }
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use peer::Known;
+use peer::PeerInfo;
 use serde::Deserialize;
 
 use crate::app::App;
@@ -79,14 +79,14 @@
     let others = list
         .iter()
         .filter(|listed| listed.kind == Kind::Entry && listed.name != app.identity.instance)
-        .map(|listed| Known {
+        .map(|listed| PeerInfo {
             instance: listed.name.clone(),
             peer_address: listed.peer_address.clone(),
             zone: listed.zone.clone(),
-            heard: None,
+            last_heartbeat: None,
             leaving: listed.standing == Standing::Leaving,
         });
-    app.members.borrow_mut().listed(app.now_ms(), others);
+    app.members.borrow_mut().apply_list(app.now_ms(), others);
     let upstreams = list.into_iter().filter(|listed| listed.kind != Kind::Entry);
     crate::upstreams::listed(app, upstreams);
 }
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -190,7 +190,7 @@
         .cursor
         .borrow()
         .state()
-        .order(name)
+        .last_order(name)
         .is_some_and(|order| !order.settled && order.placed.kind == wire::OrderKind::Role);
     let presence = if drained || entry.leaving {
         Presence::Leaving
@@ -218,7 +218,7 @@
         role: wire.role.to_string(),
         loaded: wire.loaded,
         changing: wire.changing,
-        order: wire.order,
+        fencing_token: wire.order,
     });
 }
 
--- a/crates/fault/src/calls.rs
+++ b/crates/fault/src/calls.rs
@@ -1,6 +1,6 @@
 //! Calls that may not be repeated, from callers who ask again elsewhere.
 
-use once::{Admission, Key};
+use once::{Admission, IdempotencyKey};
 use wire::{Answer, CallState, CallStatus, ClaimVerdict};
 
 use crate::instance::{Stage, Waiting};
@@ -25,7 +25,7 @@
 /// What a caller knows of its call.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
-    pub(crate) key: Key,
+    pub(crate) key: IdempotencyKey,
     pub(crate) body: u64,
     pub(crate) asked: u32,
     pub(crate) next_ms: u64,
@@ -60,7 +60,7 @@
         let body = self.calls.len() as u64 + 1;
         let home = ready[body as usize % ready.len()];
         let witness = ready[(body as usize + 1) % ready.len()];
-        let key = Key {
+        let key = IdempotencyKey {
             home: self.instances[home].place(self.now_ms),
             witness: self.instances[witness].place(self.now_ms),
             suffix: body.to_string(),
@@ -103,7 +103,7 @@
             return;
         }
         let instance = &self.instances[place];
-        if instance.home.is_mine(&call.key) {
+        if instance.home.is_home(&call.key) {
             self.admit(place, number);
             return;
         }
@@ -126,7 +126,7 @@
         let now_ms = self.instances[place].clock_ms(self.now_ms);
         if self.broken == Broken::ForgetKeys {
             let identity = self.instances[place].place(self.now_ms);
-            let epochs = once::Epochs::new(0);
+            let epochs = once::EpochCounter::new(0);
             self.instances[place].home =
                 once::Home::new(&identity.instance, identity.incarnation, epochs);
         }
@@ -165,7 +165,7 @@
     }
 
     /// A claim arrives at the witness.
-    pub(crate) fn claimed(&mut self, place: usize, home: usize, key: &Key, body: u64) {
+    pub(crate) fn claimed(&mut self, place: usize, home: usize, key: &IdempotencyKey, body: u64) {
         let now_ms = self.instances[place].clock_ms(self.now_ms);
         let verdict = self.instances[place]
             .witness
@@ -176,7 +176,12 @@
     }
 
     /// The witness's word arrives, or does not in time.
-    pub(crate) fn granted(&mut self, place: usize, key: &Key, verdict: Option<ClaimVerdict>) {
+    pub(crate) fn granted(
+        &mut self,
+        place: usize,
+        key: &IdempotencyKey,
+        verdict: Option<ClaimVerdict>,
+    ) {
         let text = key.to_string();
         let Some(waiting) = self.instances[place].waiting.get(&text).cloned() else {
             return;
@@ -185,7 +190,7 @@
             return;
         }
         self.instances[place].waiting.remove(&text);
-        if !self.instances[place].home.granted(key, verdict) {
+        if !self.instances[place].home.record_verdict(key, verdict) {
             self.reply_all(place, key);
             return;
         }
@@ -203,7 +208,7 @@
     }
 
     /// The call arrives at the service and takes effect.
-    pub(crate) fn served(&mut self, place: usize, key: Key, body: u64) {
+    pub(crate) fn served(&mut self, place: usize, key: IdempotencyKey, body: u64) {
         let effects = self.service.effects.entry(body).or_default();
         *effects += 1;
         if *effects > 1 {
@@ -219,13 +224,13 @@
     }
 
     /// The service's answer arrives at the home.
-    pub(crate) fn finished(&mut self, place: usize, key: &Key, body: u64) {
+    pub(crate) fn finished(&mut self, place: usize, key: &IdempotencyKey, body: u64) {
         self.reach(Step::FinishCall, place);
         if !self.instances[place].acts(self.now_ms) {
             return;
         }
         self.instances[place].waiting.remove(&key.to_string());
-        self.instances[place].home.finished(key, answer(body));
+        self.instances[place].home.record_answer(key, answer(body));
         let witness = self.by_name(&key.witness.instance);
         let message = Message::Keep {
             key: key.clone(),
@@ -236,7 +241,7 @@
     }
 
     /// The home's answer arrives at the witness.
-    pub(crate) fn kept(&mut self, place: usize, key: &Key, body: u64) {
+    pub(crate) fn kept(&mut self, place: usize, key: &IdempotencyKey, body: u64) {
         self.instances[place].witness.finish(key, answer(body));
     }
 
@@ -271,13 +276,13 @@
                     self.instances[place]
                         .waiting
                         .remove(&waiting.key.to_string());
-                    self.instances[place].home.lost(&waiting.key);
+                    self.instances[place].home.record_unknown(&waiting.key);
                 }
             }
         }
     }
 
-    fn reply_all(&mut self, place: usize, key: &Key) {
+    fn reply_all(&mut self, place: usize, key: &IdempotencyKey) {
         let status = self.instances[place].home.status(key);
         for number in 0..self.calls.len() {
             if self.calls[number].key == *key {
--- a/crates/fault/src/fakes.rs
+++ b/crates/fault/src/fakes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use feed::{Entry, Page};
+use feed::{Page, RawRecord};
 use wire::OrderKind;
 
 /// Time of a role change.
@@ -14,7 +14,7 @@
 /// The platform's log.
 #[derive(Debug, Default)]
 pub(crate) struct FakeLog {
-    entries: Vec<Entry>,
+    entries: Vec<RawRecord>,
     first: u64,
     pub(crate) down: bool,
     pub(crate) slow_ms: u64,
@@ -32,12 +32,12 @@
     pub(crate) fn append(&mut self, records: Vec<Vec<u8>>) {
         for data in records {
             let offset = self.first + self.entries.len() as u64;
-            self.entries.push(Entry { offset, data });
+            self.entries.push(RawRecord { offset, data });
         }
     }
 
     pub(crate) fn read(&self, from: u64) -> Page {
-        let entries: Vec<Entry> = self
+        let entries: Vec<RawRecord> = self
             .entries
             .iter()
             .filter(|entry| entry.offset >= from)
@@ -47,9 +47,9 @@
             .last()
             .map_or(from.max(self.first), |entry| entry.offset + 1);
         Page {
-            first: self.first,
-            next,
-            entries,
+            oldest_offset: self.first,
+            next_offset: next,
+            records: entries,
         }
     }
 
--- a/crates/fault/src/instance.rs
+++ b/crates/fault/src/instance.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use feed::{Cursor, Outbox};
-use lease::{Desk, Elector, Identity, Times};
-use once::{Epochs, Home, Key, KeyPlace, Witness};
+use feed::{LogReader, Outbox};
+use lease::{Elector, Identity, LeaseTimes, OrderScheduler};
+use once::{EpochCounter, Home, IdempotencyKey, InstanceEpoch, Witness};
 use rand::Rng;
 use rand_pcg::Pcg64;
 
@@ -12,7 +12,7 @@
 pub(crate) const GROUP: &str = "m/zone";
 
 /// Times of the leases here.
-pub(crate) const TIMES: Times = Times {
+pub(crate) const TIMES: LeaseTimes = LeaseTimes {
     ttl_ms: 2_000,
     margin_ms: 700,
 };
@@ -20,7 +20,7 @@
 /// What a home waits for, for one key.
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
-    pub(crate) key: Key,
+    pub(crate) key: IdempotencyKey,
     pub(crate) body: u64,
     pub(crate) until_ms: u64,
     pub(crate) stage: Stage,
@@ -35,7 +35,7 @@
 /// An order on its way out: decided, and written at the next chance.
 #[derive(Debug, Clone)]
 pub(crate) struct Leaving {
-    pub(crate) send: lease::Send,
+    pub(crate) send: lease::OutgoingOrder,
     pub(crate) fence: u64,
 }
 
@@ -55,14 +55,14 @@
     pub(crate) mute_until_ms: u64,
     pub(crate) log_cut_until_ms: u64,
     pub(crate) clock_rate: f64,
-    pub(crate) cursor: Cursor,
+    pub(crate) cursor: LogReader,
     pub(crate) outbox: Outbox,
     pub(crate) append_until_ms: Option<u64>,
     pub(crate) read_at_ms: u64,
     pub(crate) reading: bool,
     pub(crate) elector: Elector,
     pub(crate) claimed_ms: Option<u64>,
-    pub(crate) desk: Desk,
+    pub(crate) desk: OrderScheduler,
     pub(crate) leaving: Vec<Leaving>,
     pub(crate) home: Home,
     pub(crate) witness: Witness,
@@ -77,7 +77,7 @@
             instance: name.to_owned(),
             incarnation,
         };
-        let epochs = Epochs::new(0);
+        let epochs = EpochCounter::new(0);
         Self {
             name: name.to_owned(),
             incarnation,
@@ -90,14 +90,14 @@
             mute_until_ms: 0,
             log_cut_until_ms: 0,
             clock_rate: 1.0,
-            cursor: Cursor::default(),
+            cursor: LogReader::default(),
             outbox: Outbox::new(name, incarnation),
             append_until_ms: None,
             read_at_ms: now_ms,
             reading: false,
             elector: Elector::new(identity, GROUP, TIMES, 0),
             claimed_ms: None,
-            desk: Desk::default(),
+            desk: OrderScheduler::default(),
             leaving: Vec::new(),
             home: Home::new(name, incarnation, epochs),
             witness: Witness::new(name, incarnation, epochs),
@@ -127,11 +127,11 @@
         self.speaks(now_ms) && now_ms >= self.log_cut_until_ms
     }
 
-    pub(crate) fn place(&self, now_ms: u64) -> KeyPlace {
-        KeyPlace {
+    pub(crate) fn place(&self, now_ms: u64) -> InstanceEpoch {
+        InstanceEpoch {
             instance: self.name.clone(),
             incarnation: self.incarnation,
-            epoch: Epochs::new(0).at(self.clock_ms(now_ms)),
+            epoch: EpochCounter::new(0).epoch_at(self.clock_ms(now_ms)),
         }
     }
 }
--- a/crates/fault/src/world.rs
+++ b/crates/fault/src/world.rs
@@ -6,7 +6,7 @@
 mod operator;
 
 use feed::Page;
-use once::Key;
+use once::IdempotencyKey;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use wire::{Body, BundlePublished, BundleRef, ClaimVerdict, OrderKind};
@@ -59,11 +59,26 @@
     AppendFailed,
     Page(Page),
     ReadFailed,
-    Ask { number: usize },
-    Claim { home: usize, key: Key, body: u64 },
-    Verdict { key: Key, verdict: ClaimVerdict },
-    Served { key: Key, body: u64 },
-    Keep { key: Key, body: u64 },
+    Ask {
+        number: usize,
+    },
+    Claim {
+        home: usize,
+        key: IdempotencyKey,
+        body: u64,
+    },
+    Verdict {
+        key: IdempotencyKey,
+        verdict: ClaimVerdict,
+    },
+    Served {
+        key: IdempotencyKey,
+        body: u64,
+    },
+    Keep {
+        key: IdempotencyKey,
+        body: u64,
+    },
 }
 
 #[allow(clippy::enum_variant_names, reason = "each names its destination")]
@@ -87,7 +102,7 @@
     },
     ToService {
         place: usize,
-        key: Key,
+        key: IdempotencyKey,
         body: u64,
     },
 }
--- a/crates/fault/src/world/control.rs
+++ b/crates/fault/src/world/control.rs
@@ -1,6 +1,6 @@
 //! Leases and orders of an instance.
 
-use lease::{Action, EngineReport, Move, Wish};
+use lease::{DesiredState, EngineReport, LeaseAction, OrderAction};
 use wire::{Body, LeaseClaimed, LeaseRef, OrderKind};
 
 use super::{Flight, QUIET_MS, TOO_EARLY_MS, WAY_MS, World};
@@ -24,8 +24,8 @@
         let action = instance.elector.poll(clock_ms + early_ms, place as u64);
         let group = GROUP.to_owned();
         let (body, step) = match action {
-            Action::Wait => return,
-            Action::Claim { supersedes } => {
+            LeaseAction::Wait => return,
+            LeaseAction::Claim { supersedes } => {
                 let ttl_ms = TIMES.ttl_ms;
                 (
                     Body::LeaseClaimed(LeaseClaimed {
@@ -36,7 +36,7 @@
                     Step::ClaimLease,
                 )
             }
-            Action::Renew { fence } => (
+            LeaseAction::Renew { fence } => (
                 Body::LeaseRenewed(LeaseRef { group, fence }),
                 Step::RenewLease,
             ),
@@ -46,7 +46,7 @@
             instance
                 .outbox
                 .push("entry", self.now_ms, body, Some(clock_ms + TIMES.ttl_ms));
-        instance.elector.sent(clock_ms, sequence);
+        instance.elector.record_sent(clock_ms, sequence);
         self.reach(step, place);
     }
 
@@ -64,7 +64,7 @@
                 .map_or(0, |lease| lease.fence);
             return Some(lease::Authority {
                 fence: fence.max(1),
-                until_ms: claimed_ms + TIMES.ttl_ms,
+                expires_ms: claimed_ms + TIMES.ttl_ms,
             });
         }
         instance.elector.authority(clock_ms)
@@ -82,7 +82,7 @@
                 role: engine.role.clone(),
                 loaded: engine.loaded.clone(),
                 changing: engine.is_changing(),
-                order: engine.highest,
+                fencing_token: engine.highest,
             })
         };
         let instance = &mut self.instances[place];
@@ -92,15 +92,16 @@
             .open_orders(GROUP)
             .cloned()
             .collect();
-        let moves = instance
-            .desk
-            .moves(clock_ms, authority, GROUP, &wishes, open.iter(), report);
+        let moves =
+            instance
+                .desk
+                .next_actions(clock_ms, authority, GROUP, &wishes, open.iter(), report);
         let until_ms = clock_ms + TIMES.ttl_ms;
         for next in moves {
             let (body, step) = match next {
-                Move::Place(order) => (Body::OrderPlaced(order), Step::PlaceOrder),
-                Move::Settle(settled) => (Body::OrderSettled(settled), Step::SettleOrder),
-                Move::Send(send) => {
+                OrderAction::Place(order) => (Body::OrderPlaced(order), Step::PlaceOrder),
+                OrderAction::Settle(settled) => (Body::OrderSettled(settled), Step::SettleOrder),
+                OrderAction::Send(send) => {
                     let fence = authority.fence;
                     self.instances[place].leaving.push(Leaving { send, fence });
                     self.reach(Step::SendOrder, place);
@@ -115,7 +116,7 @@
     }
 
     /// Each holder wants another role every two seconds, so that a stale order differs.
-    pub(super) fn wishes(&mut self, place: usize) -> Vec<Wish> {
+    pub(super) fn wishes(&mut self, place: usize) -> Vec<DesiredState> {
         if self.now_ms >= QUIET_MS {
             return Vec::new();
         }
@@ -127,7 +128,7 @@
             .iter()
             .filter(|engine| !(drained && engine.name == "engine-2"));
         engines
-            .map(|engine| Wish {
+            .map(|engine| DesiredState {
                 engine: engine.name.clone(),
                 kind: OrderKind::Role,
                 argument: role.to_owned(),
@@ -139,7 +140,7 @@
     pub(super) fn flush_orders(&mut self, place: usize) {
         let clock_ms = self.instances[place].clock_ms(self.now_ms);
         for leaving in std::mem::take(&mut self.instances[place].leaving) {
-            let lapsed = clock_ms >= leaving.send.until_ms;
+            let lapsed = clock_ms >= leaving.send.expires_ms;
             if lapsed && self.broken != Broken::Guard {
                 continue;
             }
@@ -160,7 +161,7 @@
                 .position(|engine| engine.name == leaving.send.engine);
             let flight = Flight::ToEngine {
                 engine: engine.unwrap_or(0),
-                order: leaving.send.order,
+                order: leaving.send.fencing_token,
                 kind: leaving.send.kind,
                 argument: leaving.send.argument,
             };
--- a/crates/fault/src/world/log.rs
+++ b/crates/fault/src/world/log.rs
@@ -1,6 +1,6 @@
 //! What an instance writes to the log and reads from it, or from a peer.
 
-use feed::Step as Folded;
+use feed::AppliedRecord as Folded;
 use rand::Rng;
 use wire::Body;
 
@@ -15,12 +15,12 @@
         if let Some(until_ms) = instance.append_until_ms {
             if now_ms >= until_ms {
                 instance.append_until_ms = None;
-                instance.outbox.failed();
+                instance.outbox.requeue_batch();
             }
             return;
         }
         let clock_ms = instance.clock_ms(now_ms);
-        let Some(records) = instance.outbox.batch(clock_ms) else {
+        let Some(records) = instance.outbox.next_batch(clock_ms) else {
             return;
         };
         instance.append_until_ms = Some(now_ms + LOG_MS);
@@ -53,7 +53,7 @@
         if !instance.reaches_log(now_ms) {
             return;
         }
-        let from = instance.cursor.from();
+        let from = instance.cursor.read_offset();
         if self.log.down {
             self.send_later(2 * WAY_MS, place, Message::ReadFailed);
             return;
@@ -73,22 +73,24 @@
         let (tail, next, snapshot) = {
             let theirs = &self.instances[other].cursor;
             (
-                theirs.tail(from),
+                theirs.records_from(from),
                 theirs.state().next_offset(),
                 theirs.state().snapshot(),
             )
         };
         if self.broken == Broken::OffsetOrder {
-            let mut cursor = feed::Cursor::default();
-            cursor.adopt(snapshot);
+            let mut cursor = feed::LogReader::default();
+            cursor.install_snapshot(snapshot);
             self.instances[place].cursor = cursor;
             self.folded(place, &[]);
             return;
         }
         let steps = if let Some(entries) = tail {
-            self.instances[place].cursor.relay(from, &entries, next)
+            self.instances[place]
+                .cursor
+                .apply_peer_records(from, &entries, next)
         } else {
-            self.instances[place].cursor.adopt(snapshot);
+            self.instances[place].cursor.install_snapshot(snapshot);
             Vec::new()
         };
         self.folded(place, &steps);
--- a/crates/fault/src/world/network.rs
+++ b/crates/fault/src/world/network.rs
@@ -1,7 +1,7 @@
 //! Messages on their way.
 
 use feed::Page;
-use once::Key;
+use once::IdempotencyKey;
 
 use super::{Flight, LOG_MS, Message, READ_MS, WAY_MS, World};
 use crate::Invariant;
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(crate) fn send_to_service(&mut self, place: usize, key: Key, body: u64) {
+    pub(crate) fn send_to_service(&mut self, place: usize, key: IdempotencyKey, body: u64) {
         self.flights
             .push((self.now_ms + WAY_MS, Flight::ToService { place, key, body }));
     }
@@ -132,21 +132,21 @@
             return;
         }
         if done {
-            instance.outbox.appended();
+            instance.outbox.confirm_batch();
         } else {
-            instance.outbox.failed();
+            instance.outbox.requeue_batch();
         }
     }
 
     pub(super) fn took(&mut self, place: usize, page: &Page) {
         self.instances[place].reading = false;
         self.instances[place].read_at_ms = self.now_ms + READ_MS;
-        let steps = self.instances[place].cursor.take(page);
+        let steps = self.instances[place].cursor.apply_page(page);
         self.folded(place, &steps);
         let instance = &mut self.instances[place];
-        if instance.cursor.is_searching() {
+        if instance.cursor.needs_snapshot() {
             self.learn_from_peer(place);
-        } else if page.entries.is_empty() {
+        } else if page.records.is_empty() {
             instance.ready = true;
         }
     }
--- a/crates/fault/src/world/operator.rs
+++ b/crates/fault/src/world/operator.rs
@@ -76,7 +76,7 @@
         self.instances[place].stopping = true;
         self.reach(Step::Stop, place);
         let now_ms = self.instances[place].clock_ms(self.now_ms);
-        if let Some(fence) = self.instances[place].elector.leave(now_ms) {
+        if let Some(fence) = self.instances[place].elector.resign(now_ms) {
             let group = GROUP.to_owned();
             let body = Body::LeaseReleased(LeaseRef { group, fence });
             self.instances[place]
@@ -90,7 +90,7 @@
         let state = self.instances[place].cursor.state().snapshot();
         let mut writer = feed::Outbox::new("snapshot", self.now_ms);
         writer.push("entry", self.now_ms, Body::Snapshot(Box::new(state)), None);
-        if let Some(records) = writer.batch(0) {
+        if let Some(records) = writer.next_batch(0) {
             self.log.append(records);
         }
     }
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -4,10 +4,10 @@
 
 /// What is known of an append that failed.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum AppendEffect {
     /// It took no effect.
     #[display("not done")]
-    NotDone,
+    NotApplied,
     /// It may have taken effect, or may yet.
     #[display("unknown")]
     Unknown,
@@ -15,16 +15,16 @@
 
 /// The log service did not do what was asked.
 #[derive(Debug, Display, Error, Clone)]
-#[display("{step} at {peer}: {detail} ({fate})")]
+#[display("{operation} at {peer}: {detail} ({effect})")]
 pub struct Error {
     /// What was being done.
-    pub step: &'static str,
+    pub operation: &'static str,
     /// Address of the log service.
     pub peer: String,
     /// What went wrong.
     pub detail: String,
     /// Whether it may have taken effect.
-    pub fate: Fate,
+    pub effect: AppendEffect,
 }
 
 /// Result of a call to the log service.
--- a/crates/feed/src/http.rs
+++ b/crates/feed/src/http.rs
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Serialize};
 
-use crate::{Entry, Error, Fate, Log, Page, Result};
+use crate::{AppendEffect, Error, Log, Page, RawRecord, Result};
 
 /// Time that an answer may take beyond the wait that was asked for. A log that is slower is
 /// treated as down, since peers then know more than it tells.
@@ -55,19 +55,24 @@
         }
     }
 
-    fn error(&self, step: &'static str, fate: Fate, detail: impl std::fmt::Display) -> Error {
+    fn error(
+        &self,
+        operation: &'static str,
+        effect: AppendEffect,
+        detail: impl std::fmt::Display,
+    ) -> Error {
         Error {
-            step,
+            operation,
             peer: self.address.clone(),
             detail: detail.to_string(),
-            fate,
+            effect,
         }
     }
 }
 
 impl Log for HttpLog {
     async fn append(&self, records: &[Vec<u8>]) -> Result<u64> {
-        let step = "append";
+        let operation = "append";
         let request = AppendRequest {
             records: records
                 .iter()
@@ -80,25 +85,25 @@
             .timeout(Duration::from_millis(ANSWER_MS))
             .send_json(&request)
             .await;
-        let mut response = sent.map_err(|error| self.error(step, fate(&error), error))?;
+        let mut response = sent.map_err(|error| self.error(operation, effect(&error), error))?;
         if !response.status().is_success() {
             // The service answers 503 before it writes; anything else says nothing.
-            let fate = match response.status().as_u16() {
-                503 => Fate::NotDone,
-                _ => Fate::Unknown,
+            let effect = match response.status().as_u16() {
+                503 => AppendEffect::NotApplied,
+                _ => AppendEffect::Unknown,
             };
-            return Err(self.error(step, fate, response.status()));
+            return Err(self.error(operation, effect, response.status()));
         }
         let answer: AppendAnswer = response
             .json()
             .await
-            .map_err(|error| self.error(step, Fate::Unknown, error))?;
+            .map_err(|error| self.error(operation, AppendEffect::Unknown, error))?;
         Ok(answer.first)
     }
 
     async fn read(&self, from: u64, wait_ms: u64) -> Result<Page> {
-        let step = "read";
-        let failed = |detail: String| self.error(step, Fate::NotDone, detail);
+        let operation = "read";
+        let failed = |detail: String| self.error(operation, AppendEffect::NotApplied, detail);
         let url = format!(
             "http://{}/records?from={from}&wait_ms={wait_ms}",
             self.address
@@ -123,25 +128,25 @@
             let data = STANDARD
                 .decode(&record.data)
                 .map_err(|error| failed(error.to_string()))?;
-            Ok(Entry {
+            Ok(RawRecord {
                 offset: record.offset,
                 data,
             })
         });
         Ok(Page {
-            first: answer.first,
-            next: answer.next,
-            entries: entries.collect::<Result<_>>()?,
+            oldest_offset: answer.first,
+            next_offset: answer.next,
+            records: entries.collect::<Result<_>>()?,
         })
     }
 }
 
 /// Only a connection that was never made proves that nothing was written.
-fn fate(error: &awc::error::SendRequestError) -> Fate {
+fn effect(error: &awc::error::SendRequestError) -> AppendEffect {
     match error {
         awc::error::SendRequestError::Connect(_) | awc::error::SendRequestError::Url(_) => {
-            Fate::NotDone
+            AppendEffect::NotApplied
         }
-        _ => Fate::Unknown,
+        _ => AppendEffect::Unknown,
     }
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -6,22 +6,22 @@
 
 mod audit;
 mod bundles;
-mod cursor;
 mod error;
 mod http;
 mod leases;
+mod log_reader;
 mod outbox;
 mod state;
 
-pub use cursor::{Cursor, Step};
-pub use error::{Error, Fate, Result};
+pub use error::{AppendEffect, Error, Result};
 pub use http::HttpLog;
+pub use log_reader::{AppliedRecord, LogReader};
 pub use outbox::Outbox;
 pub use state::{Outcome, State};
 
 /// One record with its place in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct RawRecord {
     /// Offset that the log gave it.
     pub offset: u64,
     /// The record as it was appended.
@@ -32,11 +32,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Page {
     /// Oldest offset that the log still keeps.
-    pub first: u64,
+    pub oldest_offset: u64,
     /// Where to read on.
-    pub next: u64,
+    pub next_offset: u64,
     /// Records from the asked offset on.
-    pub entries: Vec<Entry>,
+    pub records: Vec<RawRecord>,
 }
 
 /// The platform's append-only log.
--- a/crates/feed/src/cursor.rs
+++ b/crates/feed/src/log_reader.rs
@@ -4,14 +4,14 @@
 
 use wire::{Body, Record, Snapshot};
 
-use crate::{Entry, Outcome, Page, State};
+use crate::{Outcome, Page, RawRecord, State};
 
 /// Bytes of raw records kept to pass on to other instances while the log is down.
 const TAIL_BYTES: usize = 2 << 20;
 
 /// What one record did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Step {
+pub struct AppliedRecord {
     /// Offset of the record.
     pub offset: u64,
     /// The record.
@@ -22,21 +22,21 @@
 
 /// A reader of the log with the state it has folded.
 #[derive(Debug, Clone, Default)]
-pub struct Cursor {
+pub struct LogReader {
     state: State,
-    tail: VecDeque<Entry>,
+    tail: VecDeque<RawRecord>,
     tail_bytes: usize,
     searching: Option<u64>,
 }
 
-impl Cursor {
+impl LogReader {
     /// The state folded so far.
     pub fn state(&self) -> &State {
         &self.state
     }
 
     /// Where the next read of the log begins.
-    pub fn from(&self) -> u64 {
+    pub fn read_offset(&self) -> u64 {
         self.searching.unwrap_or(self.state.next_offset())
     }
 
@@ -44,26 +44,29 @@
     ///
     /// Until a snapshot is found the state is that of a past moment, so an instance that is
     /// searching must not become ready.
-    pub fn is_searching(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.searching.is_some()
     }
 
     /// Takes in one page. Bytes that are no record are skipped: every reader skips the same ones.
-    pub fn take(&mut self, page: &Page) -> Vec<Step> {
-        if self.searching.is_none() && page.first > self.state.next_offset() && page.first > 1 {
-            self.searching = Some(page.first);
+    pub fn apply_page(&mut self, page: &Page) -> Vec<AppliedRecord> {
+        if self.searching.is_none()
+            && page.oldest_offset > self.state.next_offset()
+            && page.oldest_offset > 1
+        {
+            self.searching = Some(page.oldest_offset);
         }
         if self.searching.is_some() {
             self.search(page);
             return Vec::new();
         }
-        self.fold(&page.entries, page.next)
+        self.fold(&page.records, page.next_offset)
     }
 
     /// Looks for a snapshot whose following records are all still kept.
     fn search(&mut self, page: &Page) {
         let records = page
-            .entries
+            .records
             .iter()
             .filter_map(|entry| Record::decode(&entry.data).ok());
         let found = records
@@ -71,12 +74,12 @@
                 Body::Snapshot(snapshot) => Some(snapshot),
                 _ => None,
             })
-            .find(|snapshot| snapshot.next_offset >= page.first);
+            .find(|snapshot| snapshot.next_offset >= page.oldest_offset);
         match found {
             Some(snapshot) => {
-                self.adopt(*snapshot);
+                self.install_snapshot(*snapshot);
             }
-            None => self.searching = Some(page.next.max(page.first)),
+            None => self.searching = Some(page.next_offset.max(page.oldest_offset)),
         }
     }
 
@@ -84,7 +87,7 @@
     ///
     /// The comparison keeps an instance from ever going back to a lower offset, which would put
     /// an older bundle in force again.
-    pub fn adopt(&mut self, snapshot: Snapshot) -> bool {
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.next_offset <= self.state.next_offset() {
             return false;
         }
@@ -96,7 +99,12 @@
     }
 
     /// Takes in records that a peer read back from the log, from our own offset on.
-    pub fn relay(&mut self, from: u64, entries: &[Entry], next: u64) -> Vec<Step> {
+    pub fn apply_peer_records(
+        &mut self,
+        from: u64,
+        entries: &[RawRecord],
+        next: u64,
+    ) -> Vec<AppliedRecord> {
         if from > self.state.next_offset() {
             return Vec::new();
         }
@@ -106,7 +114,7 @@
         self.fold(entries, next)
     }
 
-    fn fold(&mut self, entries: &[Entry], next: u64) -> Vec<Step> {
+    fn fold(&mut self, entries: &[RawRecord], next: u64) -> Vec<AppliedRecord> {
         let mut steps = Vec::with_capacity(entries.len());
         for entry in entries {
             if entry.offset < self.state.next_offset() {
@@ -117,7 +125,7 @@
                 Ok(record) => {
                     let outcome = self.state.apply(entry.offset, &record);
                     let offset = entry.offset;
-                    steps.push(Step {
+                    steps.push(AppliedRecord {
                         offset,
                         record,
                         outcome,
@@ -133,7 +141,7 @@
         steps
     }
 
-    fn keep(&mut self, entry: &Entry) {
+    fn keep(&mut self, entry: &RawRecord) {
         self.tail_bytes += entry.data.len();
         self.tail.push_back(entry.clone());
         while self.tail_bytes > TAIL_BYTES {
@@ -145,7 +153,7 @@
     }
 
     /// Records at or after `from` for a peer, or `None` when some are no longer kept.
-    pub fn tail(&self, from: u64) -> Option<Vec<Entry>> {
+    pub fn records_from(&self, from: u64) -> Option<Vec<RawRecord>> {
         let oldest = self
             .tail
             .front()
--- a/crates/feed/src/outbox.rs
+++ b/crates/feed/src/outbox.rs
@@ -61,7 +61,7 @@
     }
 
     /// The next batch to append, or `None` when there is none or one is on its way.
-    pub fn batch(&mut self, now_ms: u64) -> Option<Vec<Vec<u8>>> {
+    pub fn next_batch(&mut self, now_ms: u64) -> Option<Vec<Vec<u8>>> {
         if self.in_flight > 0 {
             return None;
         }
@@ -74,13 +74,13 @@
     }
 
     /// The batch is in the log.
-    pub fn appended(&mut self) {
+    pub fn confirm_batch(&mut self) {
         self.pending.drain(..self.in_flight);
         self.in_flight = 0;
     }
 
     /// The batch may or may not be in the log; it will be sent again.
-    pub fn failed(&mut self) {
+    pub fn requeue_batch(&mut self) {
         self.in_flight = 0;
     }
 
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -141,7 +141,7 @@
     }
 
     /// Newest accepted version.
-    pub fn head(&self) -> u64 {
+    pub fn newest_version(&self) -> u64 {
         self.bundles.head
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The last order to an engine.
-    pub fn order(&self, engine: &str) -> Option<&OrderState> {
+    pub fn last_order(&self, engine: &str) -> Option<&OrderState> {
         self.leases.orders.get(engine)
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Records folded in since the last snapshot.
-    pub fn since_snapshot(&self) -> u64 {
+    pub fn records_since_snapshot(&self) -> u64 {
         self.next_offset.saturating_sub(self.snapshot_offset + 1)
     }
 
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -16,7 +16,7 @@
 
 /// Times that all instances of a deployment share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct LeaseTimes {
     /// Time for which a renewal holds, counted from before it was sent.
     pub ttl_ms: u64,
     /// Time that a successor waits beyond the ttl, counted from when it read the renewal.
@@ -29,12 +29,12 @@
     /// Offset of the claim.
     pub fence: u64,
     /// The holder's own monotonic time at which the right ends.
-    pub until_ms: u64,
+    pub expires_ms: u64,
 }
 
 /// What to append now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Action {
+pub enum LeaseAction {
     /// Nothing.
     Wait,
     /// A claim that names the newest record of the lease.
@@ -76,7 +76,7 @@
 pub struct Elector {
     identity: Identity,
     group: String,
-    times: Times,
+    times: LeaseTimes,
     newest: Newest,
     mine: Option<Authority>,
     sent: Option<Sent>,
@@ -85,7 +85,7 @@
 
 impl Elector {
     /// An elector that has read nothing yet.
-    pub fn new(identity: Identity, group: &str, times: Times, now_ms: u64) -> Self {
+    pub fn new(identity: Identity, group: &str, times: LeaseTimes, now_ms: u64) -> Self {
         Self {
             identity,
             group: group.to_owned(),
@@ -137,18 +137,18 @@
         self.sent = None;
         self.mine = Some(Authority {
             fence: lease.fence,
-            until_ms: sent.at_ms + self.times.ttl_ms,
+            expires_ms: sent.at_ms + self.times.ttl_ms,
         });
     }
 
     /// What to append, for an instance whose turn is `rank` (0 first) among those that are live.
     ///
     /// Ranks only spread the claims out, so that all instances do not claim at once. They rest
-    /// on views that may differ; the log decides. After the append is queued, `sent` must be
+    /// on views that may differ; the log decides. After the append is queued, `record_sent` must be
     /// told its sequence number.
-    pub fn poll(&mut self, now_ms: u64, rank: u64) -> Action {
+    pub fn poll(&mut self, now_ms: u64, rank: u64) -> LeaseAction {
         if self.leaving || self.is_awaiting(now_ms) {
-            return Action::Wait;
+            return LeaseAction::Wait;
         }
         match self.newest.my_fence {
             Some(fence) => self.poll_holder(now_ms, fence),
@@ -162,17 +162,17 @@
     }
 
     /// A holder that lapsed may still renew: had another claimed, the newest record were theirs.
-    fn poll_holder(&self, now_ms: u64, fence: u64) -> Action {
+    fn poll_holder(&self, now_ms: u64, fence: u64) -> LeaseAction {
         let renew_at_ms = self.mine.map_or(0, |mine| {
-            mine.until_ms - self.times.ttl_ms + self.times.ttl_ms / RENEW_SHARE
+            mine.expires_ms - self.times.ttl_ms + self.times.ttl_ms / RENEW_SHARE
         });
         if now_ms < renew_at_ms {
-            return Action::Wait;
+            return LeaseAction::Wait;
         }
-        Action::Renew { fence }
+        LeaseAction::Renew { fence }
     }
 
-    fn poll_candidate(&self, now_ms: u64, rank: u64) -> Action {
+    fn poll_candidate(&self, now_ms: u64, rank: u64) -> LeaseAction {
         let stagger_ms = rank.saturating_mul(self.times.margin_ms / 2);
         let lapse_ms = if self.newest.released {
             0
@@ -180,15 +180,15 @@
             self.newest.ttl_ms.max(self.times.ttl_ms) + self.times.margin_ms
         };
         if now_ms < self.newest.read_ms + lapse_ms + stagger_ms {
-            return Action::Wait;
+            return LeaseAction::Wait;
         }
-        Action::Claim {
+        LeaseAction::Claim {
             supersedes: self.newest.offset,
         }
     }
 
     /// The action of the last poll was queued at `now_ms` under this sequence number.
-    pub fn sent(&mut self, now_ms: u64, sequence: u64) {
+    pub fn record_sent(&mut self, now_ms: u64, sequence: u64) {
         self.sent = Some(Sent {
             sequence,
             at_ms: now_ms,
@@ -197,11 +197,11 @@
 
     /// The right to give orders at `now_ms`, if this instance has it.
     pub fn authority(&self, now_ms: u64) -> Option<Authority> {
-        self.mine.filter(|mine| now_ms < mine.until_ms)
+        self.mine.filter(|mine| now_ms < mine.expires_ms)
     }
 
     /// Stops claiming and renewing; gives the fence to release if the lease is held.
-    pub fn leave(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn resign(&mut self, now_ms: u64) -> Option<u64> {
         self.leaving = true;
         let held = self.authority(now_ms).map(|mine| mine.fence);
         self.mine = None;
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -19,7 +19,7 @@
 
 /// Time after which the kernel drops bytes that a partition holds back. A process that is paused
 /// beyond its lease cannot drop them itself, so a successor's margin must exceed this time.
-pub const HELD_BACK_MS: u64 = 400;
+pub const TCP_USER_TIMEOUT_MS: u64 = 400;
 
 thread_local! {
     /// The socket that the handler cuts. One order is on the wire at a time in a thread, so one
@@ -35,7 +35,7 @@
 /// thread before that thread runs again in user space, and the timer expired during the pause, so
 /// the handler cuts the connection before the next write can happen.
 #[derive(Debug)]
-pub struct Guard {
+pub struct ConnectionGuard {
     timer: libc::timer_t,
     clock: Clock,
     /// `CLOCK_MONOTONIC` when `clock` said `base_ms`. A pause between the two readings makes the
@@ -78,7 +78,7 @@
     Duration::new(now.tv_sec.cast_unsigned(), now.tv_nsec as u32)
 }
 
-impl Guard {
+impl ConnectionGuard {
     /// Makes the timer for the calling thread, which alone may write orders.
     pub fn new(clock: Clock) -> io::Result<Self> {
         let base = monotonic();
@@ -114,31 +114,31 @@
     /// Guards a fresh connection until a moment of the clock; fails if that has passed.
     ///
     /// Nothing may have been written to the connection yet.
-    pub fn watch(self: &Rc<Self>, socket: &impl AsRawFd, until_ms: u64) -> io::Result<Watch> {
+    pub fn arm(self: &Rc<Self>, socket: &impl AsRawFd, expires_ms: u64) -> io::Result<ArmedGuard> {
         let raw = socket.as_raw_fd();
         // SAFETY: the descriptor is open for as long as `socket` is borrowed.
         let borrowed = unsafe { std::os::fd::BorrowedFd::borrow_raw(raw) };
         let options = SockRef::from(&borrowed);
         options.set_linger(Some(Duration::ZERO))?;
-        options.set_tcp_user_timeout(Some(Duration::from_millis(HELD_BACK_MS)))?;
+        options.set_tcp_user_timeout(Some(Duration::from_millis(TCP_USER_TIMEOUT_MS)))?;
         GUARDED.with(|guarded| guarded.store(raw, Ordering::SeqCst));
-        let watch = Watch {
+        let armed = ArmedGuard {
             guard: self.clone(),
         };
-        self.arm(until_ms)?;
+        self.set_expiry(expires_ms)?;
         // A timer set to a moment that has passed fires at once, but perhaps only after this
         // thread's next write.
-        if self.clock.now_ms() >= until_ms {
+        if self.clock.now_ms() >= expires_ms {
             return Err(io::Error::new(
                 io::ErrorKind::TimedOut,
                 "the lease has lapsed",
             ));
         }
-        Ok(watch)
+        Ok(armed)
     }
 
-    fn arm(&self, until_ms: u64) -> io::Result<()> {
-        let left = Duration::from_millis(until_ms.saturating_sub(self.base_ms));
+    fn set_expiry(&self, expires_ms: u64) -> io::Result<()> {
+        let left = Duration::from_millis(expires_ms.saturating_sub(self.base_ms));
         self.set(self.base + left)
     }
 
@@ -170,7 +170,7 @@
     }
 }
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         // SAFETY: the timer was made by `new` and is deleted once.
         unsafe { libc::timer_delete(self.timer) };
@@ -179,11 +179,11 @@
 
 /// Keeps the timer aimed at a connection; must be dropped before the connection is.
 #[derive(Debug)]
-pub struct Watch {
-    guard: Rc<Guard>,
+pub struct ArmedGuard {
+    guard: Rc<ConnectionGuard>,
 }
 
-impl Drop for Watch {
+impl Drop for ArmedGuard {
     fn drop(&mut self) {
         // The slot is cleared before the descriptor is closed, so that a late signal cannot cut
         // another connection that got the same number.
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -4,15 +4,15 @@
 //! come in, and what to append or send goes out. See docs/design/lease.md and
 //! docs/design/orders.md.
 
-mod desk;
+mod append_lease;
 mod elector;
 mod guard;
-mod turns;
+mod order_scheduler;
 
-pub use desk::{Desk, EngineReport, Move, Send, Wish};
-pub use elector::{Action, Authority, Elector, Identity, Times};
-pub use guard::{Guard, HELD_BACK_MS, Watch};
-pub use turns::{Ticket, TurnTimes, Turns};
+pub use append_lease::{AppendLease, AppendLeaseTimes, SendPermit};
+pub use elector::{Authority, Elector, Identity, LeaseAction, LeaseTimes};
+pub use guard::{ArmedGuard, ConnectionGuard, TCP_USER_TIMEOUT_MS};
+pub use order_scheduler::{DesiredState, EngineReport, OrderAction, OrderScheduler, OutgoingOrder};
 
 /// Bound on how much faster one instance's monotonic clock may run than another's.
 ///
--- a/crates/lease/src/desk.rs
+++ b/crates/lease/src/order_scheduler.rs
@@ -23,12 +23,12 @@
     /// Whether it is carrying out an order.
     pub changing: bool,
     /// Highest fencing token it has taken an order with.
-    pub order: u64,
+    pub fencing_token: u64,
 }
 
 /// What an engine should be doing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wish {
+pub struct DesiredState {
     /// Engine.
     pub engine: String,
     /// Kind of order that leads there.
@@ -39,26 +39,26 @@
 
 /// An order to put on the wire.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
+pub struct OutgoingOrder {
     /// Engine.
     pub engine: String,
     /// Offset of the order, which is its fencing token.
-    pub order: u64,
+    pub fencing_token: u64,
     /// Kind of order.
     pub kind: OrderKind,
     /// Role, or `model@version`.
     pub argument: String,
     /// The sender's own time after which no byte of it may leave.
-    pub until_ms: u64,
+    pub expires_ms: u64,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Move {
+pub enum OrderAction {
     /// Append the record of an order. It is sent only after it was read back.
     Place(OrderPlaced),
     /// Send an order that was read back, perhaps again.
-    Send(Send),
+    Send(OutgoingOrder),
     /// Append the record that an order has ended.
     Settle(OrderSettled),
 }
@@ -76,22 +76,22 @@
 /// it is done; only then is another one placed. A successor therefore never gives an engine an
 /// order that differs from what its predecessor may still have on the way.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct OrderScheduler {
     attempts: BTreeMap<String, Attempt>,
     placed: BTreeMap<String, u64>,
 }
 
-impl Desk {
+impl OrderScheduler {
     /// The next moves under an authority.
-    pub fn moves<'a>(
+    pub fn next_actions<'a>(
         &mut self,
         now_ms: u64,
         authority: Authority,
         group: &str,
-        wishes: &[Wish],
+        wishes: &[DesiredState],
         orders: impl Iterator<Item = &'a OrderState>,
         report: impl Fn(&str) -> Option<EngineReport>,
-    ) -> Vec<Move> {
+    ) -> Vec<OrderAction> {
         let orders: BTreeMap<&str, &OrderState> = orders
             .map(|order| (order.placed.engine.as_str(), order))
             .collect();
@@ -119,14 +119,14 @@
         now_ms: u64,
         authority: Authority,
         group: &str,
-        wish: &Wish,
-    ) -> Option<Move> {
+        wish: &DesiredState,
+    ) -> Option<OrderAction> {
         let waiting = self.placed.get(&wish.engine);
         if waiting.is_some_and(|at_ms| now_ms < at_ms + RESEND_MS) {
             return None;
         }
         self.placed.insert(wish.engine.clone(), now_ms);
-        Some(Move::Place(OrderPlaced {
+        Some(OrderAction::Place(OrderPlaced {
             group: group.to_owned(),
             fence: authority.fence,
             engine: wish.engine.clone(),
@@ -141,7 +141,7 @@
         authority: Authority,
         order: &OrderState,
         seen: Option<&EngineReport>,
-    ) -> Option<Move> {
+    ) -> Option<OrderAction> {
         let placed = &order.placed;
         let new = Attempt {
             order: order.offset,
@@ -153,7 +153,7 @@
             *attempt = new;
         }
         let done = seen.is_some_and(|seen| {
-            seen.order >= order.offset
+            seen.fencing_token >= order.offset
                 && !seen.changing
                 && is_met(seen, placed.kind, &placed.argument)
         });
@@ -163,21 +163,21 @@
         }
         attempt.last_ms = now_ms.max(1);
         if done || given_up {
-            return Some(Move::Settle(OrderSettled {
+            return Some(OrderAction::Settle(OrderSettled {
                 engine: placed.engine.clone(),
                 order: order.offset,
                 done,
             }));
         }
-        if seen.is_some_and(|seen| seen.order >= order.offset && seen.changing) {
+        if seen.is_some_and(|seen| seen.fencing_token >= order.offset && seen.changing) {
             return None;
         }
-        Some(Move::Send(Send {
+        Some(OrderAction::Send(OutgoingOrder {
             engine: placed.engine.clone(),
-            order: order.offset,
+            fencing_token: order.offset,
             kind: placed.kind,
             argument: placed.argument.clone(),
-            until_ms: authority.until_ms,
+            expires_ms: authority.expires_ms,
         }))
     }
 }
--- a/crates/lease/tests/turns.rs
+++ b/crates/lease/tests/append_lease.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use lease::{Ticket, TurnTimes, Turns};
+use lease::{AppendLease, AppendLeaseTimes, SendPermit};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -10,7 +10,7 @@
 const LEASE_MS: u64 = 3_000;
 
 /// Longest time for which the kernel repeats bytes that are not acknowledged, in ms.
-const UNDERWAY_MS: u64 = 4_000;
+const IN_FLIGHT_MS: u64 = 4_000;
 
 /// Longest time after which a call without an answer has its connection reset, in ms.
 const CALL_MS: u64 = 700;
@@ -33,15 +33,15 @@
         })
     }
 
-    fn read_by(&self, turns: &mut Turns, now_ms: u64) {
-        turns.read(now_ms, self.holders.iter().copied(), self.end());
+    fn read_by(&self, lease: &mut AppendLease, now_ms: u64) {
+        lease.record_read(now_ms, self.holders.iter().copied(), self.end());
     }
 }
 
-fn order(log: &mut Log, turns: &mut Turns, now_ms: u64) -> Option<Ticket> {
-    let end = turns.may_append(now_ms)?;
-    let offset = log.append_at(turns.holder(), end)?;
-    Some(turns.appended(now_ms, offset))
+fn order(log: &mut Log, lease: &mut AppendLease, now_ms: u64) -> Option<SendPermit> {
+    let end = lease.append_offset(now_ms)?;
+    let offset = log.append_at(lease.holder(), end)?;
+    Some(lease.record_append(now_ms, offset))
 }
 
 /// The first instance on an empty log orders at once; a second one that has read that order waits
@@ -50,14 +50,14 @@
 fn a_successor_waits_and_has_a_greater_token() {
     let mut log = Log::default();
     let (mut first, mut second) = (
-        Turns::new(1, TurnTimes::of_orders(LEASE_MS)),
-        Turns::new(2, TurnTimes::of_orders(LEASE_MS)),
+        AppendLease::new(1, AppendLeaseTimes::for_orders(LEASE_MS)),
+        AppendLease::new(2, AppendLeaseTimes::for_orders(LEASE_MS)),
     );
     log.read_by(&mut first, 0);
     let given = order(&mut log, &mut first, 10).expect("nobody else has ordered");
     log.read_by(&mut second, 20);
     assert_eq!(
-        second.may_append(given.until_ms + UNDERWAY_MS + LEASE_MS),
+        second.append_offset(given.expires_ms + IN_FLIGHT_MS + LEASE_MS),
         None
     );
     let later = order(&mut log, &mut second, 20_000).expect("quiet for long");
@@ -70,8 +70,8 @@
 fn of_two_at_once_one_gets_the_right() {
     let mut log = Log::default();
     let (mut first, mut second) = (
-        Turns::new(1, TurnTimes::of_orders(LEASE_MS)),
-        Turns::new(2, TurnTimes::of_orders(LEASE_MS)),
+        AppendLease::new(1, AppendLeaseTimes::for_orders(LEASE_MS)),
+        AppendLease::new(2, AppendLeaseTimes::for_orders(LEASE_MS)),
     );
     log.read_by(&mut first, 0);
     log.read_by(&mut second, 0);
@@ -84,11 +84,11 @@
 #[test]
 fn a_right_lapses_while_its_holder_is_suspended() {
     let mut log = Log::default();
-    let mut turns = Turns::new(1, TurnTimes::of_orders(LEASE_MS));
-    log.read_by(&mut turns, 0);
-    let ticket = order(&mut log, &mut turns, 100).expect("nobody else has ordered");
-    assert!(ticket.is_valid(1_000));
-    assert!(!ticket.is_valid(9_000));
+    let mut lease = AppendLease::new(1, AppendLeaseTimes::for_orders(LEASE_MS));
+    log.read_by(&mut lease, 0);
+    let permit = order(&mut log, &mut lease, 100).expect("nobody else has ordered");
+    assert!(permit.is_valid(1_000));
+    assert!(!permit.is_valid(9_000));
 }
 
 /// The answer to an append is lost, or the log's history was dropped unread: what stands in the log
@@ -96,36 +96,36 @@
 #[test]
 fn what_was_not_read_is_not_built_on() {
     let log = Log::default();
-    let mut turns = Turns::new(1, TurnTimes::of_orders(LEASE_MS));
-    log.read_by(&mut turns, 0);
-    turns.lost_end();
-    assert_eq!(turns.may_append(100), None);
-    log.read_by(&mut turns, 200);
-    assert_eq!(turns.may_append(300), Some(0));
-    turns.lost_history(400);
-    log.read_by(&mut turns, 500);
-    assert_eq!(turns.may_append(600), None);
-    assert_eq!(turns.may_append(400 + 1_500 + 5_000 + LEASE_MS), Some(0));
+    let mut lease = AppendLease::new(1, AppendLeaseTimes::for_orders(LEASE_MS));
+    log.read_by(&mut lease, 0);
+    lease.invalidate_end();
+    assert_eq!(lease.append_offset(100), None);
+    log.read_by(&mut lease, 200);
+    assert_eq!(lease.append_offset(300), Some(0));
+    lease.invalidate_history(400);
+    log.read_by(&mut lease, 500);
+    assert_eq!(lease.append_offset(600), None);
+    assert_eq!(lease.append_offset(400 + 1_500 + 5_000 + LEASE_MS), Some(0));
 }
 
 /// Guards against a successor that waits anew at each record though it had heard when it was made, and against one that counts
 /// from what it heard though more was appended since.
 #[test]
 fn a_successor_counts_from_when_it_heard_of_a_record() {
-    let times = TurnTimes::of_calls(LEASE_MS);
-    let quiet_ms = times.send_ms + times.underway_ms + times.lease_ms;
+    let times = AppendLeaseTimes::for_cloud_calls(LEASE_MS);
+    let quiet_ms = times.send_window_ms + times.in_flight_ms + times.lease_ms;
     let mut log = Log::default();
-    let (mut first, mut second) = (Turns::new(1, times), Turns::new(2, times));
+    let (mut first, mut second) = (AppendLease::new(1, times), AppendLease::new(2, times));
     log.read_by(&mut first, 0);
     let given = order(&mut log, &mut first, 10).expect("nobody else has acted");
-    second.heard(20, given.fence);
-    second.heard(900, given.fence);
+    second.observe_fence(20, given.fence);
+    second.observe_fence(900, given.fence);
     log.read_by(&mut second, 4_000);
-    assert_eq!(second.may_append(20 + quiet_ms - 1), None);
-    assert_eq!(second.may_append(20 + quiet_ms), Some(1));
+    assert_eq!(second.append_offset(20 + quiet_ms - 1), None);
+    assert_eq!(second.append_offset(20 + quiet_ms), Some(1));
     order(&mut log, &mut first, 4_100).expect("it goes on");
     log.read_by(&mut second, 4_200);
-    assert_eq!(second.may_append(4_200 + quiet_ms - 1), None);
+    assert_eq!(second.append_offset(4_200 + quiet_ms - 1), None);
 }
 
 /// What one of three instances does next.
@@ -175,13 +175,13 @@
     /// of two holders are apart by the lease even if the first was under way for as long as can be.
     #[test]
     fn no_engine_hears_two_holders(steps in steps()) {
-        hear_one_holder_at_a_time(TurnTimes::of_orders(LEASE_MS), UNDERWAY_MS, steps)?;
+        hear_one_holder_at_a_time(AppendLeaseTimes::for_orders(LEASE_MS), IN_FLIGHT_MS, steps)?;
     }
 
     /// The same for calls, whose connections are reset when their time is up.
     #[test]
     fn no_call_is_heard_from_two_holders(steps in steps()) {
-        hear_one_holder_at_a_time(TurnTimes::of_calls(LEASE_MS), CALL_MS, steps)?;
+        hear_one_holder_at_a_time(AppendLeaseTimes::for_cloud_calls(LEASE_MS), CALL_MS, steps)?;
     }
 }
 
@@ -190,57 +190,59 @@
 }
 
 fn hear_one_holder_at_a_time(
-    times: TurnTimes,
-    underway_ms: u64,
+    times: AppendLeaseTimes,
+    in_flight_ms: u64,
     steps: Vec<(usize, Step, u64)>,
 ) -> Result<(), TestCaseError> {
     let mut log = Log::default();
     let mut lives = 3;
-    let mut all: Vec<Turns> = (1..=3).map(|holder| Turns::new(holder, times)).collect();
-    let mut rights: HashMap<u64, (Ticket, u64)> = HashMap::new();
+    let mut all: Vec<AppendLease> = (1..=3)
+        .map(|holder| AppendLease::new(holder, times))
+        .collect();
+    let mut rights: HashMap<u64, (SendPermit, u64)> = HashMap::new();
     let mut sent: Vec<(u64, u64, u64)> = Vec::new();
     let mut now_ms = 10_000;
     for (who, step, passed_ms) in steps {
         now_ms += passed_ms;
-        let turns = &mut all[who];
-        let holder = turns.holder();
+        let lease = &mut all[who];
+        let holder = lease.holder();
         match step {
-            Step::Read => log.read_by(turns, now_ms),
-            Step::Hear => turns.heard(now_ms, log.end()),
+            Step::Read => log.read_by(lease, now_ms),
+            Step::Hear => lease.observe_fence(now_ms, log.end()),
             Step::Append => {
-                if let Some(ticket) = order(&mut log, turns, now_ms) {
-                    rights.insert(holder, (ticket, holder));
+                if let Some(permit) = order(&mut log, lease, now_ms) {
+                    rights.insert(holder, (permit, holder));
                 } else {
-                    turns.lost_end();
+                    lease.invalidate_end();
                 }
             }
             Step::AppendUnheard => {
-                if let Some(end) = turns.may_append(now_ms) {
+                if let Some(end) = lease.append_offset(now_ms) {
                     log.append_at(holder, end);
                 }
-                turns.lost_end();
+                lease.invalidate_end();
             }
             Step::AppendLate(late_ms) => {
                 let asked_ms = now_ms - late_ms;
-                if let Some(offset) = turns
-                    .may_append(asked_ms)
+                if let Some(offset) = lease
+                    .append_offset(asked_ms)
                     .and_then(|end| log.append_at(holder, end))
                 {
-                    let ticket = turns.appended(asked_ms, offset);
-                    rights.insert(holder, (ticket, holder));
+                    let permit = lease.record_append(asked_ms, offset);
+                    rights.insert(holder, (permit, holder));
                 }
             }
             Step::Send => {
-                if let Some((ticket, holder)) = rights.remove(&holder)
-                    && ticket.is_valid(now_ms)
+                if let Some((permit, holder)) = rights.remove(&holder)
+                    && permit.is_valid(now_ms)
                 {
-                    sent.push((now_ms, holder, ticket.fence));
+                    sent.push((now_ms, holder, permit.fence));
                 }
             }
             Step::Restart => {
                 lives += 1;
                 rights.remove(&holder);
-                *turns = Turns::new(lives, times);
+                *lease = AppendLease::new(lives, times);
             }
         }
     }
@@ -248,7 +250,7 @@
         let ((at_ms, holder, fence), (next_ms, next_holder, next_fence)) = (pair[0], pair[1]);
         prop_assert!(next_fence > fence, "{pair:?}");
         if holder != next_holder {
-            prop_assert!(next_ms >= at_ms + underway_ms + LEASE_MS, "{pair:?}");
+            prop_assert!(next_ms >= at_ms + in_flight_ms + LEASE_MS, "{pair:?}");
         }
     }
     Ok(())
--- a/crates/lease/tests/guard.rs
+++ b/crates/lease/tests/guard.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-use lease::Guard;
+use lease::ConnectionGuard;
 use tick::Clock;
 
 fn pair() -> (TcpStream, TcpStream) {
@@ -21,19 +21,19 @@
     // the check and the write would. At the lapse the kernel signals this very thread and the
     // handler dissolves the connection, so that its next write fails.
     let clock = Clock::default();
-    let guard = Rc::new(Guard::new(clock).expect("a timer"));
+    let guard = Rc::new(ConnectionGuard::new(clock).expect("a timer"));
     let (mut client, mut server) = pair();
     let reader = std::thread::spawn(move || {
         let mut buffer = [0; 4_096];
         while server.read(&mut buffer).is_ok_and(|read| read > 0) {}
     });
-    let until_ms = clock.now_ms() + 150;
-    let watch = guard.watch(&client, until_ms).expect("the lease holds");
+    let expires_ms = clock.now_ms() + 150;
+    let armed = guard.arm(&client, expires_ms).expect("the lease holds");
     while client.write_all(&[1; 64]).is_ok() {}
     let cut_ms = clock.now_ms();
-    assert!(cut_ms >= until_ms, "cut {} ms early", until_ms - cut_ms);
+    assert!(cut_ms >= expires_ms, "cut {} ms early", expires_ms - cut_ms);
     assert!(client.write(&[1]).is_err());
-    drop(watch);
+    drop(armed);
     drop(client);
     reader.join().expect("the reader ends");
 }
@@ -41,21 +41,21 @@
 #[test]
 fn a_lease_that_has_lapsed_gets_no_connection() {
     let clock = Clock::default();
-    let guard = Rc::new(Guard::new(clock).expect("a timer"));
+    let guard = Rc::new(ConnectionGuard::new(clock).expect("a timer"));
     let (client, _server) = pair();
     std::thread::sleep(std::time::Duration::from_millis(5));
-    assert!(guard.watch(&client, 1).is_err());
+    assert!(guard.arm(&client, 1).is_err());
 }
 
 #[test]
 fn a_connection_is_left_alone_once_its_watch_is_dropped() {
     let clock = Clock::default();
-    let guard = Rc::new(Guard::new(clock).expect("a timer"));
+    let guard = Rc::new(ConnectionGuard::new(clock).expect("a timer"));
     let (mut client, mut server) = pair();
-    let watch = guard
-        .watch(&client, clock.now_ms() + 50)
+    let armed = guard
+        .arm(&client, clock.now_ms() + 50)
         .expect("the lease holds");
-    drop(watch);
+    drop(armed);
     std::thread::sleep(std::time::Duration::from_millis(120));
     client.write_all(b"still there").expect("not cut");
     let mut buffer = [0; 11];
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -4,7 +4,7 @@
 
 use wire::{Answer, CallState, CallStatus, ClaimVerdict};
 
-use crate::{BodyDigest, Epochs, Key};
+use crate::{BodyDigest, EpochCounter, IdempotencyKey};
 
 #[derive(Debug, Clone)]
 enum Progress {
@@ -38,13 +38,13 @@
 pub struct Home {
     instance: String,
     incarnation: u64,
-    epochs: Epochs,
+    epochs: EpochCounter,
     held: HashMap<String, Held>,
 }
 
 impl Home {
     /// A home without records.
-    pub fn new(instance: &str, incarnation: u64, epochs: Epochs) -> Self {
+    pub fn new(instance: &str, incarnation: u64, epochs: EpochCounter) -> Self {
         Self {
             instance: instance.to_owned(),
             incarnation,
@@ -54,13 +54,13 @@
     }
 
     /// Whether this incarnation is the key's home.
-    pub fn is_mine(&self, key: &Key) -> bool {
+    pub fn is_home(&self, key: &IdempotencyKey) -> bool {
         key.home.instance == self.instance && key.home.incarnation == self.incarnation
     }
 
     /// Takes a call in.
-    pub fn admit(&mut self, now_ms: u64, key: &Key, digest: BodyDigest) -> Admission {
-        if !self.is_mine(key) {
+    pub fn admit(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> Admission {
+        if !self.is_home(key) {
             return Admission::Known(CallStatus::bare(CallState::Foreign));
         }
         if !self.epochs.accepts(now_ms, key.home.epoch) {
@@ -83,7 +83,7 @@
     ///
     /// Without a grant the home closes the key for itself. The witness may have granted it and
     /// the answer was lost; others are then told `unknown`, which is safe if not sharp.
-    pub fn granted(&mut self, key: &Key, verdict: Option<ClaimVerdict>) -> bool {
+    pub fn record_verdict(&mut self, key: &IdempotencyKey, verdict: Option<ClaimVerdict>) -> bool {
         let Some(held) = self.held.get_mut(&key.to_string()) else {
             return false;
         };
@@ -100,21 +100,21 @@
     }
 
     /// The upstream's whole answer arrived.
-    pub fn finished(&mut self, key: &Key, answer: Answer) {
+    pub fn record_answer(&mut self, key: &IdempotencyKey, answer: Answer) {
         self.end(key, Progress::Done(answer));
     }
 
     /// The call was dispatched and its outcome is lost.
-    pub fn lost(&mut self, key: &Key) {
+    pub fn record_unknown(&mut self, key: &IdempotencyKey) {
         self.end(key, Progress::Unknown);
     }
 
     /// No byte of the call reached an upstream: it has not run and never will.
-    pub fn not_sent(&mut self, key: &Key) {
+    pub fn record_not_sent(&mut self, key: &IdempotencyKey) {
         self.end(key, Progress::Closed);
     }
 
-    fn end(&mut self, key: &Key, progress: Progress) {
+    fn end(&mut self, key: &IdempotencyKey, progress: Progress) {
         let held = self.held.get_mut(&key.to_string());
         if let Some(held) = held.filter(|held| matches!(held.progress, Progress::Dispatched)) {
             held.progress = progress;
@@ -122,7 +122,7 @@
     }
 
     /// What is known of a call.
-    pub fn status(&self, key: &Key) -> CallStatus {
+    pub fn status(&self, key: &IdempotencyKey) -> CallStatus {
         let held = self.held.get(&key.to_string());
         held.map_or(CallStatus::bare(CallState::Unseen), Held::status)
     }
@@ -131,7 +131,7 @@
     pub fn expire(&mut self, now_ms: u64) {
         let epochs = self.epochs;
         self.held
-            .retain(|_, held| !epochs.forgets(now_ms, held.epoch));
+            .retain(|_, held| !epochs.may_drop(now_ms, held.epoch));
     }
 
     /// Calls that are recorded.
--- a/crates/once/src/key.rs
+++ b/crates/once/src/key.rs
@@ -16,7 +16,7 @@
 
 /// One incarnation of an instance, in the epoch in which the key was handed out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct KeyPlace {
+pub struct InstanceEpoch {
     /// Instance.
     pub instance: String,
     /// Number drawn at its start.
@@ -27,11 +27,11 @@
 
 /// A key that says who may run the call and who must have noted it first.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct IdempotencyKey {
     /// The only instance that may dispatch the call.
-    pub home: KeyPlace,
+    pub home: InstanceEpoch,
     /// The instance that must note the key before the home dispatches.
-    pub witness: KeyPlace,
+    pub witness: InstanceEpoch,
     /// The caller's own part.
     pub suffix: String,
 }
@@ -45,14 +45,14 @@
     pub detail: &'static str,
 }
 
-impl Key {
+impl IdempotencyKey {
     /// The part to hand out to callers, who put their own text behind it.
-    pub fn prefix(home: &KeyPlace, witness: &KeyPlace) -> String {
+    pub fn prefix(home: &InstanceEpoch, witness: &InstanceEpoch) -> String {
         format!("{home}{PART}{witness}{PART}")
     }
 }
 
-impl fmt::Display for KeyPlace {
+impl fmt::Display for InstanceEpoch {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         let Self {
             instance,
@@ -63,14 +63,14 @@
     }
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for IdempotencyKey {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(&Self::prefix(&self.home, &self.witness))?;
         out.write_str(&self.suffix)
     }
 }
 
-impl FromStr for Key {
+impl FromStr for IdempotencyKey {
     type Err = KeyError;
 
     fn from_str(text: &str) -> Result<Self, KeyError> {
@@ -107,9 +107,9 @@
     }
 }
 
-fn place(text: &str) -> Option<KeyPlace> {
+fn place(text: &str) -> Option<InstanceEpoch> {
     let mut fields = text.split(FIELD);
-    let place = KeyPlace {
+    let place = InstanceEpoch {
         instance: fields.next().filter(|name| !name.is_empty())?.to_owned(),
         incarnation: u64::from_str_radix(fields.next()?, 16).ok()?,
         epoch: fields.next()?.parse().ok()?,
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -12,9 +12,9 @@
 mod key;
 mod witness;
 
-pub use epoch::{EPOCH_MS, EPOCHS_KEPT, Epochs};
+pub use epoch::{EPOCH_MS, EpochCounter, RETAINED_EPOCHS};
 pub use home::{Admission, Home};
-pub use key::{Key, KeyError, KeyPlace};
+pub use key::{IdempotencyKey, InstanceEpoch, KeyError};
 pub use witness::Witness;
 
 /// SHA-256 over what the call asks for.
--- a/crates/once/src/witness.rs
+++ b/crates/once/src/witness.rs
@@ -4,7 +4,7 @@
 
 use wire::{Answer, CallState, CallStatus, ClaimVerdict};
 
-use crate::{BodyDigest, Epochs, Key};
+use crate::{BodyDigest, EpochCounter, IdempotencyKey};
 
 #[derive(Debug, Clone)]
 enum Note {
@@ -30,13 +30,13 @@
 pub struct Witness {
     instance: String,
     incarnation: u64,
-    epochs: Epochs,
+    epochs: EpochCounter,
     notes: HashMap<String, Noted>,
 }
 
 impl Witness {
     /// A witness without notes.
-    pub fn new(instance: &str, incarnation: u64, epochs: Epochs) -> Self {
+    pub fn new(instance: &str, incarnation: u64, epochs: EpochCounter) -> Self {
         Self {
             instance: instance.to_owned(),
             incarnation,
@@ -45,13 +45,13 @@
         }
     }
 
-    fn is_mine(&self, key: &Key) -> bool {
+    fn is_witness(&self, key: &IdempotencyKey) -> bool {
         key.witness.instance == self.instance && key.witness.incarnation == self.incarnation
     }
 
     /// The key's home asks whether it may dispatch the call.
-    pub fn claim(&mut self, now_ms: u64, key: &Key, digest: BodyDigest) -> ClaimVerdict {
-        if !self.is_mine(key) {
+    pub fn claim(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict {
+        if !self.is_witness(key) {
             return ClaimVerdict::Foreign;
         }
         if !self.epochs.accepts(now_ms, key.witness.epoch) {
@@ -71,8 +71,8 @@
     }
 
     /// An instance that cannot reach the home asks what is known, and closes an unseen key.
-    pub fn fence(&mut self, now_ms: u64, key: &Key, digest: BodyDigest) -> CallStatus {
-        if !self.is_mine(key) {
+    pub fn fence(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus {
+        if !self.is_witness(key) {
             return CallStatus::bare(CallState::Foreign);
         }
         // A key that the witness refuses for its age can get no grant any more, but it may have
@@ -101,7 +101,7 @@
     }
 
     /// The home gives the answer, so that it outlives the home.
-    pub fn finish(&mut self, key: &Key, given: Answer) {
+    pub fn finish(&mut self, key: &IdempotencyKey, given: Answer) {
         let noted = self.notes.get_mut(&key.to_string());
         if let Some(Note::Granted { answer, .. }) = noted.map(|noted| &mut noted.note) {
             answer.get_or_insert(given);
@@ -112,7 +112,7 @@
     pub fn expire(&mut self, now_ms: u64) {
         let epochs = self.epochs;
         self.notes
-            .retain(|_, noted| !epochs.forgets(now_ms, noted.epoch));
+            .retain(|_, noted| !epochs.may_drop(now_ms, noted.epoch));
     }
 
     /// Keys that are noted.
--- a/crates/once/tests/keys.rs
+++ b/crates/once/tests/keys.rs
@@ -1,19 +1,22 @@
 //! Keys and their age.
 
-use once::{Admission, EPOCH_MS, EPOCHS_KEPT, Epochs, Home, Key, KeyPlace, Witness};
+use once::{
+    Admission, EPOCH_MS, EpochCounter, Home, IdempotencyKey, InstanceEpoch, RETAINED_EPOCHS,
+    Witness,
+};
 use proptest::prelude::*;
 use wire::{CallState, ClaimVerdict};
 
-fn place(instance: &str, incarnation: u64, epoch: u64) -> KeyPlace {
-    KeyPlace {
+fn place(instance: &str, incarnation: u64, epoch: u64) -> InstanceEpoch {
+    InstanceEpoch {
         instance: instance.to_owned(),
         incarnation,
         epoch,
     }
 }
 
-fn key(epoch: u64) -> Key {
-    Key {
+fn key(epoch: u64) -> IdempotencyKey {
+    IdempotencyKey {
         home: place("home", 1, epoch),
         witness: place("witness", 2, epoch),
         suffix: "own".to_owned(),
@@ -32,13 +35,13 @@
         home in "[a-z0-9._-]{1,12}", witness in "[A-Z]{1,12}", one in any::<u64>(), two in any::<u64>(),
         suffix in "[!-~]{1,40}",
     ) {
-        let key = Key { home: place(&home, one, two), witness: place(&witness, two, one), suffix };
-        prop_assert_eq!(key.to_string().parse::<Key>(), Ok(key));
+        let key = IdempotencyKey { home: place(&home, one, two), witness: place(&witness, two, one), suffix };
+        prop_assert_eq!(key.to_string().parse::<IdempotencyKey>(), Ok(key));
     }
 
     #[test]
     fn foreign_text_is_an_error_and_no_panic(text in ".{0,300}") {
-        let _ = text.parse::<Key>();
+        let _ = text.parse::<IdempotencyKey>();
     }
 }
 
@@ -46,11 +49,11 @@
 fn a_retry_beyond_the_record_is_refused_and_not_run() {
     // The caller asks again after the record was dropped. Were the key taken for new, the call
     // would run a second time; its epoch is too old, so it is refused.
-    let epochs = Epochs::new(0);
+    let epochs = EpochCounter::new(0);
     let mut home = Home::new("home", 1, epochs);
     assert_eq!(home.admit(0, &key(1), [0; 32]), Admission::AskWitness);
-    assert!(home.granted(&key(1), Some(ClaimVerdict::Granted)));
-    let later_ms = EPOCHS_KEPT * EPOCH_MS;
+    assert!(home.record_verdict(&key(1), Some(ClaimVerdict::Granted)));
+    let later_ms = RETAINED_EPOCHS * EPOCH_MS;
     home.expire(later_ms);
     assert!(home.is_empty());
     let Admission::Known(status) = home.admit(later_ms, &key(1), [0; 32]) else {
@@ -61,11 +64,11 @@
 
 #[test]
 fn the_first_question_to_the_witness_decides_for_good() {
-    let epochs = Epochs::new(0);
+    let epochs = EpochCounter::new(0);
     let mut witness = Witness::new("witness", 2, epochs);
     assert_eq!(witness.fence(0, &key(1), [0; 32]).state, CallState::Unseen);
     assert_eq!(witness.claim(0, &key(1), [0; 32]), ClaimVerdict::Fenced);
-    let other = Key {
+    let other = IdempotencyKey {
         suffix: "other".to_owned(),
         ..key(1)
     };
@@ -76,7 +79,7 @@
 
 #[test]
 fn a_later_life_of_an_instance_does_not_answer_for_an_earlier_one() {
-    let epochs = Epochs::new(0);
+    let epochs = EpochCounter::new(0);
     let mut witness = Witness::new("witness", 3, epochs);
     assert_eq!(witness.claim(0, &key(1), [0; 32]), ClaimVerdict::Foreign);
     let mut home = Home::new("home", 9, epochs);
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
-use feed::Entry;
-use once::{BodyDigest, Key};
+use feed::RawRecord;
+use once::{BodyDigest, IdempotencyKey};
 use tokio::net::TcpStream;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, peer_capnp};
@@ -19,11 +19,11 @@
 
 /// What a peer gives of what it has read back from the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Records {
+pub struct PeerRecords {
     /// Records from the asked offset on.
-    pub entries: Vec<Entry>,
+    pub records: Vec<RawRecord>,
     /// Where it would read on.
-    pub next: u64,
+    pub next_offset: u64,
     /// Its whole state, where it no longer keeps the records.
     pub snapshot: Option<Vec<u8>>,
 }
@@ -37,8 +37,8 @@
 impl Client {
     /// Gives a heartbeat and gets one.
     pub async fn exchange(&self, peer: &str, beat: &Beat, limit_ms: u64) -> Result<Beat> {
-        let step = "exchange";
-        self.ask(step, peer, limit_ms, |stub| {
+        let operation = "exchange";
+        self.ask(operation, peer, limit_ms, |stub| {
             let mut request = stub.exchange_request();
             beat.fill(request.get().init_beat());
             async move {
@@ -50,7 +50,7 @@
     }
 
     /// Gets what a peer has read back from the log.
-    pub async fn records(&self, peer: &str, from: u64, limit_ms: u64) -> Result<Records> {
+    pub async fn records(&self, peer: &str, from: u64, limit_ms: u64) -> Result<PeerRecords> {
         self.ask("records", peer, limit_ms, |stub| {
             let mut request = stub.records_request();
             request.get().set_from(from);
@@ -58,15 +58,15 @@
                 let response = request.send().promise.await?;
                 let wire = response.get()?;
                 let entries = wire.get_entries()?.iter().map(|entry| {
-                    Ok(Entry {
+                    Ok(RawRecord {
                         offset: entry.get_offset(),
                         data: entry.get_record()?.to_vec(),
                     })
                 });
                 let snapshot = wire.get_snapshot()?;
-                Ok(Records {
-                    entries: entries.collect::<capnp::Result<_>>()?,
-                    next: wire.get_next(),
+                Ok(PeerRecords {
+                    records: entries.collect::<capnp::Result<_>>()?,
+                    next_offset: wire.get_next(),
                     snapshot: (!snapshot.is_empty()).then(|| snapshot.to_vec()),
                 })
             }
@@ -78,7 +78,7 @@
     pub async fn claim(
         &self,
         peer: &str,
-        key: &Key,
+        key: &IdempotencyKey,
         digest: BodyDigest,
         limit_ms: u64,
     ) -> Result<ClaimVerdict> {
@@ -98,7 +98,7 @@
     pub async fn fence(
         &self,
         peer: &str,
-        key: &Key,
+        key: &IdempotencyKey,
         digest: BodyDigest,
         limit_ms: u64,
     ) -> Result<CallStatus> {
@@ -118,7 +118,7 @@
     pub async fn finish(
         &self,
         peer: &str,
-        key: &Key,
+        key: &IdempotencyKey,
         answer: &Answer,
         limit_ms: u64,
     ) -> Result<()> {
@@ -146,7 +146,7 @@
 
     async fn ask<T, F>(
         &self,
-        step: &'static str,
+        operation: &'static str,
         peer: &str,
         limit_ms: u64,
         call: impl FnOnce(Stub) -> F,
@@ -155,7 +155,7 @@
         F: Future<Output = capnp::Result<T>>,
     {
         let error = |detail: String, never_sent: bool| Error {
-            step,
+            operation,
             peer: peer.to_owned(),
             detail,
             never_sent,
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -4,10 +4,10 @@
 
 /// Another instance did not do what was asked.
 #[derive(Debug, Display, Error, Clone)]
-#[display("{step} at {peer}: {detail}")]
+#[display("{operation} at {peer}: {detail}")]
 pub struct Error {
     /// What was being done.
-    pub step: &'static str,
+    pub operation: &'static str,
     /// Address of the other instance.
     pub peer: String,
     /// What went wrong.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -5,10 +5,10 @@
 
 mod client;
 mod error;
-mod members;
+mod peer_table;
 mod server;
 
-pub use client::{Client, Records};
+pub use client::{Client, PeerRecords};
 pub use error::{Error, Result};
-pub use members::{Known, Members, Settings};
+pub use peer_table::{MembershipSettings, PeerInfo, PeerTable};
 pub use server::{Handler, Server, serve};
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/peer_table.rs
@@ -13,7 +13,7 @@
 
 /// Times of the membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Settings {
+pub struct MembershipSettings {
     /// Silence after which an instance is not handed out.
     pub suspect_ms: u64,
     /// Instances that one heartbeat goes to.
@@ -22,7 +22,7 @@
 
 /// What is known of another instance.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Known {
+pub struct PeerInfo {
     /// Name.
     pub instance: String,
     /// Where other instances reach it.
@@ -30,7 +30,7 @@
     /// Availability zone.
     pub zone: String,
     /// The last heartbeat from it, and when it was heard.
-    pub heard: Option<(u64, Beat)>,
+    pub last_heartbeat: Option<(u64, Beat)>,
     /// The platform lists it as leaving.
     pub leaving: bool,
 }
@@ -41,15 +41,15 @@
 /// fit to be handed out. A list that lags thus cannot hand out one that is gone for longer than
 /// `suspect_ms`.
 #[derive(Debug, Clone)]
-pub struct Members {
-    settings: Settings,
-    known: BTreeMap<String, Known>,
+pub struct PeerTable {
+    settings: MembershipSettings,
+    known: BTreeMap<String, PeerInfo>,
     resumed_ms: u64,
 }
 
-impl Members {
+impl PeerTable {
     /// No other instance is known.
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: MembershipSettings) -> Self {
         Self {
             settings,
             known: BTreeMap::new(),
@@ -58,19 +58,19 @@
     }
 
     /// Takes in the platform's list of other instances.
-    pub fn listed(&mut self, now_ms: u64, list: impl Iterator<Item = Known>) {
+    pub fn apply_list(&mut self, now_ms: u64, list: impl Iterator<Item = PeerInfo>) {
         let mut listed = BTreeMap::new();
         for mut known in list {
             if let Some(before) = self.known.remove(&known.instance) {
-                known.heard = before.heard;
+                known.last_heartbeat = before.last_heartbeat;
             }
             listed.insert(known.instance.clone(), known);
         }
         // A list may lag behind an instance that is new: one that is heard stays.
         let suspect_ms = self.settings.suspect_ms;
-        let heard = |known: &Known| {
+        let heard = |known: &PeerInfo| {
             known
-                .heard
+                .last_heartbeat
                 .as_ref()
                 .is_some_and(|heard| heard.0 + suspect_ms > now_ms)
         };
@@ -83,21 +83,21 @@
     }
 
     /// Takes in a heartbeat that came directly from its sender.
-    pub fn heard(&mut self, now_ms: u64, beat: Beat) {
-        let known = self.known.entry(beat.instance.clone()).or_insert(Known {
+    pub fn record_heartbeat(&mut self, now_ms: u64, beat: Beat) {
+        let known = self.known.entry(beat.instance.clone()).or_insert(PeerInfo {
             instance: beat.instance.clone(),
             peer_address: String::new(),
             zone: beat.zone.clone(),
-            heard: None,
+            last_heartbeat: None,
             leaving: false,
         });
-        known.heard = Some((now_ms, beat));
+        known.last_heartbeat = Some((now_ms, beat));
     }
 
     /// A message to an instance failed: it is not handed out until it is heard again.
-    pub fn failed(&mut self, instance: &str) {
+    pub fn record_failure(&mut self, instance: &str) {
         if let Some(known) = self.known.get_mut(instance) {
-            known.heard = None;
+            known.last_heartbeat = None;
         }
     }
 
@@ -105,12 +105,12 @@
     ///
     /// Without this an instance that wakes up would hand out others by heartbeats that look
     /// fresh on a clock that did not run, or that it reads from a full socket buffer.
-    pub fn resumed(&mut self, now_ms: u64) {
+    pub fn record_pause(&mut self, now_ms: u64) {
         self.resumed_ms = now_ms;
     }
 
-    fn is_fresh(&self, now_ms: u64, known: &Known) -> bool {
-        let heard = known.heard.as_ref();
+    fn is_fresh(&self, now_ms: u64, known: &PeerInfo) -> bool {
+        let heard = known.last_heartbeat.as_ref();
         heard.is_some_and(|heard| {
             heard.0 >= self.resumed_ms && heard.0 + self.settings.suspect_ms > now_ms
         })
@@ -122,7 +122,7 @@
             .known
             .values()
             .filter(|known| !known.leaving && self.is_fresh(now_ms, known))
-            .filter_map(|known| known.heard.as_ref().map(|heard| &heard.1))
+            .filter_map(|known| known.last_heartbeat.as_ref().map(|heard| &heard.1))
             .filter(|beat| beat.condition == Condition::Ready)
             .collect();
         ready.sort_by_key(|beat| (beat.zone != zone, beat.instance.clone()));
@@ -135,16 +135,16 @@
             .known
             .values()
             .filter(move |known| self.is_fresh(now_ms, known));
-        fresh.filter_map(|known| known.heard.as_ref().map(|heard| &heard.1))
+        fresh.filter_map(|known| known.last_heartbeat.as_ref().map(|heard| &heard.1))
     }
 
     /// Where an instance in a given life is reached, if it was heard at all.
     ///
     /// A silence that keeps it from being handed out is no reason not to ask it: the answer to a
-    /// message decides, and `failed` takes it back.
+    /// message decides, and `record_failure` takes it back.
     pub fn address(&self, instance: &str, incarnation: u64) -> Option<&str> {
         let known = self.known.get(instance)?;
-        let heard = known.heard.as_ref();
+        let heard = known.last_heartbeat.as_ref();
         let same = heard.is_some_and(|heard| heard.1.incarnation == incarnation);
         let reachable = same && !known.peer_address.is_empty();
         reachable.then_some(known.peer_address.as_str())
@@ -155,7 +155,7 @@
     /// In a large fleet all but one are of the own availability zone, whose callers and engines
     /// are shared; the one beyond it keeps the zones known to each other. In a small one that
     /// would leave instances of other zones silent for longer than `suspect_ms`.
-    pub fn targets(&self, zone: &str, rng: &mut impl Rng) -> Vec<String> {
+    pub fn heartbeat_targets(&self, zone: &str, rng: &mut impl Rng) -> Vec<String> {
         let reachable = self
             .known
             .values()
@@ -164,7 +164,7 @@
         let chosen = if self.known.len() <= SMALL_FLEET * fan_out {
             reachable.choose_multiple(rng, fan_out)
         } else {
-            let (near, far): (Vec<&Known>, Vec<&Known>) =
+            let (near, far): (Vec<&PeerInfo>, Vec<&PeerInfo>) =
                 reachable.partition(|known| known.zone == zone);
             let near_count = (fan_out - 1).min(near.len());
             let mut chosen = near.into_iter().choose_multiple(rng, near_count);
@@ -187,7 +187,7 @@
     }
 
     /// All that is known, for operators.
-    pub fn all(&self) -> impl Iterator<Item = &Known> {
+    pub fn all(&self) -> impl Iterator<Item = &PeerInfo> {
         self.known.values()
     }
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -6,8 +6,8 @@
 
 use actix_rt::task::JoinHandle;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
-use feed::Entry;
-use once::{BodyDigest, Key};
+use feed::RawRecord;
+use once::{BodyDigest, IdempotencyKey};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, peer_capnp};
@@ -18,13 +18,13 @@
     /// Takes in a heartbeat and gives its own.
     fn exchange(&self, beat: Beat) -> Beat;
     /// Records read back from the log from an offset on, with the next offset, or a snapshot.
-    fn records(&self, from: u64) -> (Vec<Entry>, u64, Option<Vec<u8>>);
+    fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>);
     /// A home asks its witness.
-    fn claim(&self, key: &Key, digest: BodyDigest) -> ClaimVerdict;
+    fn claim(&self, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict;
     /// An instance that cannot reach a home asks its witness.
-    fn fence(&self, key: &Key, digest: BodyDigest) -> CallStatus;
+    fn fence(&self, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus;
     /// A home gives its witness an answer.
-    fn finish(&self, key: &Key, answer: Answer);
+    fn finish(&self, key: &IdempotencyKey, answer: Answer);
     /// An instance hands a call to its home.
     async fn forward(&self, call: Call) -> CallStatus;
 }
@@ -94,7 +94,7 @@
     capnp::Error::failed(error.to_string())
 }
 
-fn key(text: capnp::Result<capnp::text::Reader>) -> capnp::Result<Key> {
+fn key(text: capnp::Result<capnp::text::Reader>) -> capnp::Result<IdempotencyKey> {
     text?
         .to_str()?
         .parse()
--- a/crates/perf/src/slopes.rs
+++ b/crates/perf/src/slopes.rs
@@ -10,8 +10,8 @@
 use conf::BundleIndex;
 use feed::State;
 use keys::KeyHash;
-use once::{Epochs, Home, Key, KeyPlace, Witness};
-use peer::{Known, Members};
+use once::{EpochCounter, Home, IdempotencyKey, InstanceEpoch, Witness};
+use peer::{PeerInfo, PeerTable};
 use plan::{Engine, EngineProfile, Fleet, Outstanding, Request, Router};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -259,22 +259,22 @@
 }
 
 fn lookup_us(instances: usize) -> f64 {
-    let settings = peer::Settings {
+    let settings = peer::MembershipSettings {
         suspect_ms: 1_000,
         fan_out: 3,
     };
-    let mut members = Members::new(settings);
+    let mut members = PeerTable::new(settings);
     for number in 0..instances {
         let name = format!("entry-{number:04}");
-        let known = Known {
+        let known = PeerInfo {
             instance: name.clone(),
             peer_address: "10.0.0.1:1".to_owned(),
             zone: format!("zone-{}", number % 16),
-            heard: None,
+            last_heartbeat: None,
             leaving: false,
         };
-        members.listed(0, std::iter::once(known));
-        members.heard(
+        members.apply_list(0, std::iter::once(known));
+        members.record_heartbeat(
             1,
             Beat {
                 instance: name,
@@ -397,10 +397,10 @@
 }
 
 fn once_us(held: usize) -> f64 {
-    let epochs = Epochs::new(0);
+    let epochs = EpochCounter::new(0);
     let mut home = Home::new("home", 1, epochs);
     let mut witness = Witness::new("witness", 2, epochs);
-    let place = |instance: &str, incarnation| KeyPlace {
+    let place = |instance: &str, incarnation| InstanceEpoch {
         instance: instance.to_owned(),
         incarnation,
         epoch: 1,
@@ -408,14 +408,14 @@
     let mut number = 0_u64;
     let mut call = |_: usize| {
         number += 1;
-        let key = Key {
+        let key = IdempotencyKey {
             home: place("home", 1),
             witness: place("witness", 2),
             suffix: number.to_string(),
         };
         home.admit(1, &key, [0; 32]);
         let verdict = witness.claim(1, &key, [0; 32]);
-        black_box(home.granted(&key, Some(verdict)));
+        black_box(home.record_verdict(&key, Some(verdict)));
     };
     (0..held).for_each(&mut call);
     time_us(200, call)
--- a/crates/relay/src/role_orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -2,7 +2,7 @@
 //!
 //! Every instance measures what it is asked and knows the sum of what all are; of the hubs that
 //! reach the store, the one that gave the last order acts on it. That only keeps instances from asking for
-//! the same change at once: what makes an order safe is `lease::Turns`, whoever believes to be the one.
+//! the same change at once: what makes an order safe is `lease::AppendLease`, whoever believes to be the one.
 //! Without any of them requests are served as before. See docs/design/orders.md.
 
 mod sending;
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use lease::{TurnTimes, Turns};
+use lease::{AppendLease, AppendLeaseTimes};
 use plan::{
     Demand, HealthStatus, MovingRate, PeakDemand, RoleSplit, SplitChange, SplitPlanner,
     max_changes_at_once,
@@ -102,7 +102,7 @@
 
 /// Orders of one instance.
 pub struct RoleOrders {
-    turns: RefCell<Turns>,
+    append_lease: RefCell<AppendLease>,
     asked: RefCell<HashMap<String, Asked>>,
     given: RefCell<HashMap<String, u64>>,
     looked_ms: Cell<u64>,
@@ -114,9 +114,9 @@
     /// An instance that has given none, where holders must be `lease_ms` apart.
     pub fn new(lease_ms: u64) -> Self {
         Self {
-            turns: RefCell::new(Turns::new(
+            append_lease: RefCell::new(AppendLease::new(
                 rand::rng().random(),
-                TurnTimes::of_orders(lease_ms),
+                AppendLeaseTimes::for_orders(lease_ms),
             )),
             asked: RefCell::default(),
             given: RefCell::default(),
@@ -144,8 +144,8 @@
     }
 
     /// What this instance knows of the log of orders.
-    pub fn turns(&self) -> &RefCell<Turns> {
-        &self.turns
+    pub fn append_lease(&self) -> &RefCell<AppendLease> {
+        &self.append_lease
     }
 
     /// A generation was asked for that takes an engine `read_ms` to read, served or not.
@@ -328,7 +328,7 @@
 /// The record of an order that is wished for.
 pub fn order_record(relay: &Relay, wish: &PlannedChange) -> RoleOrderRecord {
     RoleOrderRecord {
-        holder: relay.role_orders.turns.borrow().holder(),
+        holder: relay.role_orders.append_lease.borrow().holder(),
         instance: relay.settings.borrow().name.clone(),
         engine: wish.engine.id.clone(),
         stage: wish.stage,
--- a/crates/relay/src/role_orders/sending.rs
+++ b/crates/relay/src/role_orders/sending.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, StatusCode, header};
 use http_body_util::Full;
-use lease::Ticket;
+use lease::SendPermit;
 use tick::since_boot_ms;
 
 use super::{PlannedChange, RoleOrder};
@@ -27,7 +27,7 @@
 const TURNING_MS: u64 = 12_000;
 
 /// Notes that an order stands in the log, before it is given.
-pub fn order_logged(relay: &Relay, wish: &PlannedChange, ticket: Ticket) {
+pub fn order_logged(relay: &Relay, wish: &PlannedChange, ticket: SendPermit) {
     let engine = &wish.engine;
     let now_ms = relay.now_ms();
     relay.role_orders.last_fence.set(ticket.fence);
@@ -47,7 +47,7 @@
 ///
 /// It is sent once. Whether one without an answer was taken shows in the list of upstreams, and it
 /// is wished for again if it was not.
-pub async fn send_order(relay: &Relay, wish: &PlannedChange, ticket: Ticket) {
+pub async fn send_order(relay: &Relay, wish: &PlannedChange, ticket: SendPermit) {
     let engine = &wish.engine;
     actix_rt::time::sleep(Duration::from_millis(TELL_MS)).await;
     let outcome = send(relay, wish, ticket).await;
@@ -93,7 +93,11 @@
 }
 
 /// Asks the engine where it stands, and sends it the order if that still holds.
-async fn send(relay: &Relay, wish: &PlannedChange, ticket: Ticket) -> Result<StatusCode, Unsent> {
+async fn send(
+    relay: &Relay,
+    wish: &PlannedChange,
+    ticket: SendPermit,
+) -> Result<StatusCode, Unsent> {
     let engine = &wish.engine;
     let report = report(relay, engine).await?;
     if report.is_busy || report.stage == wish.stage {
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -2,7 +2,7 @@
 //!
 //! Every instance counts what runs for whom and passes it on. A few, the keepers, gather all of it; one of them reports
 //! usage and orders engines. Which one that is only keeps keepers from acting at once: that no two are heard rests on
-//! `lease::Turns`. See docs/design/duties.md.
+//! `lease::AppendLease`. See docs/design/duties.md.
 
 mod due;
 mod store_health;
@@ -14,7 +14,7 @@
 
 use duty::scale::ScalePlanner;
 use duty::{UsageLedger, UsageReports, UsageWindows};
-use lease::{TurnTimes, Turns};
+use lease::{AppendLease, AppendLeaseTimes};
 use rand::Rng;
 use tick::since_boot_ms;
 use view::{FleetClock, GossipMessage, InstanceKey, MessageKind, WorkspaceKey};
@@ -79,7 +79,7 @@
 
 /// Duties of one instance.
 pub struct SingletonTasks {
-    turns: RefCell<Turns>,
+    append_lease: RefCell<AppendLease>,
     ledger: RefCell<UsageLedger>,
     reports: RefCell<Option<UsageReports>>,
     scaling: RefCell<HashMap<String, ScalePlanner>>,
@@ -101,7 +101,10 @@
     pub fn new(lease_ms: u64) -> Self {
         let mut rng = rand::rng();
         Self {
-            turns: RefCell::new(Turns::new(rng.random(), TurnTimes::of_calls(lease_ms))),
+            append_lease: RefCell::new(AppendLease::new(
+                rng.random(),
+                AppendLeaseTimes::for_cloud_calls(lease_ms),
+            )),
             ledger: RefCell::new(UsageLedger::new(rng.random())),
             reports: RefCell::default(),
             scaling: RefCell::default(),
@@ -119,8 +122,8 @@
     }
 
     /// What this instance knows of the log of duties.
-    pub fn turns(&self) -> &RefCell<Turns> {
-        &self.turns
+    pub fn append_lease(&self) -> &RefCell<AppendLease> {
+        &self.append_lease
     }
 
     /// Time of day that the fleet goes by, in ms since 1970.
@@ -165,7 +168,9 @@
     pub fn receive_gossip(&self, terms: TaskSettings, told: &GossipMessage) {
         self.clock.borrow_mut().receive(since_boot_ms(), told);
         if let Some(fence) = told.last_task_token {
-            self.turns.borrow_mut().heard(since_boot_ms(), fence);
+            self.append_lease
+                .borrow_mut()
+                .observe_fence(since_boot_ms(), fence);
         }
         let Some(windows) = terms.usage.filter(|_| !told.tallies.is_empty()) else {
             return;
--- a/crates/relay/src/singleton_tasks/tasks.rs
+++ b/crates/relay/src/singleton_tasks/tasks.rs
@@ -2,7 +2,7 @@
 
 use duty::scale::{self, ZoneTarget};
 use duty::{UsageReport, UsageReports};
-use lease::Ticket;
+use lease::SendPermit;
 use serde::{Deserialize, Serialize};
 
 use super::{FAILED_CALLS, YIELD_MS};
@@ -82,14 +82,14 @@
 /// The record of a call that this instance is to make.
 pub fn task_record(relay: &Relay, act: &Task) -> TaskRecord {
     TaskRecord {
-        holder: relay.singleton_tasks.turns.borrow().holder(),
+        holder: relay.singleton_tasks.append_lease.borrow().holder(),
         instance: relay.settings.borrow().name.clone(),
         task: act.clone(),
     }
 }
 
 /// A record of this instance stands in the log: what it says is fixed from now on, whether it is heard or not.
-pub fn task_logged(relay: &Relay, record: TaskRecord, ticket: Ticket) {
+pub fn task_logged(relay: &Relay, record: TaskRecord, ticket: SendPermit) {
     relay.singleton_tasks.last_fence.set(ticket.fence);
     apply_record(relay, record);
 }
@@ -97,7 +97,7 @@
 /// Takes in a record of the log.
 pub fn apply_record(relay: &Relay, record: TaskRecord) {
     let duties = &relay.singleton_tasks;
-    let is_own = record.holder == duties.turns.borrow().holder();
+    let is_own = record.holder == duties.append_lease.borrow().holder();
     match record.task {
         Task::Usage(report) => {
             if let Some(reports) = duties.reports.borrow_mut().as_mut() {
