--- a/crates/conf/src/index.rs
+++ b/crates/conf/src/index.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether an engine may play a role; one that the bundle does not name may play any.
-    pub fn allows(&self, engine: &str, role: Role) -> bool {
+    pub fn allows_role(&self, engine: &str, role: Role) -> bool {
         self.roles
             .get(engine)
             .is_none_or(|roles| roles.contains(&role))
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -13,4 +13,4 @@
 pub use error::{Error, Result};
 pub use flags::Chicoryctl;
 pub use run::run;
-pub use trace::story;
+pub use trace::request_timeline;
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -5,7 +5,7 @@
 use crate::client::Client;
 use crate::flags::{BundleCmd, Chicoryctl, ChicoryctlCmd, EngineCmd};
 use crate::output::{short, table};
-use crate::trace::story;
+use crate::trace::request_timeline;
 use crate::{Error, Result};
 
 const BUNDLE_COLUMNS: [&str; 7] = [
@@ -77,7 +77,7 @@
             detail: "trace needs at least one log file".to_owned(),
         });
     }
-    Ok(story(request, &logs))
+    Ok(request_timeline(request, &logs))
 }
 
 fn address(flags: &Chicoryctl) -> Result<String> {
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -7,7 +7,7 @@
 /// Lines that name no request but an upstream of the story are taken too, since what an instance
 /// believed of an upstream explains where it sent the request. Lines that are not JSON are passed
 /// over: standard output may hold others.
-pub fn story(request: &str, logs: &[(String, String)]) -> String {
+pub fn request_timeline(request: &str, logs: &[(String, String)]) -> String {
     let mut lines: Vec<Line> = logs
         .iter()
         .flat_map(|(name, text)| parse(name, text))
--- a/crates/ctl/tests/trace.rs
+++ b/crates/ctl/tests/trace.rs
@@ -1,6 +1,6 @@
 //! A request's story from several logs.
 
-use ctl::story;
+use ctl::request_timeline;
 
 const ONE: &str = r#"{"wall_ms":1000,"level":"INFO","message":"upstream changed","upstream":"i-1"}
 {"wall_ms":3000,"level":"INFO","message":"request not sent","request":"ab","upstream":"i-1","fault":"refused"}
@@ -20,11 +20,11 @@
         ("a".to_owned(), ONE.to_owned()),
         ("b".to_owned(), TWO.to_owned()),
     ];
-    insta::assert_snapshot!(story("ab", &logs));
+    insta::assert_snapshot!(request_timeline("ab", &logs));
 }
 
 #[test]
 fn a_request_that_nobody_logged_is_said_to_be_so() {
     let logs = [("a".to_owned(), ONE.to_owned())];
-    assert!(story("zz", &logs).contains("no line on zz"));
+    assert!(request_timeline("zz", &logs).contains("no line on zz"));
 }
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -153,8 +153,8 @@
             change(app, &operator, body).await
         }
         (&Method::GET, ["status"]) => Ok(status(app)),
-        (&Method::GET, ["audit"]) => Ok(audit(app, &web::query(&request)?)),
-        (&Method::GET, ["workspaces"]) => workspaces(app, &web::query(&request)?),
+        (&Method::GET, ["audit"]) => Ok(audit(app, &web::parse_query(&request)?)),
+        (&Method::GET, ["workspaces"]) => workspaces(app, &web::parse_query(&request)?),
         _ => Err(nothing()),
     }
 }
--- a/crates/entry/src/beats.rs
+++ b/crates/entry/src/beats.rs
@@ -5,7 +5,7 @@
 use feed::Entry;
 use once::{BodyDigest, Key};
 use plan::Outstanding;
-use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, Condition, Load};
+use wire::{Answer, Call, CallStatus, ClaimVerdict, Condition, EngineLoad, Heartbeat};
 
 use crate::app::App;
 
@@ -79,13 +79,13 @@
     }
 }
 
-fn beat(app: &App) -> Beat {
+fn beat(app: &App) -> Heartbeat {
     let now_ms = app.now_ms();
     let tells = (now_ms / app.settings.membership.beat_ms).is_multiple_of(LOAD_BEATS);
     let sent = tells.then(|| loads(app, now_ms));
     let rate = app.forecast.borrow();
     let (prompt_rate, output_rate) = (rate.prompt_rate(), rate.output_rate());
-    Beat {
+    Heartbeat {
         instance: app.identity.instance.clone(),
         incarnation: app.identity.incarnation,
         zone: app.settings.zone.clone(),
@@ -93,14 +93,14 @@
         applied_offset: app.cursor.borrow().state().next_offset(),
         epoch: app.epochs.at(now_ms),
         caller_address: app.caller_address.clone(),
-        sent,
+        sent_load: sent,
         bundle_version: app.bundle().map_or(0, |bundle| bundle.bundle().version),
         prompt_rate,
         output_rate,
     }
 }
 
-fn loads(app: &App, now_ms: u64) -> Vec<Load> {
+fn loads(app: &App, now_ms: u64) -> Vec<EngineLoad> {
     let fleet = app.fleet.borrow();
     let busy = fleet
         .iter()
@@ -108,9 +108,9 @@
     busy.map(|engine| load(now_ms, engine)).collect()
 }
 
-fn load(now_ms: u64, engine: &plan::Engine) -> Load {
+fn load(now_ms: u64, engine: &plan::Engine) -> EngineLoad {
     let own = engine.own_load();
-    Load {
+    EngineLoad {
         engine: engine.name.clone(),
         at_ms: now_ms,
         prompt_tokens: own.prompt.map(|tokens| tokens as u64).to_vec(),
@@ -120,9 +120,9 @@
     }
 }
 
-fn hear(app: &App, beat: Beat) {
+fn hear(app: &App, beat: Heartbeat) {
     let now_ms = app.now_ms();
-    if let Some(loads) = &beat.sent {
+    if let Some(loads) = &beat.sent_load {
         let mut fleet = app.fleet.borrow_mut();
         // An engine that is not told of any more has nothing of that peer's left.
         for engine in fleet.iter_mut() {
@@ -138,7 +138,7 @@
     app.members.borrow_mut().heard(now_ms, beat);
 }
 
-fn outstanding(load: &Load) -> Outstanding {
+fn outstanding(load: &EngineLoad) -> Outstanding {
     let mut outstanding = Outstanding {
         running: load.running as f64,
         output: load.output_tokens as f64,
@@ -157,7 +157,7 @@
 pub(crate) struct Peers(pub(crate) Rc<App>);
 
 impl peer::Handler for Peers {
-    fn exchange(&self, theirs: Beat) -> Beat {
+    fn exchange(&self, theirs: Heartbeat) -> Heartbeat {
         hear(&self.0, theirs);
         beat(&self.0)
     }
--- a/crates/entry/src/call/once.rs
+++ b/crates/entry/src/call/once.rs
@@ -56,7 +56,7 @@
 /// Runs a call at its home, or waits for the run that is under way.
 pub(crate) async fn at_home(app: &Rc<App>, call: Call) -> CallStatus {
     let Ok(key) = call.key.parse::<Key>() else {
-        return CallStatus::bare(CallState::Foreign);
+        return CallStatus::without_answer(CallState::Foreign);
     };
     let now_ms = app.now_ms();
     let deadline_ms = now_ms + call.deadline_ms;
@@ -184,7 +184,7 @@
         address.map(str::to_owned)
     };
     let Some(address) = address else {
-        return CallStatus::bare(CallState::Unknown);
+        return CallStatus::without_answer(CallState::Unknown);
     };
     let asked = app
         .peers
@@ -193,6 +193,6 @@
     asked.unwrap_or_else(|error| {
         log::info!(step = error.step, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
         app.members.borrow_mut().failed(&witness.instance);
-        CallStatus::bare(CallState::Unknown)
+        CallStatus::without_answer(CallState::Unknown)
     })
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -165,7 +165,7 @@
             }),
             Action::Renew { fence } => Body::LeaseRenewed(LeaseRef {
                 group: name.to_owned(),
-                fence,
+                fencing_token: fence,
             }),
         };
         let sequence = self.app.write(me, body, Some(now_ms + ttl_ms));
@@ -257,7 +257,7 @@
             if let Some(fence) = group.elector.leave(now_ms) {
                 let released = LeaseRef {
                     group: name.clone(),
-                    fence,
+                    fencing_token: fence,
                 };
                 self.app.write(me, Body::LeaseReleased(released), None);
             }
--- a/crates/entry/src/control/wishes.rs
+++ b/crates/entry/src/control/wishes.rs
@@ -147,7 +147,7 @@
             .borrow()
             .with_peer_rates(prompt, output)
             .scaled(share);
-        let allows = |place: usize, role| bundle.allows(&fleet.get(place).name, role);
+        let allows = |place: usize, role| bundle.allows_role(&fleet.get(place).name, role);
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(name) else {
             return Vec::new();
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -5,7 +5,7 @@
 use actix_rt::task::JoinHandle;
 use conf::Settings;
 use tick::Clock;
-use web::{Options, Server};
+use web::{Server, ServerOptions};
 use wire::Condition;
 
 use crate::app::App;
@@ -44,9 +44,9 @@
             source,
         };
         let caller_address = callers.local_addr().map_err(failed)?.to_string();
-        let options = Options {
-            connections: settings.limits.connections as usize,
-            ..Options::default()
+        let options = ServerOptions {
+            max_connections: settings.limits.connections as usize,
+            ..ServerOptions::default()
         };
         let app = App::new(settings.clone(), caller_address, Clock::default());
         let handler = app.clone();
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -2,7 +2,7 @@
 
 use once::{Key, KeyPlace};
 use serde::{Deserialize, Serialize};
-use wire::{Beat, Condition};
+use wire::{Condition, Heartbeat};
 
 use crate::app::App;
 
@@ -69,9 +69,9 @@
     let now_ms = app.now_ms();
     let members = app.members.borrow();
     let ready = members.ready(now_ms, &app.settings.zone);
-    let usable = |beat: &&&Beat| members.address(&beat.instance, beat.incarnation).is_some();
-    let usable: Vec<&&Beat> = ready.iter().filter(usable).collect();
-    let far: Vec<&&Beat> = usable
+    let usable = |beat: &&&Heartbeat| members.address(&beat.instance, beat.incarnation).is_some();
+    let usable: Vec<&&Heartbeat> = ready.iter().filter(usable).collect();
+    let far: Vec<&&Heartbeat> = usable
         .iter()
         .copied()
         .filter(|beat| beat.zone != app.settings.zone)
@@ -92,8 +92,8 @@
     Some(Key::prefix(&home, &witness))
 }
 
-impl From<&Beat> for Instance {
-    fn from(beat: &Beat) -> Self {
+impl From<&Heartbeat> for Instance {
+    fn from(beat: &Heartbeat) -> Self {
         Self {
             instance: beat.instance.clone(),
             address: beat.caller_address.clone(),
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -70,7 +70,7 @@
             ));
         }
         (&Method::GET, "/v1/lookup") => {
-            let query = web::query(&request)?;
+            let query = web::parse_query(&request)?;
             return Ok(web::json(StatusCode::OK, &lookup::lookup(app, &query)));
         }
         _ => {}
--- a/crates/fault/src/world/control.rs
+++ b/crates/fault/src/world/control.rs
@@ -37,7 +37,10 @@
                 )
             }
             Action::Renew { fence } => (
-                Body::LeaseRenewed(LeaseRef { group, fence }),
+                Body::LeaseRenewed(LeaseRef {
+                    group,
+                    fencing_token: fence,
+                }),
                 Step::RenewLease,
             ),
         };
@@ -61,7 +64,7 @@
                 .cursor
                 .state()
                 .lease(GROUP)
-                .map_or(0, |lease| lease.fence);
+                .map_or(0, |lease| lease.fencing_token);
             return Some(lease::Authority {
                 fence: fence.max(1),
                 until_ms: claimed_ms + TIMES.ttl_ms,
--- a/crates/fault/src/world/operator.rs
+++ b/crates/fault/src/world/operator.rs
@@ -78,7 +78,10 @@
         let now_ms = self.instances[place].clock_ms(self.now_ms);
         if let Some(fence) = self.instances[place].elector.leave(now_ms) {
             let group = GROUP.to_owned();
-            let body = Body::LeaseReleased(LeaseRef { group, fence });
+            let body = Body::LeaseReleased(LeaseRef {
+                group,
+                fencing_token: fence,
+            });
             self.instances[place]
                 .outbox
                 .push("entry", self.now_ms, body, None);
--- a/crates/feed/src/leases.rs
+++ b/crates/feed/src/leases.rs
@@ -23,7 +23,7 @@
         let newest = self
             .leases
             .get(&claim.group)
-            .map_or(0, |lease| lease.renewed);
+            .map_or(0, |lease| lease.last_offset);
         if claim.supersedes != newest {
             return Outcome::Refused(format!("the newest record of the lease is at {newest}"));
         }
@@ -31,8 +31,8 @@
             group: claim.group.clone(),
             holder: origin.writer.clone(),
             incarnation: origin.incarnation,
-            fence: offset,
-            renewed: offset,
+            fencing_token: offset,
+            last_offset: offset,
             sequence: origin.sequence,
             ttl_ms: claim.ttl_ms,
             released: false,
@@ -42,9 +42,9 @@
     }
 
     pub(crate) fn renew(&mut self, offset: u64, origin: &Origin, lease: &LeaseRef) -> Outcome {
-        match self.held(origin, &lease.group, lease.fence) {
+        match self.held(origin, &lease.group, lease.fencing_token) {
             Ok(state) => {
-                state.renewed = offset;
+                state.last_offset = offset;
                 state.sequence = origin.sequence;
                 Outcome::Accepted
             }
@@ -53,9 +53,9 @@
     }
 
     pub(crate) fn release(&mut self, offset: u64, origin: &Origin, lease: &LeaseRef) -> Outcome {
-        match self.held(origin, &lease.group, lease.fence) {
+        match self.held(origin, &lease.group, lease.fencing_token) {
             Ok(state) => {
-                state.renewed = offset;
+                state.last_offset = offset;
                 state.sequence = origin.sequence;
                 state.released = true;
                 Outcome::Accepted
@@ -66,7 +66,7 @@
 
     /// Accepts an order under the lease in force, one at a time for each engine.
     pub(crate) fn place(&mut self, offset: u64, origin: &Origin, order: &OrderPlaced) -> Outcome {
-        if let Err(outcome) = self.held(origin, &order.group, order.fence) {
+        if let Err(outcome) = self.held(origin, &order.group, order.fencing_token) {
             return outcome;
         }
         let open = self.orders.get(&order.engine).filter(|open| !open.settled);
@@ -91,7 +91,10 @@
             return Outcome::Refused(format!("the newest order is {}", order.offset));
         }
         let group = order.placed.group.clone();
-        let fence = self.leases.get(&group).map_or(0, |lease| lease.fence);
+        let fence = self
+            .leases
+            .get(&group)
+            .map_or(0, |lease| lease.fencing_token);
         if let Err(outcome) = self.held(origin, &group, fence) {
             return outcome;
         }
@@ -112,10 +115,10 @@
             return Err(Outcome::Refused("no lease".to_owned()));
         };
         let same = lease.holder == origin.writer && lease.incarnation == origin.incarnation;
-        if !same || lease.fence != fence || lease.released {
+        if !same || lease.fencing_token != fence || lease.released {
             return Err(Outcome::Refused(format!(
                 "the lease is {}'s since {}",
-                lease.holder, lease.fence
+                lease.holder, lease.fencing_token
             )));
         }
         Ok(lease)
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -201,7 +201,7 @@
         let writers = self.writers.iter();
         Snapshot {
             next_offset: self.next_offset,
-            head: self.bundles.head,
+            newest_version: self.bundles.head,
             in_force_version: self.bundles.in_force_version,
             in_force_offset: self.bundles.in_force_offset,
             writers: writers
@@ -241,7 +241,7 @@
                 })
                 .collect(),
             bundles: Bundles {
-                head: snapshot.head,
+                head: snapshot.newest_version,
                 in_force_version: snapshot.in_force_version,
                 in_force_offset: snapshot.in_force_offset,
                 accepted: snapshot.bundles.into_iter().map(by_version).collect(),
--- a/crates/lease/src/desk.rs
+++ b/crates/lease/src/desk.rs
@@ -128,7 +128,7 @@
         self.placed.insert(wish.engine.clone(), now_ms);
         Some(Move::Place(OrderPlaced {
             group: group.to_owned(),
-            fence: authority.fence,
+            fencing_token: authority.fence,
             engine: wish.engine.clone(),
             kind: wish.kind,
             argument: wish.argument.clone(),
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -110,18 +110,18 @@
 
     /// Takes in the lease as folded from the log, after it was read at `now_ms`.
     pub fn observe(&mut self, now_ms: u64, lease: Option<&LeaseState>) {
-        let Some(lease) = lease.filter(|lease| lease.renewed != self.newest.offset) else {
+        let Some(lease) = lease.filter(|lease| lease.last_offset != self.newest.offset) else {
             return;
         };
         let held = lease.holder == self.identity.instance
             && lease.incarnation == self.identity.incarnation
             && !lease.released;
         self.newest = Newest {
-            offset: lease.renewed,
+            offset: lease.last_offset,
             read_ms: now_ms,
             ttl_ms: lease.ttl_ms,
             released: lease.released,
-            my_fence: held.then_some(lease.fence),
+            my_fence: held.then_some(lease.fencing_token),
         };
         if !held {
             self.mine = None;
@@ -136,7 +136,7 @@
         };
         self.sent = None;
         self.mine = Some(Authority {
-            fence: lease.fence,
+            fence: lease.fencing_token,
             until_ms: sent.at_ms + self.times.ttl_ms,
         });
     }
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -61,10 +61,10 @@
     /// Takes a call in.
     pub fn admit(&mut self, now_ms: u64, key: &Key, digest: BodyDigest) -> Admission {
         if !self.is_mine(key) {
-            return Admission::Known(CallStatus::bare(CallState::Foreign));
+            return Admission::Known(CallStatus::without_answer(CallState::Foreign));
         }
         if !self.epochs.accepts(now_ms, key.home.epoch) {
-            return Admission::Known(CallStatus::bare(CallState::Expired));
+            return Admission::Known(CallStatus::without_answer(CallState::Expired));
         }
         if let Some(held) = self.held.get(&key.to_string()) {
             return held.admission(digest);
@@ -124,7 +124,7 @@
     /// What is known of a call.
     pub fn status(&self, key: &Key) -> CallStatus {
         let held = self.held.get(&key.to_string());
-        held.map_or(CallStatus::bare(CallState::Unseen), Held::status)
+        held.map_or(CallStatus::without_answer(CallState::Unseen), Held::status)
     }
 
     /// Drops records of keys that are refused from now on.
@@ -148,7 +148,7 @@
 impl Held {
     fn admission(&self, digest: BodyDigest) -> Admission {
         if self.digest != digest {
-            return Admission::Known(CallStatus::bare(CallState::Conflict));
+            return Admission::Known(CallStatus::without_answer(CallState::Conflict));
         }
         match self.progress {
             Progress::AskingWitness | Progress::Dispatched => Admission::Attach,
@@ -160,9 +160,11 @@
 
     fn status(&self) -> CallStatus {
         match &self.progress {
-            Progress::AskingWitness | Progress::Dispatched => CallStatus::bare(CallState::Running),
-            Progress::Unknown => CallStatus::bare(CallState::Unknown),
-            Progress::Closed => CallStatus::bare(CallState::Unseen),
+            Progress::AskingWitness | Progress::Dispatched => {
+                CallStatus::without_answer(CallState::Running)
+            }
+            Progress::Unknown => CallStatus::without_answer(CallState::Unknown),
+            Progress::Closed => CallStatus::without_answer(CallState::Unseen),
             Progress::Done(answer) => CallStatus {
                 state: CallState::Done,
                 answer: Some(answer.clone()),
--- a/crates/once/src/witness.rs
+++ b/crates/once/src/witness.rs
@@ -73,21 +73,21 @@
     /// An instance that cannot reach the home asks what is known, and closes an unseen key.
     pub fn fence(&mut self, now_ms: u64, key: &Key, digest: BodyDigest) -> CallStatus {
         if !self.is_mine(key) {
-            return CallStatus::bare(CallState::Foreign);
+            return CallStatus::without_answer(CallState::Foreign);
         }
         // A key that the witness refuses for its age can get no grant any more, but it may have
         // had one whose note is dropped.
         if !self.epochs.accepts(now_ms, key.witness.epoch) {
-            return CallStatus::bare(CallState::Expired);
+            return CallStatus::without_answer(CallState::Expired);
         }
         let noted = self.notes.entry(key.to_string()).or_insert(Noted {
             epoch: key.witness.epoch,
             note: Note::Fenced,
         });
         match &noted.note {
-            Note::Fenced => CallStatus::bare(CallState::Unseen),
+            Note::Fenced => CallStatus::without_answer(CallState::Unseen),
             Note::Granted { digest: first, .. } if *first != digest => {
-                CallStatus::bare(CallState::Conflict)
+                CallStatus::without_answer(CallState::Conflict)
             }
             Note::Granted {
                 answer: Some(answer),
@@ -96,7 +96,7 @@
                 state: CallState::Done,
                 answer: Some(answer.clone()),
             },
-            Note::Granted { .. } => CallStatus::bare(CallState::Unknown),
+            Note::Granted { .. } => CallStatus::without_answer(CallState::Unknown),
         }
     }
 
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -11,7 +11,7 @@
 use once::{BodyDigest, Key};
 use tokio::net::TcpStream;
 use tokio_util::compat::TokioAsyncReadCompatExt;
-use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, peer_capnp};
+use wire::{Answer, Call, CallStatus, ClaimVerdict, Heartbeat, peer_capnp};
 
 use crate::{Error, Result};
 
@@ -36,14 +36,14 @@
 
 impl Client {
     /// Gives a heartbeat and gets one.
-    pub async fn exchange(&self, peer: &str, beat: &Beat, limit_ms: u64) -> Result<Beat> {
+    pub async fn exchange(&self, peer: &str, beat: &Heartbeat, limit_ms: u64) -> Result<Heartbeat> {
         let step = "exchange";
         self.ask(step, peer, limit_ms, |stub| {
             let mut request = stub.exchange_request();
             beat.fill(request.get().init_beat());
             async move {
                 let response = request.send().promise.await?;
-                Beat::try_from(response.get()?.get_beat()?).map_err(Into::into)
+                Heartbeat::try_from(response.get()?.get_beat()?).map_err(Into::into)
             }
         })
         .await
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -6,7 +6,7 @@
 use fnv::FnvHasher;
 use rand::Rng;
 use rand::seq::IteratorRandom;
-use wire::{Beat, Condition};
+use wire::{Condition, Heartbeat};
 
 /// Instances for each target of a heartbeat up to which a fleet counts as small.
 const SMALL_FLEET: usize = 4;
@@ -30,7 +30,7 @@
     /// Availability zone.
     pub zone: String,
     /// The last heartbeat from it, and when it was heard.
-    pub heard: Option<(u64, Beat)>,
+    pub heard: Option<(u64, Heartbeat)>,
     /// The platform lists it as leaving.
     pub leaving: bool,
 }
@@ -83,7 +83,7 @@
     }
 
     /// Takes in a heartbeat that came directly from its sender.
-    pub fn heard(&mut self, now_ms: u64, beat: Beat) {
+    pub fn heard(&mut self, now_ms: u64, beat: Heartbeat) {
         let known = self.known.entry(beat.instance.clone()).or_insert(Known {
             instance: beat.instance.clone(),
             peer_address: String::new(),
@@ -117,8 +117,8 @@
     }
 
     /// Instances that are heard and serve, the given availability zone's first.
-    pub fn ready(&self, now_ms: u64, zone: &str) -> Vec<&Beat> {
-        let mut ready: Vec<&Beat> = self
+    pub fn ready(&self, now_ms: u64, zone: &str) -> Vec<&Heartbeat> {
+        let mut ready: Vec<&Heartbeat> = self
             .known
             .values()
             .filter(|known| !known.leaving && self.is_fresh(now_ms, known))
@@ -130,7 +130,7 @@
     }
 
     /// Instances that are heard in any condition.
-    pub fn live(&self, now_ms: u64) -> impl Iterator<Item = &Beat> {
+    pub fn live(&self, now_ms: u64) -> impl Iterator<Item = &Heartbeat> {
         let fresh = self
             .known
             .values()
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -10,13 +10,13 @@
 use once::{BodyDigest, Key};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::compat::TokioAsyncReadCompatExt;
-use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, peer_capnp};
+use wire::{Answer, Call, CallStatus, ClaimVerdict, Heartbeat, peer_capnp};
 
 /// What an instance does for others; the edge between messages and the process's state.
 #[allow(async_fn_in_trait, reason = "every caller runs on one thread")]
 pub trait Handler: 'static {
     /// Takes in a heartbeat and gives its own.
-    fn exchange(&self, beat: Beat) -> Beat;
+    fn exchange(&self, beat: Heartbeat) -> Heartbeat;
     /// Records read back from the log from an offset on, with the next offset, or a snapshot.
     fn records(&self, from: u64) -> (Vec<Entry>, u64, Option<Vec<u8>>);
     /// A home asks its witness.
@@ -107,7 +107,8 @@
         params: peer_capnp::peer::ExchangeParams,
         mut results: peer_capnp::peer::ExchangeResults,
     ) -> capnp::Result<()> {
-        let beat = Beat::try_from(params.get()?.get_beat()?).map_err(|error| refuse(&error))?;
+        let beat =
+            Heartbeat::try_from(params.get()?.get_beat()?).map_err(|error| refuse(&error))?;
         let mine = self.handler.exchange(beat);
         mine.fill(results.get().init_beat());
         Ok(())
@@ -140,7 +141,7 @@
         mut results: peer_capnp::peer::ClaimResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let digest = wire::digest("claim.bodyDigest", params.get_body_digest()?);
+        let digest = wire::parse_digest("claim.bodyDigest", params.get_body_digest()?);
         let digest = digest.map_err(|error| refuse(&error))?;
         let verdict = self.handler.claim(&key(params.get_key())?, digest);
         results.get().set_verdict(verdict.into());
@@ -153,7 +154,7 @@
         mut results: peer_capnp::peer::FenceResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let digest = wire::digest("fence.bodyDigest", params.get_body_digest()?);
+        let digest = wire::parse_digest("fence.bodyDigest", params.get_body_digest()?);
         let digest = digest.map_err(|error| refuse(&error))?;
         let status = self.handler.fence(&key(params.get_key())?, digest);
         status.fill(results.get().init_status());
--- a/crates/peer/tests/members.rs
+++ b/crates/peer/tests/members.rs
@@ -3,7 +3,7 @@
 use peer::{Known, Members, Settings};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use wire::{Beat, Condition};
+use wire::{Condition, Heartbeat};
 
 const SETTINGS: Settings = Settings {
     suspect_ms: 1_000,
@@ -20,8 +20,8 @@
     }
 }
 
-fn beat(number: usize, zone: &str, condition: Condition) -> Beat {
-    Beat {
+fn beat(number: usize, zone: &str, condition: Condition) -> Heartbeat {
+    Heartbeat {
         instance: format!("entry-{number}"),
         incarnation: 7,
         zone: zone.to_owned(),
@@ -29,7 +29,7 @@
         applied_offset: 1,
         epoch: 1,
         caller_address: format!("10.0.0.{number}:2"),
-        sent: None,
+        sent_load: None,
         bundle_version: 1,
         prompt_rate: 0.0,
         output_rate: 0.0,
--- a/crates/perf/src/slopes.rs
+++ b/crates/perf/src/slopes.rs
@@ -15,7 +15,7 @@
 use plan::{Engine, EngineProfile, Fleet, Outstanding, Request, Router};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use wire::{Beat, Body, Condition, LeaseClaimed, LeaseRef, Load, Origin, Record};
+use wire::{Body, Condition, EngineLoad, Heartbeat, LeaseClaimed, LeaseRef, Origin, Record};
 
 /// Runs of each measurement, of which the fastest counts: the others were disturbed.
 const RUNS: usize = 5;
@@ -214,8 +214,8 @@
     })
 }
 
-fn beat(loads: usize) -> Beat {
-    let load = |number: usize| Load {
+fn beat(loads: usize) -> Heartbeat {
+    let load = |number: usize| EngineLoad {
         engine: format!("engine-{number:04}"),
         at_ms: 1_000_000,
         prompt_tokens: vec![100, 2_000, 40_000],
@@ -223,7 +223,7 @@
         waiting: vec![1, 2, 3],
         running: 20,
     };
-    Beat {
+    Heartbeat {
         instance: "entry-0123".to_owned(),
         incarnation: u64::MAX,
         zone: "region-1/zone-16".to_owned(),
@@ -231,7 +231,7 @@
         applied_offset: 1_000_000,
         epoch: 1_000,
         caller_address: "10.100.100.100:8080".to_owned(),
-        sent: Some((0..loads).map(load).collect()),
+        sent_load: Some((0..loads).map(load).collect()),
         bundle_version: 1_000,
         prompt_rate: 100.0,
         output_rate: 10.0,
@@ -245,7 +245,7 @@
 fn beat_us(loads: usize) -> f64 {
     let beat = beat(loads);
     time_us(500, |_| {
-        let _ = black_box(Beat::decode(&beat.encode()));
+        let _ = black_box(Heartbeat::decode(&beat.encode()));
     })
 }
 
@@ -276,7 +276,7 @@
         members.listed(0, std::iter::once(known));
         members.heard(
             1,
-            Beat {
+            Heartbeat {
                 instance: name,
                 ..beat(0)
             },
@@ -324,7 +324,7 @@
     let place = number as usize % leases;
     let renewed = LeaseRef {
         group: group(place),
-        fence: place as u64 + 1,
+        fencing_token: place as u64 + 1,
     };
     record(leases as u64 + number + 1, Body::LeaseRenewed(renewed))
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tick::Clock;
 use tokio::sync::Notify;
-use web::{Options, Server};
+use web::{Server, ServerOptions};
 
 use model::Batch;
 use orders::Orders;
@@ -161,7 +161,7 @@
         };
         let listener = web::bind(address).await?;
         let handler = engine.clone();
-        let server = web::serve(listener, Options::default(), move |request| {
+        let server = web::serve(listener, ServerOptions::default(), move |request| {
             let engine = handler.clone();
             async move { engine.answer(request).await }
         })
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
 use tick::Clock;
-use web::{Options, Response, Server};
+use web::{Response, Server, ServerOptions};
 
 /// Largest entry of the list, in bytes.
 const ENTRY_BYTES: usize = 64 << 10;
@@ -106,7 +106,7 @@
         };
         let listener = web::bind(address).await?;
         let handler = list.clone();
-        let server = web::serve(listener, Options::default(), move |request| {
+        let server = web::serve(listener, ServerOptions::default(), move |request| {
             let list = handler.clone();
             async move { list.answer(request).await }
         })
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
-use web::{Options, Response, Server};
+use web::{Response, Server, ServerOptions};
 
 /// Largest append, in bytes.
 const APPEND_BYTES: usize = 16 << 20;
@@ -134,7 +134,7 @@
         };
         let listener = web::bind(address).await?;
         let handler = log.clone();
-        let server = web::serve(listener, Options::default(), move |request| {
+        let server = web::serve(listener, ServerOptions::default(), move |request| {
             let log = handler.clone();
             async move { log.answer(request).await }
         })
@@ -184,7 +184,7 @@
                     Err(error) => web::text(error.status(), "text/plain", error.to_string()),
                 }
             }
-            (&Method::GET, "/records") => match web::query::<Read>(&request) {
+            (&Method::GET, "/records") => match web::parse_query::<Read>(&request) {
                 Ok(read) => self.read(&read).await,
                 Err(error) => web::text(error.status(), "text/plain", error.to_string()),
             },
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -8,7 +8,7 @@
 
 use actix_http::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
-use web::{Options, Response, Server};
+use web::{Response, Server, ServerOptions};
 
 /// Largest body, in bytes.
 const BODY_BYTES: usize = 1 << 20;
@@ -64,7 +64,7 @@
         };
         let listener = web::bind(address).await?;
         let handler = service.clone();
-        let server = web::serve(listener, Options::default(), move |request| {
+        let server = web::serve(listener, ServerOptions::default(), move |request| {
             let service = handler.clone();
             async move { service.answer(request).await }
         })
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -7,7 +7,7 @@
 
 use actix_http::{Request, StatusCode};
 use serde::Serialize;
-use web::{Options, Response, Server};
+use web::{Response, Server, ServerOptions};
 
 #[derive(Serialize)]
 struct Fetched<'a> {
@@ -34,7 +34,7 @@
         };
         let listener = web::bind(address).await?;
         let handler = store.clone();
-        let server = web::serve(listener, Options::default(), move |request| {
+        let server = web::serve(listener, ServerOptions::default(), move |request| {
             let store = handler.clone();
             async move { store.answer(request).await }
         })
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -4,15 +4,15 @@
 //! owns a process's state, so that handlers share it without locks, and bounds what one
 //! connection may cost.
 
-mod answer;
 mod body;
 mod query;
+mod response;
 mod server;
 
-pub use answer::{empty, json, stream, text};
 pub use body::{BodyError, parse_json, read_body};
-pub use query::query;
-pub use server::{Options, Server, bind, serve};
+pub use query::parse_query;
+pub use response::{empty, json, stream, text};
+pub use server::{Server, ServerOptions, bind, serve};
 
 /// A response of any kind of body.
 pub type Response = actix_http::Response<actix_http::body::BoxBody>;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -17,21 +17,21 @@
 
 /// Bounds on connections.
 #[derive(Debug, Clone, Copy)]
-pub struct Options {
+pub struct ServerOptions {
     /// Most connections open at once; further ones are closed at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Longest time for a request's head to arrive, in ms.
-    pub head_ms: u64,
+    pub head_timeout_ms: u64,
     /// Time for which an idle connection is kept, in ms.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
-impl Default for Options {
+impl Default for ServerOptions {
     fn default() -> Self {
         Self {
-            connections: 4_096,
-            head_ms: 5_000,
-            idle_ms: 30_000,
+            max_connections: 4_096,
+            head_timeout_ms: 5_000,
+            idle_timeout_ms: 30_000,
         }
     }
 }
@@ -52,7 +52,7 @@
     }
 
     /// Connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
@@ -76,7 +76,11 @@
 }
 
 /// Serves a handler on a listener.
-pub async fn serve<H, F>(listener: TcpListener, options: Options, handler: H) -> io::Result<Server>
+pub async fn serve<H, F>(
+    listener: TcpListener,
+    options: ServerOptions,
+    handler: H,
+) -> io::Result<Server>
 where
     H: Fn(Request) -> F + Clone + 'static,
     F: Future<Output = Response> + 'static,
@@ -87,8 +91,10 @@
         async move { Ok::<_, actix_http::Error>(answer.await) }
     });
     let factory = HttpService::build()
-        .keep_alive(KeepAlive::Timeout(Duration::from_millis(options.idle_ms)))
-        .client_request_timeout(Duration::from_millis(options.head_ms))
+        .keep_alive(KeepAlive::Timeout(Duration::from_millis(
+            options.idle_timeout_ms,
+        )))
+        .client_request_timeout(Duration::from_millis(options.head_timeout_ms))
         .h1(handler)
         .tcp();
     let service = factory
@@ -114,7 +120,7 @@
 
 async fn accept<S>(
     listener: TcpListener,
-    options: Options,
+    options: ServerOptions,
     service: Rc<S>,
     open: Rc<Cell<usize>>,
     tasks: Rc<RefCell<Vec<JoinHandle<()>>>>,
@@ -132,7 +138,7 @@
                 continue;
             }
         };
-        if open.get() >= options.connections {
+        if open.get() >= options.max_connections {
             continue;
         }
         let _ = stream.set_nodelay(true);
@@ -146,7 +152,7 @@
             }
         });
         let mut tasks = tasks.borrow_mut();
-        if tasks.len() >= 2 * options.connections.min(open.get() + 64) {
+        if tasks.len() >= 2 * options.max_connections.min(open.get() + 64) {
             tasks.retain(|task| !task.is_finished());
         }
         tasks.push(task);
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,7 +1,7 @@
 //! Messages about calls that may not be repeated. See docs/design/once.md.
 
+use crate::codec::name;
 use crate::peer_capnp::{self as schema, CallState as WireState, ClaimVerdict as WireVerdict};
-use crate::read::name;
 use crate::{Error, Result};
 
 /// Length of a SHA-256, in bytes.
@@ -102,7 +102,7 @@
 
 impl CallStatus {
     /// A status that has no answer.
-    pub fn bare(state: CallState) -> Self {
+    pub fn without_answer(state: CallState) -> Self {
         Self {
             state,
             answer: None,
@@ -119,7 +119,7 @@
 }
 
 /// Reads a digest, whose length the schema cannot state.
-pub fn digest(field: &'static str, bytes: &[u8]) -> Result<[u8; DIGEST_BYTES]> {
+pub fn parse_digest(field: &'static str, bytes: &[u8]) -> Result<[u8; DIGEST_BYTES]> {
     bytes.try_into().map_err(|_| Error::Field {
         field,
         detail: format!("{} bytes, not {DIGEST_BYTES}", bytes.len()),
@@ -132,7 +132,7 @@
     fn try_from(wire: schema::call::Reader) -> Result<Self> {
         Ok(Self {
             key: name("call.key", wire.get_key())?,
-            body_digest: digest("call.bodyDigest", wire.get_body_digest()?)?,
+            body_digest: parse_digest("call.bodyDigest", wire.get_body_digest()?)?,
             service: name("call.service", wire.get_service())?,
             path: name("call.path", wire.get_path())?,
             body: wire.get_body()?.to_vec(),
--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between instances.
 
+use crate::codec::name;
 use crate::peer_capnp::{self as schema, Condition as WireCondition};
-use crate::read::name;
 use crate::{Error, Result};
 
 /// Where an instance is in its life.
@@ -18,7 +18,7 @@
 
 /// Work that an instance has put on an engine and that the engine may not report yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Load {
+pub struct EngineLoad {
     /// Engine.
     pub engine: String,
     /// Sender's monotonic clock.
@@ -35,7 +35,7 @@
 
 /// What an instance tells another about itself.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Instance.
     pub instance: String,
     /// Number drawn at its start.
@@ -51,7 +51,7 @@
     /// Where callers reach it.
     pub caller_address: String,
     /// Work it has sent to engines; `None` where this beat does not tell.
-    pub sent: Option<Vec<Load>>,
+    pub sent_load: Option<Vec<EngineLoad>>,
     /// Version of the bundle in force there.
     pub bundle_version: u64,
     /// Prompt tokens a ms that arrive there.
@@ -60,17 +60,17 @@
     pub output_rate: f64,
 }
 
-impl Beat {
+impl Heartbeat {
     /// Encodes the beat as one framed message.
     pub fn encode(&self) -> Vec<u8> {
         let mut message = capnp::message::Builder::new_default();
         self.fill(message.init_root());
-        crate::read::frame(&message)
+        crate::codec::frame(&message)
     }
 
     /// Decodes one framed message.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
-        let message = crate::read::unframe(bytes)?;
+        let message = crate::codec::unframe(bytes)?;
         Self::try_from(message.get_root::<schema::beat::Reader>()?)
     }
 
@@ -86,7 +86,7 @@
         out.set_bundle_version(self.bundle_version);
         out.set_prompt_rate(self.prompt_rate);
         out.set_output_rate(self.output_rate);
-        let Some(loads) = &self.sent else {
+        let Some(loads) = &self.sent_load else {
             return;
         };
         out.set_tells_load(true);
@@ -130,7 +130,7 @@
     }
 }
 
-impl TryFrom<schema::beat::Reader<'_>> for Beat {
+impl TryFrom<schema::beat::Reader<'_>> for Heartbeat {
     type Error = Error;
 
     fn try_from(wire: schema::beat::Reader) -> Result<Self> {
@@ -142,7 +142,7 @@
             applied_offset: wire.get_applied_offset(),
             epoch: wire.get_epoch(),
             caller_address: name("beat.callerAddress", wire.get_caller_address())?,
-            sent: loads(wire)?,
+            sent_load: loads(wire)?,
             bundle_version: wire.get_bundle_version(),
             prompt_rate: rate("beat.promptRate", wire.get_prompt_rate())?,
             output_rate: rate("beat.outputRate", wire.get_output_rate())?,
@@ -150,11 +150,11 @@
     }
 }
 
-fn loads(wire: schema::beat::Reader) -> Result<Option<Vec<Load>>> {
+fn loads(wire: schema::beat::Reader) -> Result<Option<Vec<EngineLoad>>> {
     if !wire.get_tells_load() {
         return Ok(None);
     }
-    let loads = wire.get_sent()?.iter().map(Load::try_from);
+    let loads = wire.get_sent()?.iter().map(EngineLoad::try_from);
     loads.collect::<Result<_>>().map(Some)
 }
 
@@ -169,7 +169,7 @@
     })
 }
 
-impl TryFrom<schema::load::Reader<'_>> for Load {
+impl TryFrom<schema::load::Reader<'_>> for EngineLoad {
     type Error = Error;
 
     fn try_from(wire: schema::load::Reader) -> Result<Self> {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,16 +12,16 @@
 #[path = "gen/peer_capnp.rs"]
 pub mod peer_capnp;
 
-mod beat;
 mod call;
+mod codec;
 mod error;
-mod read;
+mod heartbeat;
 mod record;
 mod snapshot;
 
-pub use beat::{Beat, Condition, Load};
-pub use call::{Answer, Call, CallState, CallStatus, ClaimVerdict, digest};
+pub use call::{Answer, Call, CallState, CallStatus, ClaimVerdict, parse_digest};
 pub use error::{Error, Result};
+pub use heartbeat::{Condition, EngineLoad, Heartbeat};
 pub use record::{
     Body, BundlePublished, BundleRef, LeaseClaimed, LeaseRef, OrderKind, OrderPlaced, OrderSettled,
     Origin, Record,
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -2,7 +2,7 @@
 
 use capnp::message::Builder;
 
-use crate::read::{frame, free, name, unframe};
+use crate::codec::{frame, free, name, unframe};
 use crate::record_capnp::{self as schema, OrderKind as WireKind};
 use crate::{Error, Result, Snapshot};
 
@@ -59,7 +59,7 @@
     /// Group of engines.
     pub group: String,
     /// Offset of the claim that won.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// What an engine can be told to do.
@@ -79,7 +79,7 @@
     /// Group of the engine.
     pub group: String,
     /// Fencing token of the lease under which the order is given.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Engine that is to carry it out.
     pub engine: String,
     /// Kind of order.
@@ -212,14 +212,14 @@
 impl LeaseRef {
     fn fill(&self, mut out: schema::lease_ref::Builder) {
         out.set_group(&self.group);
-        out.set_fence(self.fence);
+        out.set_fence(self.fencing_token);
     }
 }
 
 impl OrderPlaced {
     pub(crate) fn fill(&self, mut out: schema::order_placed::Builder) {
         out.set_group(&self.group);
-        out.set_fence(self.fence);
+        out.set_fence(self.fencing_token);
         out.set_engine(&self.engine);
         out.set_kind(self.kind.into());
         out.set_argument(&self.argument);
@@ -332,7 +332,7 @@
     fn try_from(wire: schema::lease_ref::Reader) -> Result<Self> {
         Ok(Self {
             group: name("leaseRef.group", wire.get_group())?,
-            fence: wire.get_fence(),
+            fencing_token: wire.get_fence(),
         })
     }
 }
@@ -343,7 +343,7 @@
     fn try_from(wire: schema::order_placed::Reader) -> Result<Self> {
         Ok(Self {
             group: name("orderPlaced.group", wire.get_group())?,
-            fence: wire.get_fence(),
+            fencing_token: wire.get_fence(),
             engine: name("orderPlaced.engine", wire.get_engine())?,
             kind: wire.get_kind()?.into(),
             argument: name("orderPlaced.argument", wire.get_argument())?,
--- a/crates/wire/src/snapshot.rs
+++ b/crates/wire/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use capnp::message::Builder;
 
-use crate::read::{frame, name, unframe};
+use crate::codec::{frame, name, unframe};
 use crate::record_capnp::snapshot as schema;
 use crate::{BundlePublished, Error, OrderPlaced, Result};
 
@@ -53,9 +53,9 @@
     /// Incarnation of that instance.
     pub incarnation: u64,
     /// Offset of the claim, which is the fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Offset of the last record of this lease; a claim names it to supersede it.
-    pub renewed: u64,
+    pub last_offset: u64,
     /// Sequence number that the holder gave that record.
     pub sequence: u64,
     /// Time for which each renewal holds.
@@ -98,7 +98,7 @@
     /// First offset that is not folded in.
     pub next_offset: u64,
     /// Highest bundle version that was accepted.
-    pub head: u64,
+    pub newest_version: u64,
     /// Version in force; 0 if none is.
     pub in_force_version: u64,
     /// Offset of the roll that put it in force.
@@ -133,7 +133,7 @@
 
     pub(crate) fn fill(&self, mut out: schema::Builder) {
         out.set_next_offset(self.next_offset);
-        out.set_head(self.head);
+        out.set_head(self.newest_version);
         out.set_in_force_version(self.in_force_version);
         out.set_in_force_offset(self.in_force_offset);
         let mut writers = out.reborrow().init_writers(self.writers.len() as u32);
@@ -183,8 +183,8 @@
         out.set_group(&self.group);
         out.set_holder(&self.holder);
         out.set_incarnation(self.incarnation);
-        out.set_fence(self.fence);
-        out.set_renewed(self.renewed);
+        out.set_fence(self.fencing_token);
+        out.set_renewed(self.last_offset);
         out.set_sequence(self.sequence);
         out.set_ttl_ms(self.ttl_ms);
         out.set_released(self.released);
@@ -207,7 +207,7 @@
     fn try_from(wire: schema::Reader) -> Result<Self> {
         Ok(Self {
             next_offset: wire.get_next_offset(),
-            head: wire.get_head(),
+            newest_version: wire.get_head(),
             in_force_version: wire.get_in_force_version(),
             in_force_offset: wire.get_in_force_offset(),
             writers: collect(wire.get_writers()?.iter())?,
@@ -270,8 +270,8 @@
             group: name("snapshot.leases.group", wire.get_group())?,
             holder: name("snapshot.leases.holder", wire.get_holder())?,
             incarnation: wire.get_incarnation(),
-            fence: wire.get_fence(),
-            renewed: wire.get_renewed(),
+            fencing_token: wire.get_fence(),
+            last_offset: wire.get_renewed(),
             sequence: wire.get_sequence(),
             ttl_ms: wire.get_ttl_ms(),
             released: wire.get_released(),
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use wire::{
-    Beat, Body, BundlePublished, BundleRef, Condition, LeaseClaimed, LeaseRef, Load, OrderKind,
-    OrderPlaced, OrderSettled, Origin, Record, Snapshot,
+    Body, BundlePublished, BundleRef, Condition, EngineLoad, Heartbeat, LeaseClaimed, LeaseRef,
+    OrderKind, OrderPlaced, OrderSettled, Origin, Record, Snapshot,
 };
 
 fn text() -> impl Strategy<Value = String> {
@@ -21,7 +21,12 @@
 fn body() -> impl Strategy<Value = Body> {
     let named =
         || (any::<u64>(), text()).prop_map(|(version, digest)| BundleRef { version, digest });
-    let lease = || (text(), any::<u64>()).prop_map(|(group, fence)| LeaseRef { group, fence });
+    let lease = || {
+        (text(), any::<u64>()).prop_map(|(group, fencing_token)| LeaseRef {
+            group,
+            fencing_token,
+        })
+    };
     prop_oneof![
         (any::<u64>(), any::<u64>(), text(), ".{0,200}").prop_map(
             |(version, base, digest, text)| {
@@ -48,10 +53,10 @@
         lease().prop_map(Body::LeaseRenewed),
         lease().prop_map(Body::LeaseReleased),
         (text(), any::<u64>(), text(), kind(), text()).prop_map(
-            |(group, fence, engine, kind, argument)| {
+            |(group, fencing_token, engine, kind, argument)| {
                 Body::OrderPlaced(OrderPlaced {
                     group,
-                    fence,
+                    fencing_token,
                     engine,
                     kind,
                     argument,
@@ -91,8 +96,8 @@
         )
 }
 
-fn beat() -> impl Strategy<Value = Beat> {
-    let load = (text(), any::<u64>()).prop_map(|(engine, tokens)| Load {
+fn beat() -> impl Strategy<Value = Heartbeat> {
+    let load = (text(), any::<u64>()).prop_map(|(engine, tokens)| EngineLoad {
         engine,
         at_ms: tokens,
         prompt_tokens: vec![tokens, 1, 2],
@@ -101,18 +106,20 @@
         running: tokens,
     });
     let loads = proptest::option::of(proptest::collection::vec(load, 0..4));
-    (text(), any::<u64>(), loads, 0.0..1e9_f64).prop_map(|(instance, number, sent, rate)| Beat {
-        instance,
-        incarnation: number,
-        zone: "zone".to_owned(),
-        condition: Condition::Ready,
-        applied_offset: number,
-        epoch: number,
-        caller_address: "127.0.0.1:1".to_owned(),
-        sent,
-        bundle_version: number,
-        prompt_rate: rate,
-        output_rate: rate,
+    (text(), any::<u64>(), loads, 0.0..1e9_f64).prop_map(|(instance, number, sent_load, rate)| {
+        Heartbeat {
+            instance,
+            incarnation: number,
+            zone: "zone".to_owned(),
+            condition: Condition::Ready,
+            applied_offset: number,
+            epoch: number,
+            caller_address: "127.0.0.1:1".to_owned(),
+            sent_load,
+            bundle_version: number,
+            prompt_rate: rate,
+            output_rate: rate,
+        }
     })
 }
 
@@ -130,13 +137,13 @@
 
     #[test]
     fn a_heartbeat_is_read_back_as_written(beat in beat()) {
-        prop_assert_eq!(Beat::decode(&beat.encode()), Ok(beat));
+        prop_assert_eq!(Heartbeat::decode(&beat.encode()), Ok(beat));
     }
 
     #[test]
     fn foreign_bytes_are_an_error_and_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = Record::decode(&bytes);
-        let _ = Beat::decode(&bytes);
+        let _ = Heartbeat::decode(&bytes);
         let _ = Snapshot::decode(&bytes);
     }
 
@@ -152,7 +159,7 @@
 
 #[test]
 fn a_rate_that_is_no_number_is_refused_by_name() {
-    let beat = Beat {
+    let beat = Heartbeat {
         instance: "a".to_owned(),
         incarnation: 1,
         zone: "z".to_owned(),
@@ -160,11 +167,11 @@
         applied_offset: 0,
         epoch: 1,
         caller_address: String::new(),
-        sent: None,
+        sent_load: None,
         bundle_version: 0,
         prompt_rate: f64::NAN,
         output_rate: 0.0,
     };
-    let error = Beat::decode(&beat.encode()).expect_err("refused");
+    let error = Heartbeat::decode(&beat.encode()).expect_err("refused");
     assert!(error.to_string().contains("beat.promptRate"), "{error}");
 }
