--- a/crates/entry/src/call/once.rs
+++ b/crates/entry/src/call/once.rs
@@ -60,7 +60,7 @@
 /// Runs a call at its home, or waits for the run that is under way.
 pub(crate) async fn at_home(app: &Rc<App>, call: Call) -> CallStatus {
     let Ok(key) = call.key.parse::<IdempotencyKey>() else {
-        return CallStatus::bare(CallState::Foreign);
+        return CallStatus::without_answer(CallState::Foreign);
     };
     let now_ms = app.now_ms();
     let deadline_ms = now_ms + call.deadline_ms;
@@ -188,7 +188,7 @@
         address.map(str::to_owned)
     };
     let Some(address) = address else {
-        return CallStatus::bare(CallState::Unknown);
+        return CallStatus::without_answer(CallState::Unknown);
     };
     let asked = app
         .peers
@@ -197,6 +197,6 @@
     asked.unwrap_or_else(|error| {
         log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
         app.members.borrow_mut().record_failure(&witness.instance);
-        CallStatus::bare(CallState::Unknown)
+        CallStatus::without_answer(CallState::Unknown)
     })
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -167,7 +167,7 @@
             }),
             LeaseAction::Renew { fence } => Body::LeaseRenewed(LeaseRef {
                 group: name.to_owned(),
-                fence,
+                fencing_token: fence,
             }),
         };
         let sequence = self.app.write(me, body, Some(now_ms + ttl_ms));
@@ -265,7 +265,7 @@
             if let Some(fence) = group.elector.resign(now_ms) {
                 let released = LeaseRef {
                     group: name.clone(),
-                    fence,
+                    fencing_token: fence,
                 };
                 self.app.write(me, Body::LeaseReleased(released), None);
             }
