--- a/crates/view/src/entry.rs
+++ b/crates/view/src/entry.rs
@@ -1,66 +1,66 @@
-//! An upstream as the list of upstreams describes it.
+//! Entries of the list of upstreams.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// What an upstream does of a generation.
+/// Which part of a generation an upstream runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Stage {
     /// All of it, or no generation at all.
     #[default]
     Whole,
-    /// It reads prompts.
+    /// It processes prompts.
     Prefill,
-    /// It makes output, and reads prompts beside it if it has to.
+    /// It generates output, and processes prompts as well if it has to.
     Decode,
 }
 
 /// Whether an upstream may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// It may.
+    /// It may get new work.
     #[default]
     Ready,
-    /// It has said that it is leaving, and gets nothing new.
+    /// It has announced that it leaves, and gets no new work.
     Leaving,
 }
 
 /// An upstream as the list of upstreams describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its name; a restart may have the same or another.
+    /// Its name. It may stay the same or change when the upstream restarts.
     pub id: String,
-    /// When the incarnation started, by its own clock, in ms since 1970; 0 if it does not say. Only
-    /// compared with that of the same id.
+    /// Start of the incarnation by the upstream's own clock, in ms since 1970; 0 if unknown.
+    /// Compared only with entries of the same id.
     #[serde(default)]
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
-    /// Service that it runs.
+    /// Name of the service that it runs.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it gets new work.
+    /// Whether it may get new work.
     #[serde(rename = "standing")]
     pub state: UpstreamState,
-    /// What it does of a generation.
+    /// Part of a generation that it runs.
     pub stage: Stage,
-    /// Grows with each entry that the incarnation writes.
+    /// Sequence number; grows with each entry that the incarnation writes.
     pub seq: u64,
-    /// Whether it may be taken back at short notice, and costs less for it.
+    /// Whether it runs on spot capacity, which costs less and may be reclaimed at short notice.
     #[serde(default)]
     pub is_spot: bool,
 }
 
-/// A change of the list of upstreams.
+/// A change to the list of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListChange {
-    /// An upstream is there, as described.
+    /// Adds or replaces the entry of an upstream.
     Put(UpstreamEntry),
-    /// An upstream's entry was taken away.
+    /// Removes the entry of the upstream with this id.
     Gone(String),
 }
--- a/crates/view/src/key.rs
+++ b/crates/view/src/key.rs
@@ -1,4 +1,4 @@
-//! Short names on the wire.
+//! Short keys that stand for names in datagrams.
 
 use std::fmt::{self, Display, Formatter};
 use std::num::ParseIntError;
@@ -9,15 +9,15 @@
 
 /// An incarnation of an upstream, by a hash of its id and start.
 ///
-/// Two of 1,900 share a key once in two thousand fleets, and then each is believed to have the load
-/// of both.
+/// Two of 1,900 upstreams share a key in about one of two thousand fleets. Each of them is then
+/// believed to have the load of both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamKey(#[serde(with = "postcard::fixint::le")] pub u32);
 
 impl UpstreamKey {
-    /// Of an incarnation.
-    pub fn of(id: &str, born_ms: u64) -> Self {
-        Self(xxh3_64_with_seed(id.as_bytes(), born_ms) as u32)
+    /// The key of an incarnation.
+    pub fn of(id: &str, started_ms: u64) -> Self {
+        Self(xxh3_64_with_seed(id.as_bytes(), started_ms) as u32)
     }
 }
 
@@ -28,7 +28,7 @@
 pub struct InstanceKey(#[serde(with = "postcard::fixint::le")] pub u32);
 
 impl InstanceKey {
-    /// Of a name.
+    /// The key of an instance's name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()) as u32)
     }
@@ -36,29 +36,30 @@
 
 /// A workspace, by a hash of its name.
 ///
-/// Two of 12,000 share a key once in sixty fleets, and then what ran for both is told as one.
+/// Two of 12,000 workspaces share a key in about one of sixty fleets. The usage of both is then
+/// reported as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkspaceKey(#[serde(with = "postcard::fixint::le")] pub u32);
 
 impl WorkspaceKey {
-    /// Of a name.
+    /// The key of a workspace's name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-/// What a request asks, by a hash of its host, method, path and body.
+/// The content of a request, by a hash of its host, method, path and body.
 ///
-/// Each attempt of a caller has an id of its own; this is what attempts of one request have in common,
-/// wherever they come in.
+/// Each attempt of a caller has its own id. This key is the same for all attempts of a request, at
+/// whichever instance they arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey(#[serde(with = "postcard::fixint::le")] pub u64);
 
 impl RequestKey {
-    /// Of a request.
+    /// The key of a request; `target` is its path with the query.
     pub fn of(host: &str, method: &str, target: &str, body: &[u8]) -> Self {
         let mut hash = Xxh3::new();
-        // A zero byte ends each part: none of the first three can hold one.
+        // A zero byte ends each of these parts; none of them can contain one.
         for part in [host, method, target] {
             hash.update(part.as_bytes());
             hash.update(&[0]);
--- a/crates/view/src/load.rs
+++ b/crates/view/src/load.rs
@@ -1,37 +1,37 @@
-//! What instances have outstanding at one upstream.
+//! Outstanding requests and tokens at an upstream.
 
 use crate::PrefillQueue;
 
-/// Requests and work at one upstream, of one instance or of many.
+/// Load at one upstream, caused by one instance or by several.
 ///
-/// All figures are whole numbers once they have been told, so that adding and taking away what the
-/// same instance told leaves nothing behind.
+/// Gossiped figures are whole numbers, so subtracting what an instance sent before leaves no
+/// rounding error behind.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// Requests.
+    /// Outstanding requests.
     pub requests: u32,
-    /// Work of reading prompts, in tokens by rank.
+    /// Prompt tokens that wait for prefill, by rank.
     pub queue: PrefillQueue,
-    /// Prompt tokens of the requests that make output.
+    /// Prompt tokens of the requests that are in decode.
     pub context: u32,
 }
 
 impl Load {
-    /// Adds another one's.
+    /// Adds the load of another instance.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.queue = self.queue.plus(&other.queue);
         self.context = self.context.saturating_add(other.context);
     }
 
-    /// Takes away what was added before.
+    /// Subtracts load that was added before.
     pub fn subtract(&mut self, other: &Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.queue = self.queue.minus(&other.queue);
         self.context = self.context.saturating_sub(other.context);
     }
 
-    /// Whether nothing is outstanding.
+    /// Whether no request is outstanding.
     pub fn is_empty(&self) -> bool {
         self.requests == 0
     }
--- a/crates/view/src/queue.rs
+++ b/crates/view/src/queue.rs
@@ -1,41 +1,42 @@
-//! Work of reading prompts that an engine has, by rank.
+//! Prompt tokens that wait for prefill at an engine, by rank.
 
-/// Ranks that engines know; 0 goes first.
+/// Number of ranks that engines know; rank 0 goes first.
 pub const RANKS: usize = 10;
 
-/// Tokens still to be read, by the rank at which they wait.
+/// Tokens that wait for prefill, by the rank of their requests.
 ///
-/// An engine takes up the first rank first, so a short urgent question does not wait for the long
-/// prompts behind which it would seem to stand.
+/// An engine processes the lowest rank first, so a short urgent prompt does not wait for the long
+/// prompts that were queued before it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PrefillQueue([f64; RANKS]);
 
 impl PrefillQueue {
-    /// Adds tokens at a rank, or takes them away again.
+    /// Adds tokens at a rank, or removes them if `tokens` is negative. A rank never falls below
+    /// zero.
     pub fn add(&mut self, rank: u8, tokens: f64) {
         let waiting = &mut self.0[index(rank)];
         *waiting = (*waiting + tokens).max(0.0);
     }
 
-    /// Adds another queue to this one.
+    /// The sum of two queues.
     #[must_use]
     pub fn plus(mut self, other: &Self) -> Self {
-        for (own, others) in self.0.iter_mut().zip(&other.0) {
-            *own += others;
+        for (own, other_tokens) in self.0.iter_mut().zip(&other.0) {
+            *own += other_tokens;
         }
         self
     }
 
-    /// Takes away what was added before.
+    /// Subtracts a queue that was added before.
     #[must_use]
     pub fn minus(mut self, other: &Self) -> Self {
-        for (own, others) in self.0.iter_mut().zip(&other.0) {
-            *own = (*own - others).max(0.0);
+        for (own, other_tokens) in self.0.iter_mut().zip(&other.0) {
+            *own = (*own - other_tokens).max(0.0);
         }
         self
     }
 
-    /// The same in whole tokens, as it goes over the wire.
+    /// The queue in whole tokens, as datagrams carry it.
     #[must_use]
     pub fn rounded(&self) -> Self {
         Self(self.0.map(f64::round))
@@ -46,17 +47,18 @@
         self.0[index(rank)]
     }
 
-    /// Tokens that are read before something new of a rank.
+    /// Tokens that are processed before a new prompt of this rank: those at the rank and at lower
+    /// ones.
     pub fn tokens_up_to(&self, rank: u8) -> f64 {
         self.0[..=index(rank)].iter().sum()
     }
 
-    /// Tokens of later ranks, one prompt of which may be being read by now.
+    /// Tokens at higher ranks. One of these prompts may already be in prefill.
     pub fn tokens_after(&self, rank: u8) -> f64 {
         self.total() - self.tokens_up_to(rank)
     }
 
-    /// All tokens.
+    /// Tokens at all ranks.
     pub fn total(&self) -> f64 {
         self.0.iter().sum()
     }
