--- a/crates/view/src/demand.rs
+++ b/crates/view/src/demand.rs
@@ -1,19 +1,19 @@
-//! What callers ask of one service, of one instance or of many.
+//! Load that callers put on each service, of one instance or summed over several.
 
 use serde::{Deserialize, Serialize};
 
-/// What is asked of the engines of a service.
+/// Demand for the engines of a service.
 ///
-/// An instance of some hundreds has a few requests a second, and its own part multiplied says little
-/// of the whole: the fleet's is the sum of what all tell.
+/// One instance of several hundred gets a few requests a second, too few to extrapolate to the
+/// fleet. The fleet's demand is the sum of what all instances gossip.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ServiceDemand {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Engines that would read without a pause.
+    /// Engines that the prompts would keep busy with prefill all the time.
     #[serde(rename = "reading")]
     pub prefill_engines: f32,
-    /// Engines whose places would all be taken.
+    /// Engines whose decode slots would all be taken.
     #[serde(rename = "making")]
     pub decode_engines: f32,
     /// Requests a second.
@@ -21,27 +21,27 @@
     pub requests_per_s: f32,
 }
 
-/// Adds what is asked of each service to a sum.
+/// Adds the demand of each service in `other` to `sum`.
 pub fn add(sum: &mut Vec<ServiceDemand>, other: &[ServiceDemand]) {
     for each in other {
-        match sum.iter_mut().find(|known| known.service == each.service) {
-            Some(known) => {
-                known.prefill_engines += each.prefill_engines;
-                known.decode_engines += each.decode_engines;
-                known.requests_per_s += each.requests_per_s;
+        match sum.iter_mut().find(|total| total.service == each.service) {
+            Some(total) => {
+                total.prefill_engines += each.prefill_engines;
+                total.decode_engines += each.decode_engines;
+                total.requests_per_s += each.requests_per_s;
             }
             None => sum.push(each.clone()),
         }
     }
 }
 
-/// Takes away what was added before.
-pub fn take(sum: &mut [ServiceDemand], other: &[ServiceDemand]) {
+/// Subtracts demand that was added before.
+pub fn subtract(sum: &mut [ServiceDemand], other: &[ServiceDemand]) {
     for each in other {
-        if let Some(known) = sum.iter_mut().find(|known| known.service == each.service) {
-            known.prefill_engines = (known.prefill_engines - each.prefill_engines).max(0.0);
-            known.decode_engines = (known.decode_engines - each.decode_engines).max(0.0);
-            known.requests_per_s = (known.requests_per_s - each.requests_per_s).max(0.0);
+        if let Some(total) = sum.iter_mut().find(|total| total.service == each.service) {
+            total.prefill_engines = (total.prefill_engines - each.prefill_engines).max(0.0);
+            total.decode_engines = (total.decode_engines - each.decode_engines).max(0.0);
+            total.requests_per_s = (total.requests_per_s - each.requests_per_s).max(0.0);
         }
     }
 }
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -1,9 +1,11 @@
-//! What this instance was told by others, and what it tells them in turn.
+//! Gossip that this instance has received, and what it sends.
 //!
-//! One instance reports to its hub, or is one: a hub adds up what those around it report, tells the sum
-//! to the other hubs, and gives back to each what all but it have. Nobody agrees on who is a hub. Who is
-//! reported to acts as one, and who hears nothing from its hub goes to the next. What was told counts for
-//! [`STALE_AFTER_MS`], so an instance that goes takes its share along. See docs/design/views.md.
+//! An instance either reports to a hub or is one. A hub adds up what its reporters send, sends the
+//! sum to the other hubs, and returns to each reporter the load of the whole fleet without the
+//! reporter's own. There is no agreement on who is a hub: an instance that receives reports acts as
+//! one, and an instance that receives nothing from its hub switches to the next. Received load
+//! counts for [`STALE_AFTER_MS`], so the share of an instance that goes away disappears with it.
+//! See docs/design/views.md.
 
 mod outgoing;
 mod resend;
@@ -11,53 +13,53 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use self::resend::Repeated;
+use self::resend::ResendQueue;
 use crate::{
     FailureEvidence, GossipMessage, GossipedChange, InstanceKey, Load, LogPosition, Member,
     MessageKind, PendingRoleChange, PrefilledPart, RecentChanges, RequestKey, ServiceDemand,
     UpstreamKey, UpstreamLimit, demand,
 };
 
-/// Time between two datagrams to one receiver, in ms: what one instance has is known to all within three,
-/// and that is a fraction of the shortest objective.
+/// Gossip period, in ms. All instances know the load of one instance within three periods, a
+/// fraction of the shortest latency objective.
 pub const PERIOD_MS: u64 = 50;
 
-/// Age at which what was told is no longer counted, in ms: two datagrams of an idle instance.
+/// Age at which received load no longer counts, in ms: two datagrams of an idle instance.
 pub const STALE_AFTER_MS: u64 = 700;
 
-/// What this instance has to tell of itself.
+/// What this instance gossips about itself.
 #[derive(Debug, Clone)]
 pub struct LocalState {
-    /// Itself.
+    /// Its heartbeat record.
     pub member: Member,
-    /// What it has outstanding.
+    /// Its outstanding load by upstream.
     pub loads: Vec<(UpstreamKey, Load)>,
-    /// Parts that it had read since it was last asked.
+    /// Prompt parts that it sent to prefill since the last period.
     pub prefilled_parts: Vec<PrefilledPart>,
     /// Engines that it has ordered to another stage.
     pub role_changes: Vec<PendingRoleChange>,
-    /// What callers ask of it.
+    /// The demand of its callers.
     pub demand: Vec<ServiceDemand>,
-    /// Fencing token of the last order that it gave, if it could give one now.
+    /// Fencing token of the last order that it gave; `None` if it could not give one now.
     pub last_order_token: Option<u64>,
-    /// Fencing token of its last call for the fleet, if it could make one now.
+    /// Fencing token of its last call for the fleet; `None` if it could not make one now.
     pub last_task_token: Option<u64>,
-    /// Time of day by its own clock, in ms since 1970.
+    /// Wall-clock time by its own clock, in ms since 1970.
     pub clock_ms: u64,
-    /// Time of day that it takes for the fleet's, in ms since 1970.
+    /// Its estimate of the fleet's wall-clock time, in ms since 1970.
     pub fleet_clock_ms: u64,
-    /// Where the list of upstreams stands.
+    /// Its position in the log of the list of upstreams.
     pub list_position: Option<LogPosition>,
-    /// Where the configuration stands.
+    /// Its position in the log of the configuration.
     pub config_position: Option<LogPosition>,
-    /// Requests that no upstream is to get any more.
+    /// Poison requests, which no upstream may get any more.
     pub poison: Vec<RequestKey>,
 }
 
-/// What a datagram changed.
+/// The effect of a datagram, or of expiry, on the load of peers.
 #[derive(Debug, Default)]
 pub struct ChangedLoads {
-    /// Upstreams at which others have something else outstanding than before.
+    /// Upstreams at which the load of peers has changed.
     pub upstreams: Vec<UpstreamKey>,
 }
 
@@ -68,13 +70,13 @@
     peer: SocketAddr,
     at_ms: u64,
     kind: MessageKind,
-    /// Whether it was told all there is since it came.
-    is_greeted: bool,
+    /// Whether it has been sent a full datagram since it appeared.
+    got_full_datagram: bool,
     loads: Loads,
     demand: Vec<ServiceDemand>,
     alive: Vec<InstanceKey>,
-    gives_after: Option<u64>,
-    holds_after: Option<u64>,
+    last_order_token: Option<u64>,
+    last_task_token: Option<u64>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -83,66 +85,78 @@
     since_ms: u64,
 }
 
-/// What others told, and what goes on to whom.
+/// Received gossip, and what waits to be sent or passed on.
 #[derive(Debug, Default)]
 pub struct GossipState {
     senders: HashMap<InstanceKey, Sender>,
     totals: Loads,
-    /// What all, and what those that report here and this instance had at the last period.
-    last_all: Loads,
-    last_sum: Loads,
-    /// Reads of those that report here, for the other hubs.
-    up: Vec<PrefilledPart>,
-    /// Reads of other hubs, for those that report here.
-    down: Vec<PrefilledPart>,
-    up_turning: Vec<PendingRoleChange>,
-    down_turning: Vec<PendingRoleChange>,
-    /// Fates that were seen here or by those that report here, for all.
-    up_fates: Repeated<FailureEvidence>,
-    /// Those that other hubs told of, for those that report here.
-    down_fates: Repeated<FailureEvidence>,
-    /// Limits of upstreams that were named here or to those that report here, for all.
-    up_limits: Repeated<UpstreamLimit>,
-    /// Those that other hubs told of, for those that report here.
-    down_limits: Repeated<UpstreamLimit>,
-    joined: Vec<(u64, Member)>,
-    news: RecentChanges,
+    /// The loads of the whole fleet (`last_fleet_loads`), and of this instance and its reporters
+    /// (`last_sum_loads`), as of the last period.
+    last_fleet_loads: Loads,
+    last_sum_loads: Loads,
+    /// Prompt parts from reporters, for the other hubs.
+    up_parts: Vec<PrefilledPart>,
+    /// Prompt parts from other hubs, for the reporters.
+    down_parts: Vec<PrefilledPart>,
+    up_role_changes: Vec<PendingRoleChange>,
+    down_role_changes: Vec<PendingRoleChange>,
+    /// Evidence seen here or by reporters, for all.
+    up_evidence: ResendQueue<FailureEvidence>,
+    /// Evidence from other hubs, for the reporters.
+    down_evidence: ResendQueue<FailureEvidence>,
+    /// Limits that upstreams named to this instance or its reporters, for all.
+    up_limits: ResendQueue<UpstreamLimit>,
+    /// Limits from other hubs, for the reporters.
+    down_limits: ResendQueue<UpstreamLimit>,
+    recent_members: Vec<(u64, Member)>,
+    list_changes: RecentChanges,
     hub: Option<Hub>,
-    avoided: HashMap<InstanceKey, u64>,
+    avoided_hubs: HashMap<InstanceKey, u64>,
     ticks: u64,
-    last_own: Vec<(UpstreamKey, Load)>,
+    last_own_loads: Vec<(UpstreamKey, Load)>,
 }
 
 impl GossipState {
-    /// A datagram came; its reads, members and news are the caller's to take in as well.
-    pub fn receive(&mut self, now_ms: u64, told: &GossipMessage, peer: SocketAddr) -> ChangedLoads {
-        let is_hub = self.hub.is_some_and(|hub| hub.key == told.from);
-        if told.kind == MessageKind::Digest && !is_hub {
+    /// Takes in a datagram. The caller must take in its prompt parts, members and list changes as
+    /// well.
+    pub fn receive(
+        &mut self,
+        now_ms: u64,
+        message: &GossipMessage,
+        peer: SocketAddr,
+    ) -> ChangedLoads {
+        let is_hub = self.hub.is_some_and(|hub| hub.key == message.from);
+        if message.kind == MessageKind::Digest && !is_hub {
             return ChangedLoads::default();
         }
         let mut changed = Vec::new();
-        if told.kind == MessageKind::Digest {
-            self.drop_other_digests(told.from, &mut changed);
+        if message.kind == MessageKind::Digest {
+            self.drop_other_digests(message.from, &mut changed);
         }
-        let (reads, turning) = match told.kind {
-            MessageKind::Report => (Some(&mut self.up), Some(&mut self.up_turning)),
-            MessageKind::Sum => (Some(&mut self.down), Some(&mut self.down_turning)),
+        let (parts, role_changes) = match message.kind {
+            MessageKind::Report => (Some(&mut self.up_parts), Some(&mut self.up_role_changes)),
+            MessageKind::Sum => (
+                Some(&mut self.down_parts),
+                Some(&mut self.down_role_changes),
+            ),
             MessageKind::Digest => (None, None),
         };
-        if let Some(reads) = reads {
-            reads.extend(&told.prefilled_parts);
+        if let Some(parts) = parts {
+            parts.extend(&message.prefilled_parts);
         }
-        if let Some(turning) = turning {
-            turning.extend(&told.role_changes);
+        if let Some(role_changes) = role_changes {
+            role_changes.extend(&message.role_changes);
         }
-        let before = self.senders.remove(&told.from);
+        let before = self.senders.remove(&message.from);
         let mut sender = Sender {
             peer,
             at_ms: now_ms,
-            kind: told.kind,
-            is_greeted: before.as_ref().is_some_and(|before| before.is_greeted),
-            gives_after: told.last_order_token,
-            holds_after: told.last_task_token,
+            kind: message.kind,
+            got_full_datagram: before
+                .as_ref()
+                .is_some_and(|before| before.got_full_datagram),
+            last_order_token: message.last_order_token,
+            last_task_token: message.last_task_token,
             loads: Loads::new(),
             demand: Vec::new(),
             alive: Vec::new(),
@@ -152,28 +166,28 @@
             sender.demand = before.demand;
             sender.alive = before.alive;
         }
-        // Those that live and what is asked come with each few datagrams only, and hold until then.
-        if !told.alive.is_empty() {
-            sender.alive.clone_from(&told.alive);
-            sender.demand.clone_from(&told.demand);
+        // Not every datagram has these two; the last ones received hold until the next.
+        if !message.alive.is_empty() {
+            sender.alive.clone_from(&message.alive);
+            sender.demand.clone_from(&message.demand);
         }
-        self.take_loads(&mut sender.loads, told, &mut changed);
-        self.senders.insert(told.from, sender);
+        self.update_loads(&mut sender.loads, message, &mut changed);
+        self.senders.insert(message.from, sender);
         ChangedLoads { upstreams: changed }
     }
 
-    /// Takes over what a sender has now, in its own loads and in the totals.
-    fn take_loads(
+    /// Updates a sender's loads and the totals from a datagram.
+    fn update_loads(
         &mut self,
         loads: &mut Loads,
-        told: &GossipMessage,
+        message: &GossipMessage,
         changed: &mut Vec<UpstreamKey>,
     ) {
-        if told.is_full {
-            let named: HashSet<UpstreamKey> = told.loads.iter().map(|(key, _)| *key).collect();
+        if message.is_full {
+            let listed: HashSet<UpstreamKey> = message.loads.iter().map(|(key, _)| *key).collect();
             let gone: Vec<UpstreamKey> = loads
                 .keys()
-                .filter(|key| !named.contains(key))
+                .filter(|key| !listed.contains(key))
                 .copied()
                 .collect();
             for key in gone {
@@ -182,7 +196,7 @@
                 changed.push(key);
             }
         }
-        for (key, load) in &told.loads {
+        for (key, load) in &message.loads {
             let old = if load.is_empty() {
                 loads.remove(key)
             } else {
@@ -202,7 +216,7 @@
         }
     }
 
-    /// Drops what is too old to count.
+    /// Drops senders whose load is too old to count.
     pub fn expire(&mut self, now_ms: u64) -> ChangedLoads {
         let is_old = |sender: &Sender| sender.at_ms + STALE_AFTER_MS < now_ms;
         let old: Vec<InstanceKey> = self
@@ -234,7 +248,7 @@
             .filter(move |(_, sender)| sender.kind == kind)
     }
 
-    /// What a former hub told would be counted beside what the present one does.
+    /// Drops the digests of former hubs, whose load would be counted twice.
     fn drop_other_digests(&mut self, hub: InstanceKey, changed: &mut Vec<UpstreamKey>) {
         let others: Vec<InstanceKey> = self
             .of_kind(MessageKind::Digest)
@@ -246,17 +260,17 @@
         }
     }
 
-    /// What others have outstanding at an upstream.
+    /// Outstanding load of peers at an upstream.
     pub fn load(&self, upstream: UpstreamKey) -> Load {
         self.totals.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Whether somebody speaks for the others.
+    /// Whether any gossip has been received that still counts.
     pub fn has_senders(&self) -> bool {
         !self.senders.is_empty()
     }
 
-    /// What callers ask of the others.
+    /// Demand of the callers of all peers.
     pub fn demand(&self) -> Vec<ServiceDemand> {
         let mut sum = Vec::new();
         for sender in self.senders.values() {
@@ -265,21 +279,22 @@
         sum
     }
 
-    /// Other hubs that could give orders now, each with the token of the last that it gave.
+    /// Peers that could give orders to engines now, each with the fencing token of its last order.
     pub fn order_candidates(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
         self.senders
             .iter()
-            .filter_map(|(key, sender)| Some((*key, sender.gives_after?)))
+            .filter_map(|(key, sender)| Some((*key, sender.last_order_token?)))
     }
 
-    /// Other instances that could make calls for the fleet now, each with the token of its last.
+    /// Peers that could make calls for the fleet now, each with the fencing token of its last call.
     pub fn task_candidates(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
         self.senders
             .iter()
-            .filter_map(|(key, sender)| Some((*key, sender.holds_after?)))
+            .filter_map(|(key, sender)| Some((*key, sender.last_task_token?)))
     }
 
-    /// Where an instance is that knows what the others tell: the own hub, or another one.
+    /// Address of a peer that receives the gossip of the fleet: this instance's hub, or another
+    /// hub.
     pub fn informed_peer(&self) -> Option<SocketAddr> {
         let hub = self.hub.and_then(|hub| self.senders.get(&hub.key));
         let hubs = self
@@ -290,43 +305,45 @@
             .map(|sender| sender.peer)
     }
 
-    /// A change of the list of upstreams was read or heard of.
-    pub fn add_list_change(&mut self, now_ms: u64, news: GossipedChange) {
-        self.news.add(now_ms, news);
+    /// Adds a change to the list of upstreams that was read or received.
+    pub fn add_list_change(&mut self, now_ms: u64, change: GossipedChange) {
+        self.list_changes.add(now_ms, change);
     }
 
-    /// Something became of a request here, which the others do not know.
-    pub fn add_evidence(&mut self, fate: FailureEvidence) {
-        self.up_fates.add(fate);
+    /// Adds evidence that was seen here and is new to peers.
+    pub fn add_evidence(&mut self, evidence: FailureEvidence) {
+        self.up_evidence.add(evidence);
     }
 
-    /// Something became of a request elsewhere that was not known here, and goes on to whom the sender's kind
-    /// does not reach.
-    pub fn forward_evidence(&mut self, fate: FailureEvidence, told_by: MessageKind) {
-        match told_by {
-            MessageKind::Report => self.up_fates.add(fate),
-            MessageKind::Sum => self.down_fates.add(fate),
+    /// Passes on evidence that was new here, to the instances that datagrams of its sender do not
+    /// reach.
+    pub fn forward_evidence(&mut self, evidence: FailureEvidence, sender_kind: MessageKind) {
+        match sender_kind {
+            MessageKind::Report => self.up_evidence.add(evidence),
+            MessageKind::Sum => self.down_evidence.add(evidence),
             MessageKind::Digest => {}
         }
     }
 
-    /// An upstream named its limit here, or names none any more.
+    /// Adds a limit that an upstream named to this instance, or its withdrawal.
     pub fn add_limit(&mut self, limit: UpstreamLimit) {
         self.up_limits.add(limit);
     }
 
-    /// A limit was told that was not known here, and goes on to whom the sender's kind does not reach.
-    pub fn forward_limit(&mut self, limit: UpstreamLimit, told_by: MessageKind) {
-        match told_by {
+    /// Passes on a limit that was new here, to the instances that datagrams of its sender do not
+    /// reach.
+    pub fn forward_limit(&mut self, limit: UpstreamLimit, sender_kind: MessageKind) {
+        match sender_kind {
             MessageKind::Report => self.up_limits.add(limit),
             MessageKind::Sum => self.down_limits.add(limit),
             MessageKind::Digest => {}
         }
     }
 
-    /// An instance has come or changed.
+    /// Adds the new or changed heartbeat record of an instance.
     pub fn add_member(&mut self, now_ms: u64, member: Member) {
-        self.joined.retain(|(_, known)| known.name != member.name);
-        self.joined.push((now_ms, member));
+        self.recent_members
+            .retain(|(_, known)| known.name != member.name);
+        self.recent_members.push((now_ms, member));
     }
 }
--- a/crates/view/src/gossip/outgoing.rs
+++ b/crates/view/src/gossip/outgoing.rs
@@ -1,4 +1,4 @@
-//! What an instance tells now, and whom.
+//! The datagrams that an instance sends, and their receivers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,29 +10,31 @@
     demand, hubs,
 };
 
-/// Periods for each datagram that says all there is, who lives and what is asked; the others say what
-/// changed, and an instance to which nothing happens sends none. So a lost one shows for a fifth of a
+/// Periods per full datagram, which has all loads, the live instances and the demand. The others
+/// have only changes, and an idle instance sends none. So a lost datagram shows for a fifth of a
 /// second, at half of the bytes.
-const WHOLE_PERIODS: u64 = 4;
+const FULL_DATAGRAM_PERIODS: u64 = 4;
 
-/// Periods for each list of those that live in what hubs tell each other: with a tenth of all datagrams lost
-/// nobody who lives is taken for gone for want of one.
-const SUM_ALIVE_PERIODS: u64 = 2;
+/// Periods per list of live instances between hubs. With a tenth of all datagrams lost, no live
+/// instance counts as gone for want of a list.
+const ALIVE_LIST_PERIODS: u64 = 2;
 
-/// Time without word from a hub after which another one is told, in ms: several of its datagrams.
+/// Time without a datagram from the hub after which another one is chosen, in ms: several
+/// datagrams.
 const HUB_LOST_MS: u64 = 400;
 
-/// Time for which a hub that fell silent is not chosen again, in ms.
-const AVOIDED_MS: u64 = 3_000;
+/// How long a hub that fell silent is not chosen again, in ms.
+const AVOID_HUB_MS: u64 = 3_000;
 
-/// Most reads of parts in one datagram: twice what two hundred engines have in a period in a rush.
-const MOST_READS: usize = 400;
+/// Most prompt parts, and most role changes, in one datagram: twice the prompt parts that two
+/// hundred engines get in a period at peak load.
+const MAX_ITEMS: usize = 400;
 
-/// Time for which an instance's own record is told on, in ms.
-const JOINED_MS: u64 = 500;
+/// How long the heartbeat record of an instance is sent again, in ms.
+const RESEND_MEMBER_MS: u64 = 500;
 
 impl GossipState {
-    /// What goes out now, and where to.
+    /// Returns the datagrams of this period with their receivers.
     pub fn tick(
         &mut self,
         now_ms: u64,
@@ -40,25 +42,27 @@
         ranks: &HubRanking,
     ) -> Vec<(SocketAddr, GossipMessage)> {
         self.ticks += 1;
-        // The first empty datagram clears what others hold against this instance; further ones only say
-        // that it lives.
-        let is_news = own.loads != self.last_own
+        // The first empty datagram clears the load that peers count for this instance. Further ones
+        // would only show that it is alive.
+        let has_changes = own.loads != self.last_own_loads
             || !own.prefilled_parts.is_empty()
             || !own.role_changes.is_empty();
-        let is_news = is_news || !self.up_fates.is_empty() || !self.down_fates.is_empty();
-        let is_news = is_news || !self.up_limits.is_empty() || !self.down_limits.is_empty();
-        let tells = is_news || self.ticks.is_multiple_of(WHOLE_PERIODS);
-        self.last_own.clone_from(&own.loads);
-        self.joined.retain(|(at_ms, _)| now_ms < at_ms + JOINED_MS);
-        let is_told = self
+        let has_changes =
+            has_changes || !self.up_evidence.is_empty() || !self.down_evidence.is_empty();
+        let has_changes = has_changes || !self.up_limits.is_empty() || !self.down_limits.is_empty();
+        let must_send = has_changes || self.ticks.is_multiple_of(FULL_DATAGRAM_PERIODS);
+        self.last_own_loads.clone_from(&own.loads);
+        self.recent_members
+            .retain(|(at_ms, _)| now_ms < at_ms + RESEND_MEMBER_MS);
+        let has_receivers = self
             .senders
             .values()
             .any(|it| it.kind != MessageKind::Digest);
-        if ranks.is_hub() || is_told {
+        if ranks.is_hub() || has_receivers {
             self.hub = None;
-            self.gather(now_ms, &own, ranks, tells)
+            self.gather(now_ms, &own, ranks, must_send)
         } else {
-            self.report(now_ms, own, ranks, tells)
+            self.report(now_ms, own, ranks, must_send)
         }
     }
 
@@ -67,23 +71,23 @@
         now_ms: u64,
         own: LocalState,
         ranks: &HubRanking,
-        tells: bool,
+        must_send: bool,
     ) -> Vec<(SocketAddr, GossipMessage)> {
-        let Some(hub) = self.chosen(now_ms, &own.member, &ranks.hubs) else {
+        let Some(hub) = self.choose_hub(now_ms, &own.member, &ranks.hubs) else {
             return Vec::new();
         };
-        self.up.clear();
-        self.down.clear();
-        self.up_turning.clear();
-        self.down_turning.clear();
-        self.down_fates.clear();
+        self.up_parts.clear();
+        self.down_parts.clear();
+        self.up_role_changes.clear();
+        self.down_role_changes.clear();
+        self.down_evidence.clear();
         self.down_limits.clear();
         let is_new = self.hub.is_some_and(|hub| hub.since_ms == now_ms);
-        if !tells && !is_new {
+        if !must_send && !is_new {
             return Vec::new();
         }
-        let told = GossipMessage {
-            members: self.members_told(),
+        let message = GossipMessage {
+            members: self.members_to_send(),
             alive: ready_key(&own.member).into_iter().collect(),
             loads: own.loads,
             prefilled_parts: own.prefilled_parts,
@@ -91,28 +95,28 @@
             demand: own.demand,
             last_order_token: own.last_order_token,
             clock_ms: own.clock_ms,
-            evidence: self.up_fates.told(),
-            limits: self.up_limits.told(),
-            poison: self.poisonous_told(&own.poison),
+            evidence: self.up_evidence.next_batch(),
+            limits: self.up_limits.next_batch(),
+            poison: self.poison_to_send(&own.poison),
             ..GossipMessage::new(InstanceKey::of(&own.member.name), MessageKind::Report)
         };
-        vec![(hub, told)]
+        vec![(hub, message)]
     }
 
-    /// The hub that this instance reports to: the one that it has while that answers, else the nearest
-    /// of those that did not fall silent lately.
-    fn chosen(&mut self, now_ms: u64, own: &Member, hubs: &[Member]) -> Option<SocketAddr> {
-        self.avoided.retain(|_, until_ms| now_ms < *until_ms);
+    /// The hub to which this instance reports: the present one while it answers, otherwise the
+    /// nearest hub that has not fallen silent lately.
+    fn choose_hub(&mut self, now_ms: u64, own: &Member, hubs: &[Member]) -> Option<SocketAddr> {
+        self.avoided_hubs.retain(|_, until_ms| now_ms < *until_ms);
         if let Some(hub) = self.hub {
-            let heard_ms = self.senders.get(&hub.key).map_or(0, |sender| sender.at_ms);
-            let is_there = hubs.iter().find(|it| InstanceKey::of(&it.name) == hub.key);
-            let is_lost = now_ms > heard_ms.max(hub.since_ms) + HUB_LOST_MS;
-            match is_there {
+            let last_heard_ms = self.senders.get(&hub.key).map_or(0, |sender| sender.at_ms);
+            let hub_member = hubs.iter().find(|it| InstanceKey::of(&it.name) == hub.key);
+            let is_lost = now_ms > last_heard_ms.max(hub.since_ms) + HUB_LOST_MS;
+            match hub_member {
                 Some(member) if !is_lost => return member.gossip_address,
-                _ => self.avoided.insert(hub.key, now_ms + AVOIDED_MS),
+                _ => self.avoided_hubs.insert(hub.key, now_ms + AVOID_HUB_MS),
             };
         }
-        let is_avoided = |hub: &Member| self.avoided.contains_key(&InstanceKey::of(&hub.name));
+        let is_avoided = |hub: &Member| self.avoided_hubs.contains_key(&InstanceKey::of(&hub.name));
         let others: Vec<&Member> = hubs.iter().filter(|hub| !is_avoided(hub)).collect();
         let nearest = hubs::nearest(&own.name, &own.zone, &others)?;
         self.hub = Some(Hub {
@@ -127,14 +131,14 @@
         now_ms: u64,
         own: &LocalState,
         ranks: &HubRanking,
-        tells: bool,
+        must_send: bool,
     ) -> Vec<(SocketAddr, GossipMessage)> {
         let key = InstanceKey::of(&own.member.name);
         let reporters: Vec<(InstanceKey, SocketAddr)> = self
             .of_kind(MessageKind::Report)
             .map(|(key, sender)| (*key, sender.peer))
             .collect();
-        if !tells && reporters.is_empty() {
+        if !must_send && reporters.is_empty() {
             return Vec::new();
         }
         let hubs = self.other_hubs(key, &ranks.hubs);
@@ -142,12 +146,12 @@
         let mut out: Vec<(SocketAddr, GossipMessage)> =
             hubs.into_iter().map(|peer| (peer, sum.clone())).collect();
         for (reporter, peer) in reporters {
-            out.push((peer, self.without(&digest, reporter)));
+            out.push((peer, self.digest_for(&digest, reporter)));
         }
         out
     }
 
-    /// Where the other hubs are: those that this instance takes for hubs, and those that act as such.
+    /// Addresses of the other hubs: those that rank as hubs here, and those that send sums.
     fn other_hubs(&self, own: InstanceKey, hubs: &[Member]) -> HashSet<SocketAddr> {
         let known = hubs.iter().filter(|hub| InstanceKey::of(&hub.name) != own);
         let acting = self
@@ -159,61 +163,61 @@
             .collect()
     }
 
-    /// What this instance and those that report to it have, for the other hubs, and what all have, from
-    /// which the part of each receiver is still to be taken.
+    /// The load of this instance and its reporters, for the other hubs, and that of the whole
+    /// fleet, from which each receiver's own load is still to be subtracted.
     fn sum_and_digest(
         &mut self,
         now_ms: u64,
         own: &LocalState,
         key: InstanceKey,
     ) -> (GossipMessage, GossipMessage) {
-        let is_whole = self.ticks.is_multiple_of(WHOLE_PERIODS);
+        let is_full = self.ticks.is_multiple_of(FULL_DATAGRAM_PERIODS);
         let mut loads: Loads = own.loads.iter().copied().collect();
         let mut all = self.totals.clone();
         add_all(&mut all, &loads);
         for (_, sender) in self.of_kind(MessageKind::Report) {
             add_all(&mut loads, &sender.loads);
         }
-        let told = GossipMessage {
-            is_full: is_whole,
-            members: self.members_told(),
+        let message = GossipMessage {
+            is_full,
+            members: self.members_to_send(),
             last_order_token: own.last_order_token,
             last_task_token: own.last_task_token,
             clock_ms: own.clock_ms,
             list_position: own.list_position,
             config_position: own.config_position,
-            list_changes: self.news.to_send(now_ms),
-            evidence: self.up_fates.told(),
-            limits: self.up_limits.told(),
-            poison: self.poisonous_told(&own.poison),
+            list_changes: self.list_changes.to_send(now_ms),
+            evidence: self.up_evidence.next_batch(),
+            limits: self.up_limits.next_batch(),
+            poison: self.poison_to_send(&own.poison),
             ..GossipMessage::new(key, MessageKind::Sum)
         };
         let mut sum = GossipMessage {
-            loads: changes(&loads, &mut self.last_sum, is_whole),
-            prefilled_parts: taken(&mut self.up, &own.prefilled_parts),
-            role_changes: taken(&mut self.up_turning, &own.role_changes),
-            ..told.clone()
+            loads: changed_loads(&loads, &mut self.last_sum_loads, is_full),
+            prefilled_parts: drain_with(&mut self.up_parts, &own.prefilled_parts),
+            role_changes: drain_with(&mut self.up_role_changes, &own.role_changes),
+            ..message.clone()
         };
         let mut digest = GossipMessage {
             kind: MessageKind::Digest,
             clock_ms: own.fleet_clock_ms,
             last_task_token: None,
-            loads: changes(&all, &mut self.last_all, is_whole),
-            prefilled_parts: taken(&mut self.down, &sum.prefilled_parts),
-            role_changes: taken(&mut self.down_turning, &sum.role_changes),
-            ..told
+            loads: changed_loads(&all, &mut self.last_fleet_loads, is_full),
+            prefilled_parts: drain_with(&mut self.down_parts, &sum.prefilled_parts),
+            role_changes: drain_with(&mut self.down_role_changes, &sum.role_changes),
+            ..message
         };
-        digest.evidence.extend(self.down_fates.told());
-        digest.limits.extend(self.down_limits.told());
+        digest.evidence.extend(self.down_evidence.next_batch());
+        digest.limits.extend(self.down_limits.next_batch());
         let (alive, demand) = self.alive(own, MessageKind::Report);
-        if is_whole {
+        if is_full {
             (digest.alive, digest.demand) = self.alive(own, MessageKind::Sum);
             digest.alive.extend(&alive);
             demand::add(&mut digest.demand, &demand);
-            demand::take(&mut digest.demand, &own.demand);
+            demand::subtract(&mut digest.demand, &own.demand);
         }
-        if self.ticks.is_multiple_of(SUM_ALIVE_PERIODS) {
-            // Who missed another hub learns of it by those that hear it.
+        if self.ticks.is_multiple_of(ALIVE_LIST_PERIODS) {
+            // A hub that missed the sum of another hub learns from the others that it is alive.
             let hubs = self.of_kind(MessageKind::Sum);
             let hubs = hubs.filter_map(|(_, hub)| hub.alive.first());
             sum.alive = alive.into_iter().chain(hubs.copied()).collect();
@@ -222,7 +226,7 @@
         (sum, digest)
     }
 
-    /// Those that live, and what is asked of them, by the word of senders of one kind and of this instance.
+    /// Live instances and their demand, as senders of one kind and this instance see them.
     fn alive(&self, own: &LocalState, kind: MessageKind) -> (Vec<InstanceKey>, Vec<ServiceDemand>) {
         let mut alive: Vec<InstanceKey> = ready_key(&own.member).into_iter().collect();
         let mut demand = own.demand.clone();
@@ -233,37 +237,37 @@
         (alive, demand)
     }
 
-    /// A digest for one that reported, without its own part; all there is if it has just come.
-    fn without(&mut self, digest: &GossipMessage, receiver: InstanceKey) -> GossipMessage {
-        let mut told = digest.clone();
+    /// The digest for one reporter, without its own load; a full one if the reporter is new.
+    fn digest_for(&mut self, digest: &GossipMessage, receiver: InstanceKey) -> GossipMessage {
+        let mut message = digest.clone();
         let Some(sender) = self.senders.get_mut(&receiver) else {
-            return told;
+            return message;
         };
-        if !std::mem::replace(&mut sender.is_greeted, true) {
-            told.is_full = true;
-            told.loads = self
-                .last_all
+        if !std::mem::replace(&mut sender.got_full_datagram, true) {
+            message.is_full = true;
+            message.loads = self
+                .last_fleet_loads
                 .iter()
                 .map(|(key, load)| (*key, *load))
                 .collect();
         }
-        for (upstream, load) in &mut told.loads {
+        for (upstream, load) in &mut message.loads {
             if let Some(part) = sender.loads.get(upstream) {
                 load.subtract(part);
             }
         }
-        demand::take(&mut told.demand, &sender.demand);
-        told
+        demand::subtract(&mut message.demand, &sender.demand);
+        message
     }
 
-    /// Poisonous requests, with the datagrams that say all there is.
-    fn poisonous_told(&self, own: &[RequestKey]) -> Vec<RequestKey> {
-        let is_told = self.ticks.is_multiple_of(WHOLE_PERIODS);
-        own.iter().filter(|_| is_told).copied().collect()
+    /// Poison requests, which only full datagrams carry.
+    fn poison_to_send(&self, own: &[RequestKey]) -> Vec<RequestKey> {
+        let is_full = self.ticks.is_multiple_of(FULL_DATAGRAM_PERIODS);
+        own.iter().filter(|_| is_full).copied().collect()
     }
 
-    fn members_told(&self) -> Vec<Member> {
-        self.joined
+    fn members_to_send(&self) -> Vec<Member> {
+        self.recent_members
             .iter()
             .map(|(_, member)| member.clone())
             .collect()
@@ -276,28 +280,28 @@
     }
 }
 
-/// All loads, or those that differ from what they were, which are then noted.
-fn changes(now: &Loads, last: &mut Loads, is_whole: bool) -> Vec<(UpstreamKey, Load)> {
-    let is_changed = |(key, load): &(&UpstreamKey, &Load)| is_whole || last.get(key) != Some(load);
-    let mut told: Vec<(UpstreamKey, Load)> = now
+/// All loads, or those that differ from `last`. Replaces `last`.
+fn changed_loads(now: &Loads, last: &mut Loads, is_full: bool) -> Vec<(UpstreamKey, Load)> {
+    let is_changed = |(key, load): &(&UpstreamKey, &Load)| is_full || last.get(key) != Some(load);
+    let mut changed: Vec<(UpstreamKey, Load)> = now
         .iter()
         .filter(is_changed)
         .map(|(key, load)| (*key, *load))
         .collect();
-    if !is_whole {
+    if !is_full {
         let gone = last.keys().filter(|key| !now.contains_key(key));
-        told.extend(gone.map(|key| (*key, Load::default())));
+        changed.extend(gone.map(|key| (*key, Load::default())));
     }
     last.clone_from(now);
-    told
+    changed
 }
 
-/// What waits to be told on, and this instance's own.
-fn taken<T: Copy>(waiting: &mut Vec<T>, own: &[T]) -> Vec<T> {
-    let mut told = std::mem::take(waiting);
-    told.extend(own);
-    told.truncate(MOST_READS);
-    told
+/// Drains what waits to be passed on, and appends this instance's own.
+fn drain_with<T: Copy>(waiting: &mut Vec<T>, own: &[T]) -> Vec<T> {
+    let mut items = std::mem::take(waiting);
+    items.extend(own);
+    items.truncate(MAX_ITEMS);
+    items
 }
 
 fn ready_key(member: &Member) -> Option<InstanceKey> {
--- a/crates/view/src/gossip/resend.rs
+++ b/crates/view/src/gossip/resend.rs
@@ -1,21 +1,21 @@
-//! What is told in several datagrams in a row, so that a lost one does not show.
+//! Items that are sent in several consecutive datagrams, so that a lost one does not matter.
 
 use std::collections::VecDeque;
 
-/// Datagrams in which each is told: with a tenth of them lost, one instance in a thousand misses it.
-const TIMES: u8 = 3;
+/// Datagrams that carry each item. With a tenth of them lost, one instance in a thousand misses it.
+const SENDS_PER_ITEM: u8 = 3;
 
-/// Most that one datagram tells, some 15 bytes each. What hundreds of engines leave that end at once goes out in a
-/// few tenths of a second, without filling the slowest links.
-const MOST: usize = 128;
+/// Most items in one datagram, about 15 bytes each. The evidence of hundreds of engines that end at
+/// once goes out within some tenths of a second and does not fill the slowest links.
+const MAX_ITEMS_PER_MESSAGE: usize = 128;
 
-/// Things to be told, the longest waiting first.
+/// Items to be sent, the longest waiting first.
 #[derive(Debug)]
-pub struct Repeated<T> {
+pub struct ResendQueue<T> {
     waiting: VecDeque<(T, u8)>,
 }
 
-impl<T> Default for Repeated<T> {
+impl<T> Default for ResendQueue<T> {
     fn default() -> Self {
         Self {
             waiting: VecDeque::new(),
@@ -23,29 +23,29 @@
     }
 }
 
-impl<T: Copy> Repeated<T> {
-    /// One more.
-    pub fn add(&mut self, thing: T) {
-        self.waiting.push_back((thing, TIMES));
+impl<T: Copy> ResendQueue<T> {
+    /// Queues an item.
+    pub fn add(&mut self, item: T) {
+        self.waiting.push_back((item, SENDS_PER_ITEM));
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether no item is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Nobody is left to be told.
+    /// Drops all items, where there is no receiver left.
     pub fn clear(&mut self) {
         self.waiting.clear();
     }
 
-    /// What goes into a datagram now.
-    pub fn told(&mut self) -> Vec<T> {
-        let count = self.waiting.len().min(MOST);
-        let now: Vec<(T, u8)> = self.waiting.drain(..count).collect();
-        let again = now.iter().filter(|(_, times)| *times > 1);
+    /// The items for the next datagram.
+    pub fn next_batch(&mut self) -> Vec<T> {
+        let count = self.waiting.len().min(MAX_ITEMS_PER_MESSAGE);
+        let batch: Vec<(T, u8)> = self.waiting.drain(..count).collect();
+        let remaining = batch.iter().filter(|(_, sends_left)| *sends_left > 1);
         self.waiting
-            .extend(again.map(|(thing, times)| (*thing, times - 1)));
-        now.into_iter().map(|(thing, _)| thing).collect()
+            .extend(remaining.map(|(item, sends_left)| (*item, sends_left - 1)));
+        batch.into_iter().map(|(item, _)| item).collect()
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,10 +1,12 @@
-//! What instances tell each other, and what each believes by it.
+//! Gossip between instances, and what each instance believes about upstreams and its peers.
 //!
-//! An instance sees one request in some hundreds, and decides well only if it knows what the others
-//! have sent where. Nobody tells everybody: some instances, the hubs, gather what those around them
-//! have outstanding, exchange sums, and give each of theirs the rest of the fleet back. All of it is
-//! advice: a hub that is gone, slow or wrong costs accuracy for some tenths of a second and no
-//! promise. Nothing here does input or output. See docs/design/views.md.
+//! An instance sees about one request in several hundred, so it can only choose upstreams well if
+//! it knows what its peers have in flight. Instances do not all send to each other. Some of them,
+//! the hubs, add up what the instances around them have outstanding, exchange the sums, and send
+//! each of their instances the load of the rest of the fleet.
+//!
+//! All of it is advisory: a hub that is gone, slow or wrong costs accuracy for some tenths of a
+//! second and breaks no guarantee. Nothing here does I/O. See docs/design/views.md.
 
 mod clock;
 pub mod demand;
--- a/crates/view/src/message.rs
+++ b/crates/view/src/message.rs
@@ -1,8 +1,8 @@
-//! One datagram of what an instance tells another, and its form on the wire.
+//! The gossip datagram and its wire format.
 //!
-//! Upstreams and instances are named by short keys and figures take as few bytes as they need, since
-//! datagrams are most of what crosses zones. A form that this process does not know is passed over, as a
-//! lost datagram would be: a change of version goes through all instances within seconds.
+//! Upstreams and instances have short keys and integers a variable length, because datagrams are
+//! most of the traffic between zones. A datagram in an unknown format is ignored like a lost one; a
+//! change of version takes only seconds to pass through all instances.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -12,125 +12,128 @@
     RequestKey, ServiceDemand, Stage, UpstreamKey, WorkspaceKey,
 };
 
-/// First byte of a datagram; another form has another one.
-const FORM: u8 = 7;
+/// Version of the wire format, in the first byte of each datagram.
+const FORMAT: u8 = 7;
 
-/// What a datagram speaks for.
+/// Whose state a datagram describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// One instance, to its hub.
+    /// One instance; sent to its hub.
     Report,
-    /// A hub and those that report to it, to the other hubs.
+    /// A hub and its reporters; sent to the other hubs.
     Sum,
-    /// All but the receiver, from its hub.
+    /// The whole fleet except the receiver; sent by its hub.
     Digest,
 }
 
-/// How far an upstream has come with a prompt part.
+/// Progress of an upstream with the prefill of a prompt part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PrefillProgress {
-    /// It was asked to read it.
+    /// The part was sent to the upstream.
     Begun,
-    /// It has read it.
+    /// The upstream has processed the part.
     Done,
 }
 
-/// A prompt part that an upstream has read or is reading.
+/// A prompt part that an upstream has processed or is processing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefilledPart {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// The part.
+    /// Hash that identifies the part.
     pub part: u64,
-    /// Its length.
+    /// Length of the part in tokens.
     pub tokens: u32,
-    /// How far the upstream has come with it.
+    /// How far the upstream has come.
     #[serde(rename = "reading")]
     pub progress: PrefillProgress,
 }
 
-/// An engine that was ordered to another stage.
+/// An engine that was ordered to change its role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingRoleChange {
     /// The engine.
     pub upstream: UpstreamKey,
-    /// What it is to do.
+    /// The stage that it changes to.
     pub stage: Stage,
-    /// Time for which it gets no work, unless the list says before that it is there, in ms.
+    /// How long it still gets no work, in ms, unless the list shows its new stage before.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u32,
 }
 
-/// How many requests a second an upstream takes from all instances together.
+/// How many requests a second an upstream accepts from all instances together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamLimit {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Requests a second; nothing if it names no limit any more.
+    /// Requests a second; `None` if the upstream no longer names a limit.
     pub per_s: Option<f64>,
-    /// When it said so, in ms since 1970; the latest word counts.
+    /// When the upstream said so, in ms since 1970. The latest statement counts.
     pub at_ms: u64,
 }
 
-/// Requests of workspaces that began to run in one window of time, as one instance has counted them so far.
+/// Requests of each workspace that started in one time window, as one instance has counted them so
+/// far.
 ///
-/// It only grows, so the greatest that was heard counts, however many datagrams were lost or came twice.
+/// Counts only grow, so the largest tally received is the valid one, however many datagrams were
+/// lost or duplicated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Life of the instance: a restarted one counts anew.
+    /// Number of the instance's incarnation; a restarted instance counts from zero.
     #[serde(rename = "origin")]
     pub incarnation: u32,
     /// Number of the window.
     pub window: u64,
-    /// Requests by workspace.
+    /// Started requests by workspace.
     pub counts: Vec<(WorkspaceKey, u32)>,
 }
 
-/// One datagram.
+/// A gossip datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipMessage {
-    /// Who tells.
+    /// The sender.
     pub from: InstanceKey,
-    /// Whom it speaks for.
+    /// Whose state it describes.
     pub kind: MessageKind,
-    /// Whether what is told is all there is; else it is what changed since the datagram before.
+    /// Whether `loads` has all loads, or only those that changed since the previous datagram.
     pub is_full: bool,
-    /// What they have outstanding, nothing at all included where that is a change.
+    /// Outstanding load by upstream; an empty load says that nothing is outstanding any more.
     pub loads: Vec<(UpstreamKey, Load)>,
-    /// Parts that they had read lately.
+    /// Prompt parts sent to prefill lately.
     pub prefilled_parts: Vec<PrefilledPart>,
-    /// Engines that they have ordered to another stage.
+    /// Engines that were ordered to change their role.
     pub role_changes: Vec<PendingRoleChange>,
-    /// What callers ask of them.
+    /// Demand of their callers.
     pub demand: Vec<ServiceDemand>,
-    /// Those that are ready and were heard of lately.
+    /// Ready instances that were heard from lately.
     pub alive: Vec<InstanceKey>,
-    /// Instances that the receiver may not know, or not as they are now.
+    /// Heartbeat records that may be new to the receiver.
     pub members: Vec<Member>,
-    /// Fencing token of the last order that the sender gave, if it could give one now.
+    /// Fencing token of the sender's last order; `None` if it could not give one now.
     pub last_order_token: Option<u64>,
-    /// Where the list of upstreams stands.
+    /// The sender's position in the log of the list of upstreams.
     pub list_position: Option<LogPosition>,
-    /// Where the configuration stands.
+    /// The sender's position in the log of the configuration.
     pub config_position: Option<LogPosition>,
-    /// Changes of the list of upstreams.
+    /// Recent changes to the list of upstreams.
     pub list_changes: Vec<GossipedChange>,
-    /// What became of requests whose upstreams broke off.
+    /// Evidence for failure attribution.
     pub evidence: Vec<FailureEvidence>,
-    /// Requests that no upstream is to get any more.
+    /// Poison requests, which no upstream may get any more.
     pub poison: Vec<RequestKey>,
-    /// Limits that upstreams named lately, or name no more.
+    /// Limits that upstreams named or withdrew lately.
     pub limits: Vec<UpstreamLimit>,
-    /// Time of day: the sender's own, or in a digest what its hub takes for the fleet's, in ms since 1970.
+    /// Wall-clock time in ms since 1970: the sender's own, or in a digest the hub's estimate of the
+    /// fleet's.
     pub clock_ms: u64,
-    /// Fencing token of the sender's last call for the fleet, if it could make one now.
+    /// Fencing token of the sender's last call for the fleet; `None` if it could not make one now.
     pub last_task_token: Option<u64>,
-    /// What ran for whom.
+    /// Usage counts that changed lately.
     pub tallies: Vec<Tally>,
 }
 
 impl GossipMessage {
-    /// A datagram that says nothing yet.
+    /// A full datagram without any content.
     pub fn new(from: InstanceKey, kind: MessageKind) -> Self {
         Self {
             from,
@@ -156,18 +159,18 @@
     }
 }
 
-/// Why a datagram cannot be used.
+/// Why a datagram cannot be decoded or encoded.
 #[derive(Debug, Display, Error)]
 pub enum MessageError {
-    /// It is of a form that this process does not know.
-    #[display("form {form:?} is not known")]
-    Form {
-        /// Its first byte, if it has any.
-        form: Option<u8>,
+    /// Its wire format is unknown to this process.
+    #[display("unknown datagram format {format:?}")]
+    UnknownFormat {
+        /// The first byte; `None` if the datagram is empty.
+        format: Option<u8>,
     },
-    /// It cannot be read or written.
+    /// Its content is malformed.
     #[display("{_0}")]
-    Broken(postcard::Error),
+    Malformed(postcard::Error),
 }
 
 #[derive(Serialize, Deserialize)]
@@ -179,77 +182,87 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct WireTold {
+struct WireMessage {
     from: InstanceKey,
     kind: MessageKind,
-    is_whole: bool,
+    #[serde(rename = "is_whole")]
+    is_full: bool,
     loads: Vec<WireLoad>,
-    reads: Vec<PrefilledPart>,
-    turning: Vec<PendingRoleChange>,
+    #[serde(rename = "reads")]
+    prefilled_parts: Vec<PrefilledPart>,
+    #[serde(rename = "turning")]
+    role_changes: Vec<PendingRoleChange>,
     demand: Vec<ServiceDemand>,
     alive: Vec<InstanceKey>,
     members: Vec<Member>,
-    gives_after: Option<u64>,
-    list: Option<LogPosition>,
-    config: Option<LogPosition>,
-    news: Vec<GossipedChange>,
-    fates: Vec<FailureEvidence>,
-    poisonous: Vec<RequestKey>,
+    #[serde(rename = "gives_after")]
+    last_order_token: Option<u64>,
+    #[serde(rename = "list")]
+    list_position: Option<LogPosition>,
+    #[serde(rename = "config")]
+    config_position: Option<LogPosition>,
+    #[serde(rename = "news")]
+    list_changes: Vec<GossipedChange>,
+    #[serde(rename = "fates")]
+    evidence: Vec<FailureEvidence>,
+    #[serde(rename = "poisonous")]
+    poison: Vec<RequestKey>,
     limits: Vec<UpstreamLimit>,
     clock_ms: u64,
-    holds_after: Option<u64>,
+    #[serde(rename = "holds_after")]
+    last_task_token: Option<u64>,
     tallies: Vec<Tally>,
 }
 
-/// Writes a datagram.
-pub fn encode(told: GossipMessage) -> Result<Vec<u8>, MessageError> {
-    postcard::to_extend(&WireTold::from(told), vec![FORM]).map_err(MessageError::Broken)
+/// Encodes a datagram.
+pub fn encode(message: GossipMessage) -> Result<Vec<u8>, MessageError> {
+    postcard::to_extend(&WireMessage::from(message), vec![FORMAT]).map_err(MessageError::Malformed)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 pub fn decode(bytes: &[u8]) -> Result<GossipMessage, MessageError> {
-    let form = bytes.first().copied();
-    if form != Some(FORM) {
-        return Err(MessageError::Form { form });
+    let format = bytes.first().copied();
+    if format != Some(FORMAT) {
+        return Err(MessageError::UnknownFormat { format });
     }
-    let wire: WireTold = postcard::from_bytes(&bytes[1..]).map_err(MessageError::Broken)?;
+    let wire: WireMessage = postcard::from_bytes(&bytes[1..]).map_err(MessageError::Malformed)?;
     Ok(wire.into())
 }
 
-impl From<GossipMessage> for WireTold {
-    fn from(told: GossipMessage) -> Self {
-        let loads = told.loads.iter().map(|(upstream, load)| WireLoad {
+impl From<GossipMessage> for WireMessage {
+    fn from(message: GossipMessage) -> Self {
+        let loads = message.loads.iter().map(|(upstream, load)| WireLoad {
             upstream: *upstream,
             requests: load.requests,
             context: load.context,
-            queue: waiting(&load.queue),
+            queue: tokens_by_rank(&load.queue),
         });
         Self {
             loads: loads.collect(),
-            from: told.from,
-            kind: told.kind,
-            is_whole: told.is_full,
-            reads: told.prefilled_parts,
-            turning: told.role_changes,
-            demand: told.demand,
-            alive: told.alive,
-            members: told.members,
-            gives_after: told.last_order_token,
-            list: told.list_position,
-            config: told.config_position,
-            news: told.list_changes,
-            fates: told.evidence,
-            poisonous: told.poison,
-            limits: told.limits,
-            clock_ms: told.clock_ms,
-            holds_after: told.last_task_token,
-            tallies: told.tallies,
+            from: message.from,
+            kind: message.kind,
+            is_full: message.is_full,
+            prefilled_parts: message.prefilled_parts,
+            role_changes: message.role_changes,
+            demand: message.demand,
+            alive: message.alive,
+            members: message.members,
+            last_order_token: message.last_order_token,
+            list_position: message.list_position,
+            config_position: message.config_position,
+            list_changes: message.list_changes,
+            evidence: message.evidence,
+            poison: message.poison,
+            limits: message.limits,
+            clock_ms: message.clock_ms,
+            last_task_token: message.last_task_token,
+            tallies: message.tallies,
         }
     }
 }
 
-impl From<WireTold> for GossipMessage {
-    fn from(wire: WireTold) -> Self {
+impl From<WireMessage> for GossipMessage {
+    fn from(wire: WireMessage) -> Self {
         let loads = wire.loads.iter().map(|each| {
             let load = Load {
                 requests: each.requests,
@@ -262,28 +275,28 @@
             loads: loads.collect(),
             from: wire.from,
             kind: wire.kind,
-            is_full: wire.is_whole,
-            prefilled_parts: wire.reads,
-            role_changes: wire.turning,
+            is_full: wire.is_full,
+            prefilled_parts: wire.prefilled_parts,
+            role_changes: wire.role_changes,
             demand: wire.demand,
             alive: wire.alive,
             members: wire.members,
-            last_order_token: wire.gives_after,
-            list_position: wire.list,
-            config_position: wire.config,
-            list_changes: wire.news,
-            evidence: wire.fates,
-            poison: wire.poisonous,
+            last_order_token: wire.last_order_token,
+            list_position: wire.list_position,
+            config_position: wire.config_position,
+            list_changes: wire.list_changes,
+            evidence: wire.evidence,
+            poison: wire.poison,
             limits: wire.limits,
             clock_ms: wire.clock_ms,
-            last_task_token: wire.holds_after,
+            last_task_token: wire.last_task_token,
             tallies: wire.tallies,
         }
     }
 }
 
-/// The ranks at which something waits.
-fn waiting(queue: &PrefillQueue) -> Vec<(u8, u32)> {
+/// Waiting tokens by rank, without the empty ranks.
+fn tokens_by_rank(queue: &PrefillQueue) -> Vec<(u8, u32)> {
     (0..RANKS as u8)
         .map(|rank| (rank, queue.at(rank).round() as u32))
         .filter(|(_, tokens)| *tokens > 0)
--- a/crates/view/tests/message.rs
+++ b/crates/view/tests/message.rs
@@ -103,8 +103,8 @@
     newer[0] += 1;
     let cut = &bytes[..bytes.len() - 1];
     for (bytes, why) in [
-        (&newer[..], "form Some(8) is not known"),
-        (&[][..], "form None is not known"),
+        (&newer[..], "unknown datagram format Some(8)"),
+        (&[][..], "unknown datagram format None"),
         (cut, "Hit the end of buffer, expected more data"),
     ] {
         assert_eq!(decode(bytes).unwrap_err().to_string(), why);
