--- a/crates/duty/src/ledger.rs
+++ b/crates/duty/src/ledger.rs
@@ -1,44 +1,47 @@
-//! What ran for whom, as this instance and others have counted it.
+//! Usage counts of this instance and of its peers.
 //!
-//! Failure: six in ten instances are killed at once, and what they alone knew is in no report. So each tells what it has
-//! counted several times a second to its hub, and hubs tell all that was reported to them to the few instances that may
-//! report it. Tallies only grow and carry the life that counted them: one that comes twice, late or by two ways counts
-//! once, and a restarted instance adds to what its life before had told.
+//! Most instances may be killed at once, and counts that only they had would be in no report. So
+//! each instance sends its counts to its hub several times a second, and hubs send what was
+//! reported to them to the few instances that may report usage. Counts of an incarnation only grow,
+//! and a tally names its incarnation. So a tally that arrives twice, late or by two ways counts
+//! once, and a restarted instance adds to what its previous incarnation sent.
 
 use std::collections::{BTreeMap, HashMap};
 
 use view::{Tally, WorkspaceKey};
 
-/// Windows that are remembered: several times those that wait to be reported.
-const REMEMBERED: u64 = 12;
+/// Windows that are kept: several times the number that may wait to be reported.
+const WINDOWS_KEPT: u64 = 12;
 
-/// Windows ahead of the present one of which tallies are taken in: clocks differ by less.
-const AHEAD: u64 = 1;
+/// How many windows after the present one a tally may be for; clocks differ by less.
+const MAX_WINDOWS_AHEAD: u64 = 1;
 
-/// Datagrams in a row that tell a tally that has changed: with a tenth of them lost one in a thousand is missed.
-const TIMES: u8 = 3;
+/// Datagrams that carry a tally after a change. With a tenth of them lost, one tally in a thousand
+/// is missed.
+const SENDS_PER_CHANGE: u8 = 3;
 
 type Counts = BTreeMap<WorkspaceKey, u32>;
 
-/// One life's counts in one window.
+/// Counts of one incarnation in one window.
 #[derive(Debug, Clone, Default)]
-struct Counted {
+struct IncarnationCounts {
     counts: Counts,
-    /// Sum of all counts, by which two tallies of one life compare.
+    /// Sum of all counts. Of two tallies of an incarnation, the one with the larger sum is the
+    /// later one.
     total: u64,
-    /// Datagrams that are still to tell it.
-    untold: u8,
+    /// Datagrams that must still carry these counts.
+    sends_left: u8,
 }
 
-/// All tallies that this instance knows of.
+/// All usage counts that this instance knows.
 #[derive(Debug, Clone)]
 pub struct UsageLedger {
     own: u32,
-    windows: BTreeMap<u64, HashMap<u32, Counted>>,
+    windows: BTreeMap<u64, HashMap<u32, IncarnationCounts>>,
 }
 
 impl UsageLedger {
-    /// Of a process whose life has this number.
+    /// An empty ledger for the incarnation with this number.
     pub fn new(own: u32) -> Self {
         Self {
             own,
@@ -46,20 +49,20 @@
         }
     }
 
-    /// A request of a workspace began to run.
+    /// Counts a request of a workspace that starts to run.
     pub fn record_start(&mut self, window: u64, workspace: WorkspaceKey) {
-        let lives = self.windows.entry(window).or_default();
-        let counted = lives.entry(self.own).or_default();
+        let incarnations = self.windows.entry(window).or_default();
+        let counted = incarnations.entry(self.own).or_default();
         *counted.counts.entry(workspace).or_default() += 1;
         counted.total += 1;
-        counted.untold = TIMES;
-        self.forget(window);
+        counted.sends_left = SENDS_PER_CHANGE;
+        self.drop_old_windows(window);
     }
 
-    /// Another instance told a tally while `now` is the present window; `passes_on` if it is this one's to tell to those
-    /// that report.
+    /// Takes in a tally from a peer, where `now` is the present window. `passes_on` says whether
+    /// this instance must pass it on to the instances that may report usage.
     pub fn receive(&mut self, now: u64, tally: &Tally, passes_on: bool) {
-        if tally.window > now + AHEAD || tally.window + REMEMBERED < now {
+        if tally.window > now + MAX_WINDOWS_AHEAD || tally.window + WINDOWS_KEPT < now {
             return;
         }
         let total = tally
@@ -67,33 +70,35 @@
             .iter()
             .map(|(_, count)| u64::from(*count))
             .sum();
-        let lives = self.windows.entry(tally.window).or_default();
-        let counted = lives.entry(tally.incarnation).or_default();
+        let incarnations = self.windows.entry(tally.window).or_default();
+        let counted = incarnations.entry(tally.incarnation).or_default();
         if tally.incarnation == self.own || total <= counted.total {
             return;
         }
         counted.counts = tally.counts.iter().copied().collect();
         counted.total = total;
-        counted.untold = if passes_on { TIMES } else { 0 };
-        self.forget(now);
+        counted.sends_left = if passes_on { SENDS_PER_CHANGE } else { 0 };
+        self.drop_old_windows(now);
     }
 
-    /// A new receiver has not heard what was told before.
+    /// Sends the counts of the last two windows again, for a new receiver.
     pub fn resend_own(&mut self) {
         let recent = self.windows.values_mut().rev().take(2);
-        for counted in recent.filter_map(|lives| lives.get_mut(&self.own)) {
-            counted.untold = TIMES;
+        for counted in recent.filter_map(|incarnations| incarnations.get_mut(&self.own)) {
+            counted.sends_left = SENDS_PER_CHANGE;
         }
     }
 
-    /// Tallies that are to be told in the next datagram.
+    /// The tallies for the next datagram.
     pub fn to_send(&mut self) -> Vec<Tally> {
-        let mut told = Vec::new();
-        for (window, lives) in &mut self.windows {
-            for (origin, counted) in lives.iter_mut().filter(|(_, it)| it.untold > 0) {
-                counted.untold -= 1;
-                told.push(Tally {
-                    incarnation: *origin,
+        let mut tallies = Vec::new();
+        for (window, incarnations) in &mut self.windows {
+            for (incarnation, counted) in
+                incarnations.iter_mut().filter(|(_, it)| it.sends_left > 0)
+            {
+                counted.sends_left -= 1;
+                tallies.push(Tally {
+                    incarnation: *incarnation,
                     window: *window,
                     counts: counted
                         .counts
@@ -103,20 +108,20 @@
                 });
             }
         }
-        told
+        tallies
     }
 
-    /// Requests of each workspace that began in a window; nothing if none is known of.
+    /// Requests of each workspace that started in a window; `None` if no tally of it is known.
     pub fn sum(&self, window: u64) -> Option<BTreeMap<WorkspaceKey, u64>> {
-        let lives = self.windows.get(&window)?;
+        let incarnations = self.windows.get(&window)?;
         let mut sum = BTreeMap::new();
-        for (key, count) in lives.values().flat_map(|counted| &counted.counts) {
+        for (key, count) in incarnations.values().flat_map(|counted| &counted.counts) {
             *sum.entry(*key).or_default() += u64::from(*count);
         }
         Some(sum)
     }
 
-    fn forget(&mut self, now: u64) {
-        self.windows = self.windows.split_off(&now.saturating_sub(REMEMBERED));
+    fn drop_old_windows(&mut self, now: u64) {
+        self.windows = self.windows.split_off(&now.saturating_sub(WINDOWS_KEPT));
     }
 }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,8 +1,10 @@
-//! What one instance does for the whole fleet.
+//! Singleton tasks: work that one instance does for the whole fleet.
 //!
-//! Every instance counts what runs for whom, and what it has counted reaches a few others soon ([`UsageLedger`]). Of these
-//! one reports each window of time once ([`UsageReports`]) and orders engines ([`scale`]). Who that is, and that no two are
-//! heard at a time, rests on `lease::Turns`. Nothing here does input or output. See docs/design/duties.md.
+//! Every instance counts the requests of each workspace, and its counts reach a few peers soon
+//! ([`UsageLedger`]). One of those, the fleet leader, reports each time window once
+//! ([`UsageReports`]) and orders engines ([`scale`]). `lease::Turns` decides which instance that
+//! is, and ensures that no two are obeyed at a time. Nothing here does I/O. See
+//! docs/design/duties.md.
 
 mod ledger;
 mod reports;
--- a/crates/duty/src/scale.rs
+++ b/crates/duty/src/scale.rs
@@ -1,156 +1,164 @@
-//! How many engines of a service each zone has, and of which kind.
+//! How many engines of a service each zone should have, on demand and on spot capacity.
 //!
-//! Load pattern: a fleet is paid for by the second, and engines that may be taken back cost a fraction of the others. A
-//! zone's are all taken back at once, within seconds, and for a while no others are to be had there. So the fleet
-//! consists of these, spread over the zones, and what one zone loses is ordered where there are more; engines on demand
-//! are kept until the others serve, and come back where none of these can be had. See docs/design/duties.md.
+//! Engines are paid for by the second, and spot engines cost a fraction of those on demand. But all
+//! spot engines of a zone may be reclaimed within seconds, and for a while the zone has no more to
+//! give. So the fleet consists of spot engines spread over the zones, and what one zone loses is
+//! ordered in the others. Engines on demand are kept until spot engines serve, and come back where
+//! no spot capacity is available. See docs/design/duties.md.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Time after an order until the same is given again, in ms: the API refused it or was not heard.
+/// Pause before the same order is given again, in ms, where the API had no capacity or did not
+/// answer.
 const RETRY_MS: u64 = 1_500;
 
-/// Time after which a zone that had none to give, or took its own back, is asked again, and an order that was refused
-/// given again, in ms.
-const DRY_MS: u64 = 8_000;
+/// Pause before a zone that had no capacity, or reclaimed its engines, is asked again, and before a
+/// refused order is given again, in ms.
+const COOLDOWN_MS: u64 = 8_000;
 
-/// Part of a zone's engines that leave together when they are taken back; single ones that leave are replaced, drained
-/// or reported so by their own.
-const TAKEN_BACK_SHARE: f64 = 0.5;
+/// A zone counts as reclaimed if more than this share of its spot engines are leaving. Single
+/// engines that leave are being replaced or drained, or leave for reasons of their own.
+const RECLAIMED_SHARE: f64 = 0.5;
 
-/// Time after the first engine was seen in which the fleet that the operators set up comes into the list, in ms.
-const GROWING_MS: u64 = 6_000;
+/// Time after the first engine is seen within which the rest of the initial fleet appears in the
+/// list, in ms.
+const STARTUP_MS: u64 = 6_000;
 
-/// Time between two orders for more of a kind in a zone, in ms: a list that fills up needs no order an entry.
-const MORE_MS: u64 = 1_000;
+/// Pause between two orders for more engines of a kind in a zone while the initial fleet appears,
+/// in ms. Without it, there would be an order for each new entry.
+const SCALE_UP_PAUSE_MS: u64 = 1_000;
 
 /// How an engine is paid for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CapacityKind {
-    /// It stays until it is given back.
+    /// Stays until it is given back.
     OnDemand,
-    /// It costs less, and may be taken back.
+    /// Costs less, and may be reclaimed.
     Spot,
 }
 
-/// Bounds on a service's engines, as the operators set them.
+/// The operators' bounds on the engines of a service.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ScalingBounds {
-    /// Least engines of a zone, of both kinds together.
+    /// Fewest engines in a zone, of both kinds together.
     #[serde(rename = "least")]
     pub min_per_zone: usize,
-    /// Most engines of a zone, of both kinds together.
+    /// Most engines in a zone, of both kinds together.
     #[serde(rename = "most")]
     pub max_per_zone: usize,
-    /// Price of an engine that may be taken back, as a part of that of another one; 0 where there are none.
+    /// Price of a spot engine as a share of that of one on demand; 0 where there are no spot
+    /// engines.
     pub spot_price: f64,
-    /// Price of an engine in each zone, relative to the others.
+    /// Price of an engine in each zone, relative to the other zones; 1 where a zone is missing.
     pub zone_prices: HashMap<String, f64>,
 }
 
-/// Engines of a zone now.
+/// The engines that a zone has now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ZoneCapacity {
-    /// Its name.
+    /// Name of the zone.
     pub name: String,
-    /// Those on demand that serve.
+    /// Engines on demand that serve.
     pub on_demand: usize,
-    /// Those that may be taken back and serve.
+    /// Spot engines that serve.
     pub spot: usize,
-    /// Those that were taken back and leave.
+    /// Spot engines that were reclaimed and are leaving.
     pub spot_reclaimed: usize,
 }
 
-/// An order that is wished for: a zone is to have so many engines of a kind.
+/// An order: how many engines of a kind a zone should have.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneTarget {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// The kind.
+    /// Kind of the engines.
     pub kind: CapacityKind,
-    /// Engines that it is to have.
+    /// Engines that the zone should have.
     pub desired: usize,
 }
 
-/// What came of an order.
+/// What became of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It was taken.
+    /// It was accepted.
     Taken,
-    /// There are none to be had.
+    /// The zone has no capacity of this kind.
     Dry,
     /// It was refused for another reason.
     Refused,
-    /// It was not answered.
+    /// There was no answer.
     Unanswered,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Ordered {
-    /// What the platform was last told to have; nothing while it was told nothing.
+struct OrderState {
+    /// What the platform last accepted; `None` before the first accepted order.
     desired: Option<usize>,
-    /// What was ordered last, whatever came of it, and until when the same rests.
-    tried: Option<Tried>,
+    /// The last order, whatever became of it.
+    last_attempt: Option<Attempt>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Tried {
+struct Attempt {
     desired: usize,
     at_ms: u64,
-    rest_ms: u64,
+    pause_ms: u64,
 }
 
 /// Plans the engines of one service.
 #[derive(Debug, Clone, Default)]
 pub struct ScalePlanner {
-    /// Engines that the service is to have in all zones.
-    wanted: usize,
+    /// Target size: engines that must serve even after all spot engines of one zone are reclaimed;
+    /// 0 while unknown.
+    target_size: usize,
     seen_since_ms: Option<u64>,
     is_adopted: bool,
-    ordered: HashMap<(String, CapacityKind), Ordered>,
-    dry_until_ms: HashMap<String, u64>,
-    taken_back_until_ms: HashMap<String, u64>,
+    ordered: HashMap<(String, CapacityKind), OrderState>,
+    no_capacity_until_ms: HashMap<String, u64>,
+    reclaimed_until_ms: HashMap<String, u64>,
 }
 
 impl ScalePlanner {
-    /// Engines that the service is to have; nothing while that is not known.
+    /// Engines that must serve even after all spot engines of one zone are reclaimed; `None` while
+    /// that number is unknown.
     pub fn target_size(&self) -> Option<usize> {
-        (self.wanted > 0).then_some(self.wanted)
+        (self.target_size > 0).then_some(self.target_size)
     }
 
-    /// Another instance has ordered so that the service is to have so many engines.
-    pub fn adopt(&mut self, wanted: usize, wish: &ZoneTarget) {
-        self.wanted = wanted;
+    /// Takes over the target size and the last order of another instance.
+    pub fn adopt(&mut self, target_size: usize, target: &ZoneTarget) {
+        self.target_size = target_size;
         self.is_adopted = true;
-        self.order(wish).desired = Some(wish.desired);
+        self.order(target).desired = Some(target.desired);
     }
 
-    /// An order was given.
-    pub fn record_order(&mut self, now_ms: u64, wish: &ZoneTarget, outcome: OrderOutcome) {
-        let rest_ms = match outcome {
+    /// Records an order and what became of it.
+    pub fn record_order(&mut self, now_ms: u64, target: &ZoneTarget, outcome: OrderOutcome) {
+        let pause_ms = match outcome {
             OrderOutcome::Taken | OrderOutcome::Dry | OrderOutcome::Unanswered => RETRY_MS,
-            OrderOutcome::Refused => DRY_MS,
+            OrderOutcome::Refused => COOLDOWN_MS,
         };
-        let order = self.order(wish);
-        order.tried = Some(Tried {
-            desired: wish.desired,
+        let order = self.order(target);
+        order.last_attempt = Some(Attempt {
+            desired: target.desired,
             at_ms: now_ms,
-            rest_ms,
+            pause_ms,
         });
         match outcome {
-            OrderOutcome::Taken => order.desired = Some(wish.desired),
+            OrderOutcome::Taken => order.desired = Some(target.desired),
             OrderOutcome::Dry => {
-                self.dry_until_ms.insert(wish.zone.clone(), now_ms + DRY_MS);
+                self.no_capacity_until_ms
+                    .insert(target.zone.clone(), now_ms + COOLDOWN_MS);
             }
             OrderOutcome::Refused | OrderOutcome::Unanswered => {}
         }
     }
 
-    fn order(&mut self, wish: &ZoneTarget) -> &mut Ordered {
-        let key = (wish.zone.clone(), wish.kind);
+    fn order(&mut self, target: &ZoneTarget) -> &mut OrderState {
+        let key = (target.zone.clone(), target.kind);
         self.ordered.entry(key).or_default()
     }
 
@@ -162,126 +170,137 @@
     pub fn due_orders(
         &mut self,
         now_ms: u64,
-        terms: &ScalingBounds,
+        bounds: &ScalingBounds,
         zones: &[ZoneCapacity],
     ) -> Vec<ZoneTarget> {
-        self.note_size(now_ms, zones);
-        self.note_taken_back(now_ms, zones);
-        if self.wanted == 0 {
+        self.observe_size(now_ms, zones);
+        self.observe_reclaimed(now_ms, zones);
+        if self.target_size == 0 {
             return Vec::new();
         }
-        let spot = self.spot_wished(now_ms, terms, zones);
-        let on_demand = self.on_demand_wished(now_ms, terms, zones, &spot);
+        let spot = self.spot_targets(now_ms, bounds, zones);
+        let on_demand = self.on_demand_targets(now_ms, bounds, zones, &spot);
         let all = spot.into_iter().chain(on_demand);
-        all.filter(|wish| self.is_due(now_ms, wish, zones))
+        all.filter(|target| self.is_due(now_ms, target, zones))
             .collect()
     }
 
-    /// The fleet that the operators set up is the size that is wanted. Its engines come into the list one after the other,
-    /// and each that is there can be replaced already.
-    fn note_size(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
+    /// Takes the size of the initial fleet, which the operators set up, as the target size. Its
+    /// engines appear in the list one after the other, and each can be replaced as soon as it
+    /// appears.
+    fn observe_size(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
         let on_demand: usize = zones.iter().map(|zone| zone.on_demand).sum();
         let spot: usize = zones.iter().map(|zone| zone.spot).sum();
         if on_demand + spot == 0 {
             return;
         }
-        let is_first = self.seen_since_ms.is_none();
+        let is_first_look = self.seen_since_ms.is_none();
         let since_ms = *self.seen_since_ms.get_or_insert(now_ms);
-        if self.is_adopted || now_ms >= since_ms + GROWING_MS {
+        if self.is_adopted || now_ms >= since_ms + STARTUP_MS {
             return;
         }
-        // Those that are there already were ordered so that a zone can be lost.
-        let kept = if is_first {
+        // Spot engines that are there at first come from earlier orders, which allowed for the loss
+        // of a zone.
+        let kept = if is_first_look {
             spot * zones.len().saturating_sub(1) / zones.len()
         } else {
             0
         };
-        self.wanted = self.wanted.max(on_demand + kept);
+        self.target_size = self.target_size.max(on_demand + kept);
     }
 
-    fn is_growing(&self, now_ms: u64) -> bool {
+    fn is_starting(&self, now_ms: u64) -> bool {
         self.seen_since_ms
-            .is_some_and(|since_ms| now_ms < since_ms + GROWING_MS)
+            .is_some_and(|since_ms| now_ms < since_ms + STARTUP_MS)
     }
 
-    fn note_taken_back(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
+    fn observe_reclaimed(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
         for zone in zones {
             let had = zone.spot + zone.spot_reclaimed;
-            if had > 0 && zone.spot_reclaimed as f64 > had as f64 * TAKEN_BACK_SHARE {
-                let until_ms = now_ms + DRY_MS;
-                self.dry_until_ms.insert(zone.name.clone(), until_ms);
-                self.taken_back_until_ms.insert(zone.name.clone(), until_ms);
+            if had > 0 && zone.spot_reclaimed as f64 > had as f64 * RECLAIMED_SHARE {
+                let until_ms = now_ms + COOLDOWN_MS;
+                self.no_capacity_until_ms
+                    .insert(zone.name.clone(), until_ms);
+                self.reclaimed_until_ms.insert(zone.name.clone(), until_ms);
             }
         }
     }
 
-    /// Whether those that still serve in a zone are on their way out: their notices come one after the other.
-    fn is_taken_back(&self, now_ms: u64, zone: &str) -> bool {
-        let until_ms = self.taken_back_until_ms.get(zone);
+    /// Whether the spot engines that still serve in a zone are about to leave. Their notices arrive
+    /// one after the other.
+    fn is_reclaimed(&self, now_ms: u64, zone: &str) -> bool {
+        let until_ms = self.reclaimed_until_ms.get(zone);
         until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    fn is_dry(&self, now_ms: u64, zone: &str) -> bool {
-        self.dry_until_ms
+    fn has_no_capacity(&self, now_ms: u64, zone: &str) -> bool {
+        self.no_capacity_until_ms
             .get(zone)
             .is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    /// Engines of the cheaper kind that are to be had: as many as leave what is wanted when all of a zone are taken back
-    /// at once. New ones take seconds to come, and longer until they hold what those that went had read. None where so
-    /// many cost more than those on demand.
-    fn spot_wanted(&self, terms: &ScalingBounds, zones: usize) -> usize {
-        let wanted = match zones {
-            0 | 1 => self.wanted,
-            _ => (self.wanted * zones).div_ceil(zones - 1),
+    /// Spot engines to have in all zones: so many that the target size is left when all of one zone
+    /// are reclaimed at once. New ones take seconds to start, and longer until they hold the
+    /// prompts that the reclaimed ones had cached. None where so many would cost more than engines
+    /// on demand.
+    fn spot_target(&self, bounds: &ScalingBounds, zones: usize) -> usize {
+        let count = match zones {
+            0 | 1 => self.target_size,
+            _ => (self.target_size * zones).div_ceil(zones - 1),
         };
-        let is_cheaper = wanted as f64 * terms.spot_price < self.wanted as f64;
-        if terms.spot_price > 0.0 && is_cheaper {
-            wanted
+        let is_cheaper = count as f64 * bounds.spot_price < self.target_size as f64;
+        if bounds.spot_price > 0.0 && is_cheaper {
+            count
         } else {
             0
         }
     }
 
-    /// As many as are wanted, in the zones that give them: what is there stays, and what is lacking comes where there
-    /// are fewest, so that the loss of a zone takes the least along, and of these where they cost least.
-    fn spot_wished(
+    /// Distributes the spot engines over the zones that have capacity. Zones keep what they have.
+    /// Missing engines go to the zone with the fewest, so that the loss of one zone costs the
+    /// least, and among equal zones to the cheapest.
+    fn spot_targets(
         &self,
         now_ms: u64,
-        terms: &ScalingBounds,
+        bounds: &ScalingBounds,
         zones: &[ZoneCapacity],
     ) -> Vec<ZoneTarget> {
-        let mut wished: Vec<(usize, usize, f64)> = zones
+        let mut targets: Vec<(usize, usize, f64)> = zones
             .iter()
             .map(|zone| {
-                let is_dry = self.is_dry(now_ms, &zone.name);
-                let told = self
+                let has_no_capacity = self.has_no_capacity(now_ms, &zone.name);
+                let ordered = self
                     .desired(&zone.name, CapacityKind::Spot)
                     .unwrap_or_default();
-                let count = match (is_dry, self.is_taken_back(now_ms, &zone.name)) {
+                let count = match (has_no_capacity, self.is_reclaimed(now_ms, &zone.name)) {
                     (_, true) => 0,
-                    (true, false) => zone.spot.min(told),
-                    (false, false) => told,
+                    (true, false) => zone.spot.min(ordered),
+                    (false, false) => ordered,
                 };
-                // Both kinds together keep within the bound, those on demand that are still to go included.
-                let room = terms.max_per_zone.saturating_sub(zone.on_demand);
-                let price = terms.zone_prices.get(&zone.name).copied();
-                (count, if is_dry { 0 } else { room }, price.unwrap_or(1.0))
+                // Both kinds together stay within the bound, with the engines on demand that are
+                // yet to leave.
+                let limit = bounds.max_per_zone.saturating_sub(zone.on_demand);
+                let price = bounds.zone_prices.get(&zone.name).copied();
+                (
+                    count,
+                    if has_no_capacity { 0 } else { limit },
+                    price.unwrap_or(1.0),
+                )
             })
             .collect();
-        let enough = self.spot_wanted(terms, zones.len());
+        let spot_target = self.spot_target(bounds, zones.len());
         loop {
-            let total: usize = wished.iter().map(|(count, ..)| count).sum();
-            let least = wished
+            let total: usize = targets.iter().map(|(count, ..)| count).sum();
+            let least = targets
                 .iter_mut()
-                .filter(|(count, room, _)| count < room)
+                .filter(|(count, limit, _)| count < limit)
                 .min_by(|(a, _, one), (b, _, other)| a.cmp(b).then(one.total_cmp(other)));
             match least {
-                Some((count, ..)) if total < enough => *count += 1,
+                Some((count, ..)) if total < spot_target => *count += 1,
                 _ => break,
             }
         }
-        let all = zones.iter().zip(wished);
+        let all = zones.iter().zip(targets);
         all.map(|(zone, (desired, ..))| ZoneTarget {
             zone: zone.name.clone(),
             kind: CapacityKind::Spot,
@@ -290,43 +309,44 @@
         .collect()
     }
 
-    /// What those that may be taken back leave open: what is there stays until they serve, and more come only where
-    /// none of these are to be had.
-    fn on_demand_wished(
+    /// Engines on demand for what spot engines do not cover. Those that are there stay until spot
+    /// engines serve, and more come only where no spot capacity is available.
+    fn on_demand_targets(
         &self,
         now_ms: u64,
-        terms: &ScalingBounds,
+        bounds: &ScalingBounds,
         zones: &[ZoneCapacity],
         spot: &[ZoneTarget],
     ) -> Vec<ZoneTarget> {
-        let there = |zone: &ZoneCapacity| {
-            let told = self.desired(&zone.name, CapacityKind::OnDemand);
-            told.unwrap_or(zone.on_demand)
+        let current = |zone: &ZoneCapacity| {
+            let ordered = self.desired(&zone.name, CapacityKind::OnDemand);
+            ordered.unwrap_or(zone.on_demand)
         };
-        let mut wished: Vec<usize> = zones.iter().map(there).collect();
+        let mut targets: Vec<usize> = zones.iter().map(current).collect();
         let serving: usize = zones.iter().map(|zone| zone.spot).sum();
-        let to_come: usize = spot.iter().map(|wish| wish.desired).sum();
-        let open = self.wanted.saturating_sub(serving);
-        let lacking = self.wanted.saturating_sub(to_come);
-        let mut total: usize = wished.iter().sum();
-        let meant = open.min(total.max(lacking));
-        while total > meant {
-            if let Some(most) = wished.iter_mut().max() {
+        let planned: usize = spot.iter().map(|target| target.desired).sum();
+        let uncovered = self.target_size.saturating_sub(serving);
+        let shortfall = self.target_size.saturating_sub(planned);
+        let mut total: usize = targets.iter().sum();
+        let needed = uncovered.min(total.max(shortfall));
+        while total > needed {
+            if let Some(most) = targets.iter_mut().max() {
                 *most -= 1;
             }
             total -= 1;
         }
-        while total < meant {
-            if let Some(least) = wished.iter_mut().min() {
+        while total < needed {
+            if let Some(least) = targets.iter_mut().min() {
                 *least += 1;
             }
             total += 1;
         }
-        let all = zones.iter().zip(spot).zip(wished);
+        let all = zones.iter().zip(spot).zip(targets);
         all.map(|((zone, spot), desired)| {
-            let is_bare = spot.desired < terms.min_per_zone || self.is_dry(now_ms, &zone.name);
-            let least = if is_bare { terms.min_per_zone } else { 0 };
-            let most = terms.max_per_zone.saturating_sub(spot.desired).max(least);
+            let lacks_spot =
+                spot.desired < bounds.min_per_zone || self.has_no_capacity(now_ms, &zone.name);
+            let least = if lacks_spot { bounds.min_per_zone } else { 0 };
+            let most = bounds.max_per_zone.saturating_sub(spot.desired).max(least);
             ZoneTarget {
                 zone: zone.name.clone(),
                 kind: CapacityKind::OnDemand,
@@ -336,22 +356,22 @@
         .collect()
     }
 
-    fn is_due(&self, now_ms: u64, wish: &ZoneTarget, zones: &[ZoneCapacity]) -> bool {
-        let ordered = self.ordered.get(&(wish.zone.clone(), wish.kind));
+    fn is_due(&self, now_ms: u64, target: &ZoneTarget, zones: &[ZoneCapacity]) -> bool {
+        let ordered = self.ordered.get(&(target.zone.clone(), target.kind));
         let ordered = ordered.copied().unwrap_or_default();
-        let rests = ordered.tried.is_some_and(|tried| {
-            let wait_ms = match wish.desired.cmp(&tried.desired) {
-                Ordering::Equal => tried.rest_ms,
-                Ordering::Greater if self.is_growing(now_ms) => MORE_MS,
+        let is_paused = ordered.last_attempt.is_some_and(|last_attempt| {
+            let wait_ms = match target.desired.cmp(&last_attempt.desired) {
+                Ordering::Equal => last_attempt.pause_ms,
+                Ordering::Greater if self.is_starting(now_ms) => SCALE_UP_PAUSE_MS,
                 Ordering::Less | Ordering::Greater => 0,
             };
-            now_ms < tried.at_ms + wait_ms
+            now_ms < last_attempt.at_ms + wait_ms
         });
-        let there = zones.iter().find(|zone| zone.name == wish.zone);
-        let as_it_is = there.map_or(0, |zone| match wish.kind {
+        let current = zones.iter().find(|zone| zone.name == target.zone);
+        let serving = current.map_or(0, |zone| match target.kind {
             CapacityKind::OnDemand => zone.on_demand,
             CapacityKind::Spot => zone.spot,
         });
-        !rests && ordered.desired.unwrap_or(as_it_is) != wish.desired
+        !is_paused && ordered.desired.unwrap_or(serving) != target.desired
     }
 }
