--- a/crates/keys/src/hash.rs
+++ b/crates/keys/src/hash.rs
@@ -1,4 +1,4 @@
-//! The hash by which a key is known.
+//! Hashes of API keys.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -7,21 +7,21 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Length of a SHA-256, in bytes.
+/// Length of a SHA-256 hash, in bytes.
 const BYTES: usize = 32;
 
-/// SHA-256 of an API key, in hexadecimal where it is written.
+/// SHA-256 hash of an API key; hexadecimal in text and in serialised form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyHash([u8; BYTES]);
 
-/// Why a text is no hash of a key.
+/// The text is not the hexadecimal form of a SHA-256 hash.
 #[derive(Debug, DeriveDisplay, Error, Clone, Copy, PartialEq, Eq)]
 #[display("a SHA-256 of {} hexadecimal digits expected", 2 * BYTES)]
 pub struct KeyHashError;
 
 impl KeyHash {
-    /// Of a key as it was presented; each byte of it counts.
+    /// Hashes a key as the caller presented it; every byte is significant.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,8 +1,8 @@
-//! API keys, known by their hashes, and whose they are.
+//! API keys, stored as hashes, and their owners.
 //!
-//! A key itself is never stored: what an instance holds, compares and tells others is its SHA-256, so neither a dump of
-//! its memory tables nor a message between instances lets anybody in. Comparing hashes also says nothing of a key by the
-//! time that it takes. See docs/API.md.
+//! A key itself is never stored. Instances store, compare and exchange its SHA-256 hash, so that
+//! neither a memory dump nor a message between instances grants access. For the same reason the
+//! time that a comparison takes says nothing about a key. See docs/API.md.
 
 mod hash;
 mod ring;
--- a/crates/keys/src/ring.rs
+++ b/crates/keys/src/ring.rs
@@ -1,4 +1,4 @@
-//! Whose a key is.
+//! Owners of API keys.
 
 use std::collections::HashMap;
 
@@ -19,22 +19,22 @@
 }
 
 impl<T> Keyring<T> {
-    /// Gives an owner one more key; a key that another one has stays with whom it was given to first.
+    /// Adds a key of an owner. A key that already has an owner stays with that one.
     pub fn add(&mut self, key: KeyHash, owner: T) {
         self.owners.entry(key).or_insert(owner);
     }
 
-    /// Whose key has this hash.
+    /// The owner of the key with this hash.
     pub fn owner(&self, key: &KeyHash) -> Option<&T> {
         self.owners.get(key)
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Whether nobody has a key.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
--- a/crates/tick/src/lib.rs
+++ b/crates/tick/src/lib.rs
@@ -1,8 +1,8 @@
-//! Monotonic time and the timer service that the parts of a process subscribe to.
+//! Clocks, and the timer service that the parts of a process subscribe to.
 //!
-//! One task owns every timer of a process, so that a pause of the process is seen in one place:
-//! a tick carries the time at which it was due and the time at which it was given, and whoever
-//! holds a lease compares the two. See docs/design/lease.md.
+//! One task owns all timers of a process, so that a pause of the process shows in one place: a tick
+//! has the time at which it was due and the time at which it fired, and a lease holder compares the
+//! two. See docs/design/lease.md.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,50 +11,51 @@
 
 use tokio::sync::{Notify, mpsc};
 
-/// Monotonic clock of a process, in ms since it was made.
+/// Monotonic clock that starts when it is created.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    before: Duration,
+    initial_age: Duration,
 }
 
 impl Default for Clock {
     fn default() -> Self {
         Self {
             start: Instant::now(),
-            before: Duration::ZERO,
+            initial_age: Duration::ZERO,
         }
     }
 }
 
 impl Clock {
-    /// The clock of a process that has been running for `age`, for tests.
+    /// A clock that started `age` ago, for tests.
     pub fn of_age(age: Duration) -> Self {
         Self {
             start: Instant::now(),
-            before: age,
+            initial_age: age,
         }
     }
 
-    /// Time since the clock was made, in ms.
+    /// Time since the start of the clock, in ms.
     pub fn now_ms(&self) -> u64 {
         self.elapsed().as_millis() as u64
     }
 
-    /// Time since the clock was made, in µs, for spans too short for ms.
+    /// Time since the start of the clock, in µs, for spans that are too short for ms.
     pub fn now_us(&self) -> u64 {
         self.elapsed().as_micros() as u64
     }
 
     fn elapsed(&self) -> Duration {
-        self.before + self.start.elapsed()
+        self.initial_age + self.start.elapsed()
     }
 }
 
-/// Time since the machine booted, in ms, that also counts while the process or machine is suspended.
+/// Time since the machine booted, in ms, including the time for which the process or the machine
+/// was suspended.
 ///
-/// What was allowed for a time must be over after a suspension of that length, and the steady clock
-/// does not tell it.
+/// A permission that is limited in time must have expired after a suspension of that length, which
+/// the monotonic clock does not show.
 pub fn since_boot_ms() -> u64 {
     let mut now = libc::timespec {
         tv_sec: 0,
@@ -62,35 +63,35 @@
     };
     // SAFETY: the pointer is to a valid timespec, which the call fills in.
     let status = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &raw mut now) };
-    debug_assert_eq!(status, 0, "the clock is there on every Linux");
+    debug_assert_eq!(status, 0, "CLOCK_BOOTTIME exists on every Linux");
     now.tv_sec.cast_unsigned() * 1_000 + now.tv_nsec.cast_unsigned() / 1_000_000
 }
 
-/// Wall clock in ms since 1970, for people only: no decision may read it.
+/// Wall-clock time in ms since 1970, for display only: no decision may depend on it.
 pub fn wall_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// A timer that fell due.
+/// A timer that fired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tick {
-    /// When it was due.
+    /// When it was due, in ms.
     pub due_ms: u64,
-    /// When it was given out; far later than `due_ms` after a pause.
+    /// When it fired, in ms; far later than `due_ms` after a pause of the process.
     pub now_ms: u64,
 }
 
-/// Periodic ticks for one part.
+/// Periodic ticks for one subscriber.
 #[derive(Debug)]
 pub struct Ticks {
     receiver: mpsc::UnboundedReceiver<Tick>,
 }
 
 impl Ticks {
-    /// Waits for the next tick, and skips those that piled up meanwhile.
+    /// Waits for the next tick, and skips ticks that have piled up.
     ///
-    /// After a pause a part must act once on the present, not once per missed period.
+    /// After a pause, a subscriber must act once on the present, not once for each missed period.
     pub async fn next(&mut self) -> Option<Tick> {
         let mut tick = self.receiver.recv().await?;
         while let Ok(later) = self.receiver.try_recv() {
@@ -100,27 +101,27 @@
     }
 }
 
-struct Entry {
+struct Timer {
     period_ms: Option<u64>,
     sender: mpsc::UnboundedSender<Tick>,
 }
 
 #[derive(Default)]
-struct Queue {
-    entries: BTreeMap<(u64, u64), Entry>,
-    next: u64,
+struct TimerQueue {
+    timers: BTreeMap<(u64, u64), Timer>,
+    next_id: u64,
 }
 
 /// The timer service of a process.
 #[derive(Clone)]
 pub struct Timers {
     clock: Clock,
-    queue: Rc<RefCell<Queue>>,
+    queue: Rc<RefCell<TimerQueue>>,
     changed: Rc<Notify>,
 }
 
 impl Timers {
-    /// Starts the service on the current runtime thread.
+    /// Starts the service on the runtime of the current thread.
     pub fn start(clock: Clock) -> Self {
         let timers = Self {
             clock,
@@ -131,17 +132,17 @@
         timers
     }
 
-    /// The clock that the timers go by.
+    /// The clock of the timers.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Ticks every `period_ms`, the first after one period.
+    /// Ticks every `period_ms`, for the first time after one period.
     pub fn every(&self, period_ms: u64) -> Ticks {
         self.add(self.clock.now_ms() + period_ms, Some(period_ms.max(1)))
     }
 
-    /// Returns once `delay_ms` have passed.
+    /// Returns after `delay_ms`.
     pub async fn sleep(&self, delay_ms: u64) {
         let _ = self.add(self.clock.now_ms() + delay_ms, None).next().await;
     }
@@ -149,28 +150,28 @@
     fn add(&self, due_ms: u64, period_ms: Option<u64>) -> Ticks {
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut queue = self.queue.borrow_mut();
-        let id = queue.next;
-        queue.next += 1;
+        let id = queue.next_id;
+        queue.next_id += 1;
         queue
-            .entries
-            .insert((due_ms, id), Entry { period_ms, sender });
+            .timers
+            .insert((due_ms, id), Timer { period_ms, sender });
         drop(queue);
         self.changed.notify_one();
         Ticks { receiver }
     }
 
-    /// Gives out what is due and says how long until the next is.
+    /// Fires the due timers. Returns the time until the next one, in ms.
     fn fire(&self) -> Option<u64> {
         let now_ms = self.clock.now_ms();
         let mut queue = self.queue.borrow_mut();
-        while let Some((&(due_ms, id), _)) = queue.entries.first_key_value() {
+        while let Some((&(due_ms, id), _)) = queue.timers.first_key_value() {
             if due_ms > now_ms {
                 return Some(due_ms - now_ms);
             }
-            let entry = queue.entries.remove(&(due_ms, id))?;
-            let heard = entry.sender.send(Tick { due_ms, now_ms }).is_ok();
-            if let (true, Some(period_ms)) = (heard, entry.period_ms) {
-                queue.entries.insert((now_ms + period_ms, id), entry);
+            let timer = queue.timers.remove(&(due_ms, id))?;
+            let is_subscribed = timer.sender.send(Tick { due_ms, now_ms }).is_ok();
+            if let (true, Some(period_ms)) = (is_subscribed, timer.period_ms) {
+                queue.timers.insert((now_ms + period_ms, id), timer);
             }
         }
         None
