--- a/crates/view/tests/common/log.rs
+++ b/crates/view/tests/common/log.rs
@@ -1,8 +1,8 @@
-//! A log of the store, and what an instance knows of it.
+//! A simulated log of the store, and its followers.
 
 use view::{InstanceKey, LogFollower};
 
-/// A log that is written to all the time and changes at some offsets.
+/// A log that is written to all the time and has a change at some offsets.
 #[derive(Default)]
 pub struct Log {
     pub end: u64,
@@ -17,8 +17,8 @@
         }
     }
 
-    pub fn read_by(&self, followed: &mut LogFollower, now_ms: u64) {
-        let from = followed.next_offset();
+    pub fn read_by(&self, follower: &mut LogFollower, now_ms: u64) {
+        let from = follower.next_offset();
         let changed = match from {
             None => Some(self.end),
             Some(from) => self
@@ -27,11 +27,11 @@
                 .map(|(after, _)| *after)
                 .rfind(|after| *after > from),
         };
-        followed.record_read(now_ms, self.end, changed);
+        follower.record_read(now_ms, self.end, changed);
     }
 }
 
-/// What an instance knows of a log, by its number.
-pub fn of(index: usize) -> LogFollower {
+/// The follower of the instance with this index.
+pub fn follower_of(index: usize) -> LogFollower {
     LogFollower::new(InstanceKey::of(&format!("entry-{index}")))
 }
--- a/crates/view/tests/common/mod.rs
+++ b/crates/view/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of instances that tell each other what they have, in virtual time.
+//! A simulated fleet of instances that gossip in virtual time.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -14,40 +14,40 @@
     Members, PoisonTracker, PrefillQueue, UpstreamKey, UpstreamLimit, decode, encode,
 };
 
-/// Time of a datagram on its way, in ms.
+/// Transit time of a datagram, in ms.
 const TRANSIT_MS: u64 = 2;
 
-/// Time of one step, in ms.
+/// Length of a simulation step, in ms.
 pub const STEP_MS: u64 = 10;
 
-/// Zones of the fleet.
+/// Number of zones.
 const ZONES: usize = 5;
 
-/// An instance.
+/// A simulated instance.
 pub struct Instance {
     pub member: Member,
     pub members: Members,
-    pub shared: GossipState,
+    pub gossip: GossipState,
     pub own: Vec<(UpstreamKey, Load)>,
     pub list: Option<LogPosition>,
-    pub marks: Vec<LogPosition>,
-    pub news: Vec<GossipedChange>,
-    pub suspects: PoisonTracker,
+    pub positions: Vec<LogPosition>,
+    pub list_changes: Vec<GossipedChange>,
+    pub poison: PoisonTracker,
     pub limits: HashMap<UpstreamKey, UpstreamLimit>,
-    pub runs: bool,
+    pub is_running: bool,
     pub sent: usize,
     pub sent_bytes: usize,
 }
 
-/// A fleet whose datagrams take some ms, and get lost as a test says.
+/// A fleet whose datagrams have a transit time, and are lost as the test decides.
 pub struct Fleet {
     pub now_ms: u64,
     pub all: Vec<Instance>,
     at: HashMap<SocketAddr, usize>,
-    under_way: Vec<(u64, usize, usize, Vec<u8>)>,
+    in_transit: Vec<(u64, usize, usize, Vec<u8>)>,
 }
 
-/// Address of an instance.
+/// Gossip address of an instance.
 pub fn address(index: usize) -> SocketAddr {
     let (high, low) = (index / 200, index % 200);
     format!("10.0.{high}.{low}:9000").parse().unwrap()
@@ -66,7 +66,7 @@
 }
 
 impl Fleet {
-    /// A fleet in which all know all, and have told nothing yet.
+    /// A fleet in which all instances know all members and have not gossiped yet.
     pub fn new(instances: usize) -> Self {
         let members: Vec<Member> = (0..instances).map(member).collect();
         let all = members.iter().map(|own| {
@@ -77,14 +77,14 @@
             Instance {
                 member: own.clone(),
                 members: known,
-                shared: GossipState::default(),
+                gossip: GossipState::default(),
                 own: Vec::new(),
                 list: None,
-                marks: Vec::new(),
-                news: Vec::new(),
-                suspects: PoisonTracker::default(),
+                positions: Vec::new(),
+                list_changes: Vec::new(),
+                poison: PoisonTracker::default(),
                 limits: HashMap::new(),
-                runs: true,
+                is_running: true,
                 sent: 0,
                 sent_bytes: 0,
             }
@@ -95,12 +95,12 @@
             at: (0..instances)
                 .map(|index| (address(index), index))
                 .collect(),
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
         }
     }
 
-    /// Lets some time pass; `is_lost` says of each datagram whether it gets lost, by its sender and
-    /// receiver.
+    /// Runs the fleet for some time. `is_lost` decides for each datagram whether it is lost, by the
+    /// index of its sender and its receiver.
     pub fn run(&mut self, for_ms: u64, mut is_lost: impl FnMut(usize, usize) -> bool) {
         let until_ms = self.now_ms + for_ms;
         while self.now_ms < until_ms {
@@ -108,8 +108,9 @@
             self.deliver();
             for index in 0..self.all.len() {
                 let phase_ms = index as u64 * 7 * STEP_MS;
-                if (self.now_ms + phase_ms).is_multiple_of(PERIOD_MS) && self.all[index].runs {
-                    self.tell(index, &mut is_lost);
+                if (self.now_ms + phase_ms).is_multiple_of(PERIOD_MS) && self.all[index].is_running
+                {
+                    self.send(index, &mut is_lost);
                 }
             }
         }
@@ -117,20 +118,20 @@
 
     fn deliver(&mut self) {
         let now_ms = self.now_ms;
-        let (due, rest) = std::mem::take(&mut self.under_way)
+        let (due, rest) = std::mem::take(&mut self.in_transit)
             .into_iter()
             .partition(|(at_ms, ..)| *at_ms <= now_ms);
-        self.under_way = rest;
+        self.in_transit = rest;
         let due: Vec<(u64, usize, usize, Vec<u8>)> = due;
         for (_, from, to, bytes) in due {
-            let told = decode(&bytes).unwrap();
-            if self.all[to].runs {
-                self.all[to].hears(now_ms, &told, address(from));
+            let message = decode(&bytes).unwrap();
+            if self.all[to].is_running {
+                self.all[to].receive(now_ms, &message, address(from));
             }
         }
     }
 
-    fn tell(&mut self, index: usize, is_lost: &mut impl FnMut(usize, usize) -> bool) {
+    fn send(&mut self, index: usize, is_lost: &mut impl FnMut(usize, usize) -> bool) {
         let now_ms = self.now_ms;
         let instances = self.all.len();
         let each = &mut self.all[index];
@@ -146,107 +147,109 @@
             last_order_token: None,
             list_position: each.list,
             config_position: None,
-            poison: each.suspects.recent_poison(now_ms),
+            poison: each.poison.recent_poison(now_ms),
         };
         each.members
             .record_self_alive(now_ms, InstanceKey::of(&each.member.name));
         if each.members.take_unknown_member(now_ms) {
-            // It asks another instance, which knows all.
+            // Stands for a query to a peer that knows all members.
             for other in (0..instances).map(member) {
                 each.members.receive_heartbeat(now_ms, &other);
             }
         }
-        each.shared.expire(now_ms);
+        each.gossip.expire(now_ms);
         let ranks = HubRanking::of(&each.member.name, &each.members);
-        for (to, told) in each.shared.tick(now_ms, own, &ranks) {
-            let bytes = encode(told).unwrap();
+        for (to, message) in each.gossip.tick(now_ms, own, &ranks) {
+            let bytes = encode(message).unwrap();
             each.sent += 1;
             each.sent_bytes += bytes.len();
             let to = self.at[&to];
             if !is_lost(index, to) {
-                self.under_way.push((now_ms + TRANSIT_MS, index, to, bytes));
+                self.in_transit
+                    .push((now_ms + TRANSIT_MS, index, to, bytes));
             }
         }
     }
 
-    /// Instances that run.
+    /// Instances that are running.
     pub fn running(&self) -> impl Iterator<Item = &Instance> {
-        self.all.iter().filter(|each| each.runs)
+        self.all.iter().filter(|each| each.is_running)
     }
 
-    /// What all that run have at an upstream.
-    pub fn truth(&self, upstream: UpstreamKey) -> u32 {
+    /// Requests that all running instances have at an upstream.
+    pub fn total_requests(&self, upstream: UpstreamKey) -> u32 {
         let own = self.running().flat_map(|each| &each.own);
-        let there = own.filter(|(key, _)| *key == upstream);
-        there.map(|(_, load)| load.requests).sum()
+        let at_upstream = own.filter(|(key, _)| *key == upstream);
+        at_upstream.map(|(_, load)| load.requests).sum()
     }
 }
 
 impl Instance {
-    fn hears(&mut self, now_ms: u64, told: &GossipMessage, from: SocketAddr) {
-        for member in &told.members {
+    fn receive(&mut self, now_ms: u64, message: &GossipMessage, from: SocketAddr) {
+        for member in &message.members {
             if self.members.receive_heartbeat(now_ms, member) {
-                self.shared.add_member(now_ms, member.clone());
+                self.gossip.add_member(now_ms, member.clone());
             }
         }
-        for key in &told.alive {
+        for key in &message.alive {
             self.members.record_alive(now_ms, *key);
         }
-        self.shared.receive(now_ms, told, from);
-        for fate in &told.evidence {
-            if self.suspects.receive(now_ms, *fate) {
-                self.shared.forward_evidence(*fate, told.kind);
+        self.gossip.receive(now_ms, message, from);
+        for evidence in &message.evidence {
+            if self.poison.receive(now_ms, *evidence) {
+                self.gossip.forward_evidence(*evidence, message.kind);
             }
         }
-        for request in &told.poison {
-            self.suspects.mark_poison(now_ms, *request);
+        for request in &message.poison {
+            self.poison.mark_poison(now_ms, *request);
         }
-        for limit in &told.limits {
-            if self.takes(*limit) {
-                self.shared.forward_limit(*limit, told.kind);
+        for limit in &message.limits {
+            if self.accept_limit(*limit) {
+                self.gossip.forward_limit(*limit, message.kind);
             }
         }
-        self.news.extend(told.list_changes.iter().cloned());
-        self.marks.extend(told.list_position);
+        self.list_changes
+            .extend(message.list_changes.iter().cloned());
+        self.positions.extend(message.list_position);
     }
 
-    /// It saw something of a request.
-    pub fn saw(&mut self, now_ms: u64, fate: FailureEvidence) {
-        if self.suspects.observe(now_ms, fate) {
-            self.shared.add_evidence(fate);
+    /// The instance sees evidence itself.
+    pub fn observe(&mut self, now_ms: u64, evidence: FailureEvidence) {
+        if self.poison.observe(now_ms, evidence) {
+            self.gossip.add_evidence(evidence);
         }
     }
 
-    /// An upstream named its limit to it.
-    pub fn is_told(&mut self, limit: UpstreamLimit) {
-        if self.takes(limit) {
-            self.shared.add_limit(limit);
+    /// An upstream names its limit to the instance.
+    pub fn receive_limit(&mut self, limit: UpstreamLimit) {
+        if self.accept_limit(limit) {
+            self.gossip.add_limit(limit);
         }
     }
 
-    fn takes(&mut self, limit: UpstreamLimit) -> bool {
+    fn accept_limit(&mut self, limit: UpstreamLimit) -> bool {
         let known = self.limits.get(&limit.upstream);
-        let is_news = known.is_none_or(|known| known.at_ms < limit.at_ms);
-        if is_news {
+        let is_new = known.is_none_or(|known| known.at_ms < limit.at_ms);
+        if is_new {
             self.limits.insert(limit.upstream, limit);
         }
-        is_news
+        is_new
     }
 
-    /// What it believes that all have at an upstream.
-    pub fn believes(&self, upstream: UpstreamKey) -> u32 {
+    /// Requests at an upstream, of all instances, as this one believes.
+    pub fn believed_requests(&self, upstream: UpstreamKey) -> u32 {
         let own = self.own.iter().filter(|(key, _)| *key == upstream);
         let own: u32 = own.map(|(_, load)| load.requests).sum();
-        own + self.shared.load(upstream).requests
+        own + self.gossip.load(upstream).requests
     }
 
-    /// Whether it hands out another one.
-    pub fn names(&self, other: &str) -> bool {
+    /// Whether it would send callers to the instance of this name.
+    pub fn can_reach(&self, other: &str) -> bool {
         self.members.reachable().any(|each| each.name == other)
     }
 }
 
-/// Draws that are true one time in ten, always the same.
+/// A reproducible sequence that is true one time in ten.
 pub fn one_in_ten() -> impl FnMut() -> bool {
     let mut draw = 0_u32;
     move || {
@@ -255,12 +258,12 @@
     }
 }
 
-/// An upstream.
+/// Key of an upstream.
 pub fn upstream(index: usize) -> UpstreamKey {
     UpstreamKey::of(&format!("i-{index}"), 0)
 }
 
-/// Requests and a prompt's work at an upstream.
+/// Load of some requests with their prompts.
 pub fn load(requests: u32) -> Load {
     let mut queue = PrefillQueue::default();
     queue.add(1, f64::from(requests) * 4_000.0);
--- a/crates/view/tests/gossip.rs
+++ b/crates/view/tests/gossip.rs
@@ -1,24 +1,25 @@
-//! What instances believe of each other's load and life, at several sizes.
+//! What instances believe about the load and the life of their peers, in fleets of several sizes.
 
 mod common;
 
 use common::{Fleet, load, upstream};
 use view::hubs;
 
-/// Sizes of fleets: each tells each, a few hubs, many.
+/// Fleet sizes: two full meshes, and two with hubs.
 const SIZES: [usize; 4] = [2, 7, 80, 295];
 
-/// Upstreams of the fleet.
+/// Number of upstreams.
 const UPSTREAMS: usize = 192;
 
-/// Time in which what one has is known to all, in ms: its report, a sum, a digest, and their ways.
-const KNOWN_MS: u64 = 350;
+/// Time in which the load of one instance reaches all, in ms: a report, a sum, a digest, and their
+/// transit.
+const SPREAD_MS: u64 = 350;
 
 fn never(_: usize, _: usize) -> bool {
     false
 }
 
-fn loaded(instances: usize) -> Fleet {
+fn loaded_fleet(instances: usize) -> Fleet {
     let mut fleet = Fleet::new(instances);
     for (index, each) in fleet.all.iter_mut().enumerate() {
         each.own = (0..4)
@@ -34,41 +35,46 @@
     fleet
 }
 
-fn all_know(fleet: &Fleet) -> Result<(), String> {
+fn check_views(fleet: &Fleet) -> Result<(), String> {
     for index in 0..UPSTREAMS {
         let key = upstream(index);
-        let truth = fleet.truth(key);
-        let wrong = fleet.running().find(|each| each.believes(key) != truth);
+        let total_requests = fleet.total_requests(key);
+        let wrong = fleet
+            .running()
+            .find(|each| each.believed_requests(key) != total_requests);
         if let Some(wrong) = wrong {
-            let believed = wrong.believes(key);
-            return Err(format!("{}: {believed} of {truth}", wrong.member.name));
+            let believed = wrong.believed_requests(key);
+            return Err(format!(
+                "{}: {believed} of {total_requests}",
+                wrong.member.name
+            ));
         }
     }
     Ok(())
 }
 
-/// Instances choose engines that others have just filled if they do not know of it. Whatever the size of
-/// the fleet, all know exactly what all have, and what one gives up is gone from all views at once.
+/// Guards against instances that choose an engine which others have just filled. At any fleet size,
+/// all must know the exact load, and load that ends must disappear from all views at once.
 #[test]
-fn each_knows_what_all_have() {
+fn all_instances_know_all_loads() {
     for instances in SIZES {
-        let mut fleet = loaded(instances);
-        all_know(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
+        let mut fleet = loaded_fleet(instances);
+        check_views(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
         let last = instances - 1;
         fleet.all[last].own.clear();
         fleet.all[0].own.push((upstream(1), load(9)));
-        fleet.run(KNOWN_MS, never);
-        all_know(&fleet).unwrap_or_else(|why| panic!("{instances}, later: {why}"));
+        fleet.run(SPREAD_MS, never);
+        check_views(&fleet).unwrap_or_else(|why| panic!("{instances}, later: {why}"));
     }
 }
 
-/// Three hundred instances on links of 20 Mbit a second, some of them hubs. What one sends grows with the
-/// root of their number: each period a hub of 295 sends to three times as many as there are hubs at the
-/// most, and it fills less than half of its link.
+/// Guards against gossip that fills the links of 20 Mbit/s. What one instance sends must grow with
+/// the square root of the fleet: per period a hub sends at most three times as many datagrams as
+/// there are hubs, and less than half of what its link carries.
 #[test]
-fn no_instance_sends_to_all() {
+fn sends_grow_with_the_square_root() {
     for instances in SIZES {
-        let mut fleet = loaded(instances);
+        let mut fleet = loaded_fleet(instances);
         let before: Vec<(usize, usize)> = fleet
             .all
             .iter()
@@ -76,24 +82,28 @@
             .collect();
         fleet.run(1_000, never);
         let sent = fleet.all.iter().zip(&before);
-        let most = sent.clone().map(|(it, before)| it.sent - before.0).max();
-        let most_bytes = sent.map(|(it, before)| it.sent_bytes - before.1).max();
+        let max_sent = sent.clone().map(|(it, before)| it.sent - before.0).max();
+        let max_bytes = sent.map(|(it, before)| it.sent_bytes - before.1).max();
         let root = hubs::count(instances);
-        assert!(most <= Some(20 * (3 * root)), "{instances}: {most:?}");
-        assert!(most_bytes <= Some(1_000_000), "{instances}: {most_bytes:?}");
+        assert!(
+            max_sent <= Some(20 * (3 * root)),
+            "{instances}: {max_sent:?}"
+        );
+        assert!(max_bytes <= Some(1_000_000), "{instances}: {max_bytes:?}");
     }
 }
 
-/// A hub is killed. Those around it turn to another one, and all know again what all that live have. Nobody
-/// that lives is left out of the directory meanwhile, and the dead one is within two seconds.
+/// Guards against a killed hub that takes its reporters out of the directory, or leaves them with
+/// wrong loads. No live instance may become unreachable, and the killed one must be within three
+/// seconds.
 #[test]
-fn a_hub_that_dies_takes_nobody_along() {
+fn killed_hub_is_replaced() {
     for instances in SIZES {
-        let mut fleet = loaded(instances);
+        let mut fleet = loaded_fleet(instances);
         let members: Vec<_> = fleet.all.iter().map(|each| each.member.clone()).collect();
         let hub = hubs::order(members.iter())[0].name.clone();
         let hub = members.iter().position(|each| each.name == hub).unwrap();
-        fleet.all[hub].runs = false;
+        fleet.all[hub].is_running = false;
         for _ in 0..30 {
             fleet.run(100, never);
             let lost = fleet.running().find(|each| {
@@ -102,26 +112,25 @@
                     .enumerate()
                     .filter(|(index, _)| *index != hub);
                 live.map(|(_, other)| &other.name)
-                    .any(|name| !each.names(name))
+                    .any(|name| !each.can_reach(name))
             });
             assert!(lost.is_none(), "{instances}: {}", lost.unwrap().member.name);
         }
-        all_know(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
+        check_views(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
         if instances > 2 {
-            let names_it = fleet
+            let still_reach_it = fleet
                 .running()
-                .filter(|each| each.names(&members[hub].name));
-            assert_eq!(names_it.count(), 0, "{instances}");
+                .filter(|each| each.can_reach(&members[hub].name));
+            assert_eq!(still_reach_it.count(), 0, "{instances}");
         }
     }
 }
 
-/// A tenth of all datagrams get lost. Views are behind by a period or two then, but nobody that lives is
-/// taken for gone.
+/// Guards against live instances that count as gone when a tenth of all datagrams is lost.
 #[test]
-fn lost_datagrams_take_nobody_for_gone() {
+fn lost_datagrams_silence_no_live_instance() {
     for instances in SIZES {
-        let mut fleet = loaded(instances);
+        let mut fleet = loaded_fleet(instances);
         let mut draw = 1_u64;
         for _ in 0..50 {
             fleet.run(100, |_, _| {
@@ -129,20 +138,20 @@
                 (draw >> 33).is_multiple_of(10)
             });
             let known = fleet.all.iter().map(|each| each.members.reachable_count());
-            let least = known.min().unwrap();
-            assert!(least * 50 >= instances * 49, "{instances}: {least}");
+            let min_known = known.min().unwrap();
+            assert!(min_known * 50 >= instances * 49, "{instances}: {min_known}");
         }
         fleet.run(1_000, never);
-        all_know(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
+        check_views(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
     }
 }
 
-/// One instance does not know of the first hub, so it takes another one for a hub that does not take
-/// itself for one, and reports there. All know all the same what all have.
+/// Guards against wrong loads when instances disagree on who is a hub. Two instances do not know
+/// the first hub, so they take another instance for a hub, which does not count itself as one.
 #[test]
-fn views_differ_on_who_is_a_hub() {
+fn loads_are_exact_when_views_on_hubs_differ() {
     for instances in [80, 295] {
-        let mut fleet = loaded(instances);
+        let mut fleet = loaded_fleet(instances);
         let members: Vec<_> = fleet.all.iter().map(|each| each.member.clone()).collect();
         let order = hubs::order(members.iter());
         let hubs = hubs::count(instances);
@@ -150,13 +159,13 @@
             |it: &&view::Member| it.name == order[hubs].name || it.name == order[hubs + 9].name;
         for each in fleet.all.iter_mut().filter(|each| differs(&&each.member)) {
             each.members = view::Members::default();
-            each.shared = view::GossipState::default();
+            each.gossip = view::GossipState::default();
             for member in &order[1..] {
                 each.members
                     .record_heartbeat(fleet.now_ms, (*member).clone());
             }
         }
         fleet.run(2_500, never);
-        all_know(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
+        check_views(&fleet).unwrap_or_else(|why| panic!("{instances}: {why}"));
     }
 }
--- a/crates/view/tests/key.rs
+++ b/crates/view/tests/key.rs
@@ -1,11 +1,11 @@
-//! Short names.
+//! Keys in datagrams.
 
 use view::RequestKey;
 
-/// Attempts of one request come in at different instances under ids of their own; lines and beliefs on them
-/// must meet under one name, and those on any other request must not.
+/// Attempts of one request arrive at different instances with different ids. Log lines and evidence
+/// must find them under one key, and no other request under that key.
 #[test]
-fn a_request_has_one_name_whichever_attempt_it_is() {
+fn attempts_of_a_request_share_its_key() {
     let key = RequestKey::of("host.test", "POST", "/a/1", b"body");
     assert_eq!(key, RequestKey::of("host.test", "POST", "/a/1", b"body"));
     assert_eq!(key.to_string().parse(), Ok(key));
--- a/crates/view/tests/limits.rs
+++ b/crates/view/tests/limits.rs
@@ -1,20 +1,20 @@
-//! Limits that upstreams name to some instances, and all must know.
+//! How the rate limits that upstreams name spread through a fleet.
 
 mod common;
 
 use common::{Fleet, one_in_ten, upstream};
 use view::UpstreamLimit;
 
-/// Sizes of fleets.
+/// Fleet sizes.
 const SIZES: [usize; 4] = [1, 7, 90, 295];
 
-/// Time by which a limit is known everywhere, in ms: long before it binds.
-const KNOWN_MS: u64 = 300;
+/// Time in which a limit reaches all instances, in ms: long before it binds.
+const SPREAD_MS: u64 = 300;
 
-/// Time between two tellings of a limit that is still named, in ms.
-const TOLD_MS: u64 = 500;
+/// Interval at which an instance gossips a limit that is still named, in ms.
+const ANNOUNCE_MS: u64 = 500;
 
-fn word(at_ms: u64, per_s: Option<f64>) -> UpstreamLimit {
+fn limit(at_ms: u64, per_s: Option<f64>) -> UpstreamLimit {
     UpstreamLimit {
         upstream: upstream(1),
         per_s,
@@ -22,44 +22,45 @@
     }
 }
 
-fn knowing(fleet: &Fleet, word: UpstreamLimit) -> usize {
+fn count_knowing(fleet: &Fleet, limit: UpstreamLimit) -> usize {
     let knows = |each: &&common::Instance| {
-        let known = each.limits.get(&word.upstream);
-        known.is_some_and(|known| known.per_s == word.per_s)
+        let known = each.limits.get(&limit.upstream);
+        known.is_some_and(|known| known.per_s == limit.per_s)
     };
     fleet.running().filter(knows).count()
 }
 
-/// Guards against a limit that is kept only by the instances which were told it.
+/// Guards against a limit that only the instance keeps to which it was named.
 #[test]
-fn all_instances_know_what_one_was_told() {
+fn limit_reaches_all_instances() {
     for instances in SIZES {
         let mut fleet = Fleet::new(instances);
         fleet.run(1_000, |_, _| false);
         for (at_ms, per_s) in [(1, Some(4.7)), (2, Some(2.5)), (3, None)] {
-            let told = (at_ms as usize * 31) % instances;
-            fleet.all[told].is_told(word(at_ms, per_s));
-            fleet.run(KNOWN_MS, |_, _| false);
-            assert_eq!(knowing(&fleet, word(at_ms, per_s)), instances);
+            let receiver = (at_ms as usize * 31) % instances;
+            fleet.all[receiver].receive_limit(limit(at_ms, per_s));
+            fleet.run(SPREAD_MS, |_, _| false);
+            assert_eq!(count_knowing(&fleet, limit(at_ms, per_s)), instances);
         }
     }
 }
 
-/// Guards against a limit that one never hears of, with a tenth of all datagrams lost and one cut off meanwhile.
+/// Guards against an instance that never learns a limit, when a tenth of all datagrams is lost and
+/// the instance was cut off for a while.
 #[test]
-fn one_that_was_away_learns_a_limit_as_long_as_it_is_named() {
+fn isolated_instance_learns_a_named_limit() {
     for instances in [7, 90, 295] {
         let mut fleet = Fleet::new(instances);
         let mut is_lost = one_in_ten();
         fleet.run(1_000, |_, _| is_lost());
-        let away = instances / 2;
+        let isolated = instances / 2;
         for at_ms in 1..=8 {
-            fleet.all[0].is_told(word(at_ms, Some(4.7)));
-            let is_away = at_ms <= 4;
-            fleet.run(TOLD_MS, |from, to| {
-                is_away && (from == away || to == away) || is_lost()
+            fleet.all[0].receive_limit(limit(at_ms, Some(4.7)));
+            let is_cut_off = at_ms <= 4;
+            fleet.run(ANNOUNCE_MS, |from, to| {
+                is_cut_off && (from == isolated || to == isolated) || is_lost()
             });
         }
-        assert_eq!(knowing(&fleet, word(8, Some(4.7))), instances);
+        assert_eq!(count_knowing(&fleet, limit(8, Some(4.7))), instances);
     }
 }
--- a/crates/view/tests/log_follower.rs
+++ b/crates/view/tests/log_follower.rs
@@ -1,8 +1,8 @@
-//! Instances that follow one log through the readings of a few.
+//! Instances that follow one log which only a few of them read.
 
 mod common;
 
-use common::log::{Log, of};
+use common::log::{Log, follower_of};
 use common::{Fleet, STEP_MS};
 use view::log_follower::FollowAction;
 use view::polling::{CHECK_INTERVAL_MS, FreshnessBounds, ReaderRole, reader_role};
@@ -41,47 +41,47 @@
     }
 }
 
-/// What the instances of a fleet do to know what a log says.
-struct Followers {
+/// A fleet that follows one log.
+struct FollowerFleet {
     fleet: Fleet,
     log: Log,
     all: Vec<LogFollower>,
     reads: usize,
-    asked: usize,
+    peer_queries: usize,
 }
 
-impl Followers {
+impl FollowerFleet {
     fn new(instances: usize) -> Self {
         Self {
             fleet: Fleet::new(instances),
             log: Log::default(),
-            all: (0..instances).map(of).collect(),
+            all: (0..instances).map(follower_of).collect(),
             reads: 0,
-            asked: 0,
+            peer_queries: 0,
         }
     }
 
     fn step(&mut self, is_lost: impl FnMut(usize, usize) -> bool) {
         self.fleet.run(STEP_MS, is_lost);
         let now_ms = self.fleet.now_ms;
-        for who in 0..self.all.len() {
-            let duty = self.duty(who);
-            self.hear(who);
-            if (now_ms / STEP_MS + who as u64).is_multiple_of(CHECK_INTERVAL_MS / STEP_MS) {
-                let most_ms = BOUNDS.max_list_age_ms(duty);
-                match self.all[who].next_action(now_ms, most_ms, duty.is_reader()) {
+        for index in 0..self.all.len() {
+            let role = self.role(index);
+            self.receive(index);
+            if (now_ms / STEP_MS + index as u64).is_multiple_of(CHECK_INTERVAL_MS / STEP_MS) {
+                let max_age_ms = BOUNDS.max_list_age_ms(role);
+                match self.all[index].next_action(now_ms, max_age_ms, role.is_reader()) {
                     FollowAction::UpToDate => {}
-                    FollowAction::AskPeer => self.ask(who),
-                    FollowAction::ReadStore => self.read(who),
+                    FollowAction::AskPeer => self.query_peer(index),
+                    FollowAction::ReadStore => self.read(index),
                 }
             }
-            self.fleet.all[who].list = self.all[who].position(now_ms, duty.is_reader());
+            self.fleet.all[index].list = self.all[index].position(now_ms, role.is_reader());
         }
     }
 
-    fn duty(&self, who: usize) -> ReaderRole {
-        let order = hubs::order(self.fleet.all[who].members.reachable());
-        let own = &self.fleet.all[who].member.name;
+    fn role(&self, index: usize) -> ReaderRole {
+        let order = hubs::order(self.fleet.all[index].members.reachable());
+        let own = &self.fleet.all[index].member.name;
         let rank = order.iter().position(|each| each.name == *own);
         reader_role(
             rank.unwrap_or(order.len()),
@@ -90,57 +90,57 @@
         )
     }
 
-    fn hear(&mut self, who: usize) {
+    fn receive(&mut self, index: usize) {
         let now_ms = self.fleet.now_ms;
-        let instance = &mut self.fleet.all[who];
-        for news in std::mem::take(&mut instance.news) {
-            if self.all[who].apply_change(&news) {
-                instance.shared.add_list_change(now_ms, news);
+        let instance = &mut self.fleet.all[index];
+        for change in std::mem::take(&mut instance.list_changes) {
+            if self.all[index].apply_change(&change) {
+                instance.gossip.add_list_change(now_ms, change);
             }
         }
-        for mark in std::mem::take(&mut instance.marks) {
-            self.all[who].receive_position(now_ms, &mark);
+        for position in std::mem::take(&mut instance.positions) {
+            self.all[index].receive_position(now_ms, &position);
         }
     }
 
-    fn read(&mut self, who: usize) {
+    fn read(&mut self, index: usize) {
         let now_ms = self.fleet.now_ms;
-        let followed = &mut self.all[who];
+        let follower = &mut self.all[index];
         self.reads += 1;
-        let Some(from) = followed.next_offset() else {
-            followed.record_snapshot(now_ms, self.log.end);
+        let Some(from) = follower.next_offset() else {
+            follower.record_snapshot(now_ms, self.log.end);
             return;
         };
-        let mut before = followed.last_applied_change();
+        let mut before = follower.last_applied_change();
         let unread = self.log.changes.iter().filter(|(after, _)| *after > from);
         for (after, _) in unread {
-            let news = GossipedChange {
+            let change = GossipedChange {
                 previous_offset: before,
                 offset: *after,
                 change: ListChange::Gone(after.to_string()),
                 unconfirmed_ms: 0,
             };
-            self.fleet.all[who].shared.add_list_change(now_ms, news);
+            self.fleet.all[index].gossip.add_list_change(now_ms, change);
             before = *after;
         }
-        self.log.read_by(followed, now_ms);
+        self.log.read_by(follower, now_ms);
     }
 
-    fn ask(&mut self, who: usize) {
+    fn query_peer(&mut self, index: usize) {
         let now_ms = self.fleet.now_ms;
-        let informed = self
+        let informed_peer = self
             .all
             .iter()
-            .find(|each| !each.is_behind() && each.next_offset() > self.all[who].next_offset());
-        if let Some(informed) = informed.cloned() {
-            let as_of_ms = now_ms - informed.age_ms(now_ms);
-            self.all[who].record_snapshot(as_of_ms, informed.next_offset().unwrap());
-            self.asked += 1;
+            .find(|each| !each.is_behind() && each.next_offset() > self.all[index].next_offset());
+        if let Some(informed_peer) = informed_peer.cloned() {
+            let as_of_ms = now_ms - informed_peer.age_ms(now_ms);
+            self.all[index].record_snapshot(as_of_ms, informed_peer.next_offset().unwrap());
+            self.peer_queries += 1;
         }
     }
 
-    /// The first change that somebody has not taken in, of those that are `age_ms` old.
-    fn missed(&self, age_ms: u64) -> Option<(u64, u64)> {
+    /// The first change older than `age_ms` that some instance has not applied.
+    fn first_missed(&self, age_ms: u64) -> Option<(u64, u64)> {
         let now_ms = self.fleet.now_ms;
         let old = self
             .log
@@ -156,44 +156,47 @@
     }
 }
 
-/// Instances follow a list to which something is written every 10 ms and that says something new every
-/// 200 ms, as when half of the upstreams are replaced. Every change is taken in by all within half of
-/// the bound, and calls to the store grow neither with instances times changes nor with instances times
-/// seconds: beside two readings of each at the start they are those of two readers.
+/// Guards against store calls that grow with instances times changes, or with instances times
+/// seconds. The list is written to every 10 ms and changes every 200 ms, as when half of the
+/// upstreams are replaced. All instances apply each change within half of the bound. Beside two
+/// reads of each instance at the start, there are only those of two readers.
 #[test]
-fn a_few_read_for_all() {
+fn few_readers_suffice_at_any_size() {
     const SECONDS: u64 = 20;
     for instances in [7, 40, 295] {
-        let mut followers = Followers::new(instances);
+        let mut followers = FollowerFleet::new(instances);
         for now_ms in (0..SECONDS * 1_000).step_by(STEP_MS as usize) {
             let changes = now_ms % 200 == 100 && now_ms > 3_000;
             followers.log.write(now_ms, changes);
             followers.step(|_, _| false);
-            let missed = followers.missed(BOUND_MS / 2);
-            assert!(missed.is_none(), "{instances}, {now_ms}: {missed:?}");
+            let first_missed = followers.first_missed(BOUND_MS / 2);
+            assert!(
+                first_missed.is_none(),
+                "{instances}, {now_ms}: {first_missed:?}"
+            );
         }
-        // Those that take each other's place at the start read a second time.
+        // Instances that take each other's rank at the start read a second time.
         let period_ms = BOUNDS.max_list_age_ms(ReaderRole::FirstReader);
-        let most = 2 * instances as u64 + 2 * SECONDS * 1_000 / period_ms;
+        let max_reads = 2 * instances as u64 + 2 * SECONDS * 1_000 / period_ms;
         assert!(
-            followers.reads as u64 <= most,
-            "{instances}: {} of {most}",
+            followers.reads as u64 <= max_reads,
+            "{instances}: {} of {max_reads}",
             followers.reads
         );
         assert!(
-            followers.asked <= 2 * instances,
+            followers.peer_queries <= 2 * instances,
             "{instances}: {}",
-            followers.asked
+            followers.peer_queries
         );
     }
 }
 
-/// The readers are cut off from all others, but not from the store. The hubs read instead, and after
-/// them who still hears nothing; every change is known to all within the bound.
+/// Guards against changes that arrive too late when the readers are cut off from the fleet, but not
+/// from the store. The hubs must read instead, and then any instance that still receives nothing.
 #[test]
-fn the_readers_are_cut_off() {
+fn changes_spread_while_readers_are_cut_off() {
     const INSTANCES: usize = 80;
-    let mut followers = Followers::new(INSTANCES);
+    let mut followers = FollowerFleet::new(INSTANCES);
     let members: Vec<_> = followers
         .fleet
         .all
@@ -210,18 +213,18 @@
         .collect();
     for now_ms in (0..15_000).step_by(STEP_MS as usize) {
         followers.log.write(now_ms, now_ms % 700 == 100);
-        let is_cut = (5_000..10_000).contains(&now_ms);
-        followers.step(|from, to| is_cut && (reads[from] != reads[to]));
-        let missed = followers.missed(BOUND_MS);
-        assert!(missed.is_none(), "{now_ms}: {missed:?}");
+        let is_cut_off = (5_000..10_000).contains(&now_ms);
+        followers.step(|from, to| is_cut_off && (reads[from] != reads[to]));
+        let first_missed = followers.first_missed(BOUND_MS);
+        assert!(first_missed.is_none(), "{now_ms}: {first_missed:?}");
     }
 }
 
-/// One in five datagrams gets lost while the list changes. Who missed a change asks another instance, and
-/// nobody is later than the bound.
+/// Guards against changes that arrive too late when one in five datagrams is lost. An instance that
+/// missed a change must ask a peer.
 #[test]
-fn changes_come_through_lost_datagrams() {
-    let mut followers = Followers::new(80);
+fn changes_spread_despite_lost_datagrams() {
+    let mut followers = FollowerFleet::new(80);
     let mut draw = 1_u64;
     for now_ms in (0..15_000).step_by(STEP_MS as usize) {
         followers
@@ -231,63 +234,69 @@
             draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             (draw >> 33).is_multiple_of(5)
         });
-        let missed = followers.missed(BOUND_MS);
-        assert!(missed.is_none(), "{now_ms}: {missed:?}");
+        let first_missed = followers.first_missed(BOUND_MS);
+        assert!(first_missed.is_none(), "{now_ms}: {first_missed:?}");
     }
 }
 
-/// The instance that reads for others is cut off from them. Those that hear nothing read for
-/// themselves before the bound on changes is half over.
+/// Guards against an instance that waits for gossip from a reader that is cut off. It must read the
+/// store before half of the bound has passed.
 #[test]
-fn who_hears_nothing_reads_for_itself() {
+fn isolated_instance_reads_the_store() {
     let mut log = Log::default();
     log.write(0, true);
     let mut alone = LogFollower::default();
     log.read_by(&mut alone, 1_000);
-    let most_ms = BOUNDS.max_list_age_ms(ReaderRole::Other);
+    let max_age_ms = BOUNDS.max_list_age_ms(ReaderRole::Other);
     assert_eq!(
-        alone.next_action(1_100, most_ms, false),
+        alone.next_action(1_100, max_age_ms, false),
         FollowAction::UpToDate
     );
     assert_eq!(
-        alone.next_action(1_000 + BOUND_MS / 2, most_ms, false),
+        alone.next_action(1_000 + BOUND_MS / 2, max_age_ms, false),
         FollowAction::ReadStore
     );
 }
 
-/// A reader is suspended for five seconds with a telling half written. What it tells on waking is as
-/// old as that, since its clock counts the suspension, and nobody takes it for news.
+/// Guards against old knowledge that passes for new. A reader is suspended for five seconds while
+/// it sends its position; the age of the position must count the suspension.
 #[test]
-fn an_old_reading_is_told_as_old() {
+fn suspension_counts_in_the_age_of_a_position() {
     let mut log = Log::default();
     log.write(0, true);
-    let (mut reader, mut other) = (of(1), of(2));
+    let (mut reader, mut other) = (follower_of(1), follower_of(2));
     log.read_by(&mut reader, 1_000);
     log.read_by(&mut other, 1_000);
-    let mark = reader
+    let position = reader
         .position(6_000, true)
-        .expect("it has read all that it knows of");
-    other.receive_position(6_010, &mark);
+        .expect("the reader is up to date");
+    other.receive_position(6_010, &position);
     assert!(other.age_ms(6_010) >= 5_000);
-    let most_ms = BOUNDS.max_list_age_ms(ReaderRole::Other);
+    let max_age_ms = BOUNDS.max_list_age_ms(ReaderRole::Other);
     assert_eq!(
-        other.next_action(6_010, most_ms, false),
+        other.next_action(6_010, max_age_ms, false),
         FollowAction::ReadStore
     );
 }
 
-/// A change is told that this instance has not taken in. One that reads for others reads at once, another
-/// one asks, and reads if it has no answer; neither tells anybody that it knows all before it does.
+/// Guards against a change that is known to exist but not fetched. A reader must read at once;
+/// another instance must ask a peer, and read if there is no answer. Neither may gossip a position
+/// before it has applied the change.
 #[test]
-fn a_change_that_was_told_is_taken_in_at_once() {
+fn announced_change_is_fetched_at_once() {
     let mut log = Log::default();
     log.write(0, true);
-    let (mut reader, mut other) = (of(1), of(2));
+    let (mut reader, mut other) = (follower_of(1), follower_of(2));
     log.read_by(&mut reader, 1_000);
     log.read_by(&mut other, 1_000);
     log.write(1_100, true);
     log.read_by(&mut reader, 1_200);
-    other.receive_position(1_210, &reader.position(1_210, true).expect("all is read"));
+    other.receive_position(
+        1_210,
+        &reader
+            .position(1_210, true)
+            .expect("the reader is up to date"),
+    );
     assert_eq!(
         other.next_action(1_210, u64::MAX, true),
         FollowAction::ReadStore
@@ -305,12 +314,12 @@
     assert_eq!(other.next_action(1_220, 100, true), FollowAction::UpToDate);
 }
 
-/// Nobody reads the store any more, and two instances go on telling each other what was read last. Each
-/// way takes 10 ms and makes it seem as much younger; they must not keep each other from reading.
+/// Guards against two instances that keep each other from reading. They exchange the result of the
+/// same read, which seems 10 ms younger with each transit.
 #[test]
-fn what_comes_back_is_not_new() {
-    let (mut one, mut other) = (of(1), of(2));
-    let mark = LogPosition {
+fn echoed_position_is_not_new() {
+    let (mut one, mut other) = (follower_of(1), follower_of(2));
+    let position = LogPosition {
         read_id: source(1_000),
         end: 9,
         last_change: 9,
@@ -318,7 +327,7 @@
     };
     one.record_snapshot(900, 9);
     other.record_snapshot(900, 9);
-    one.receive_position(1_000, &mark);
+    one.receive_position(1_000, &position);
     for now_ms in (1_000..3_000).step_by(20) {
         other.receive_position(now_ms + 10, &one.position(now_ms, false).unwrap());
         one.receive_position(now_ms + 20, &other.position(now_ms + 10, false).unwrap());
@@ -327,106 +336,113 @@
     assert!(other.age_ms(3_000) >= 1_980, "{}", other.age_ms(3_000));
 }
 
-/// A reader's machine is started anew, and its clock since boot with it. Its readings are believed again;
-/// taken for old ones, all others would read for themselves for as long as it had run before.
+/// Guards against a rebooted reader whose positions count as old, since its clock since boot starts
+/// again. All others would have to read for as long as the machine had been up before.
 #[test]
-fn a_reader_that_starts_anew_is_believed() {
-    let mut followed = of(1);
-    followed.record_snapshot(0, 9);
-    let mark = |at_ms| LogPosition {
+fn rebooted_reader_is_trusted_again() {
+    let mut follower = follower_of(1);
+    follower.record_snapshot(0, 9);
+    let position = |at_ms| LogPosition {
         read_id: source(at_ms),
         end: 9,
         last_change: 9,
         age_ms: 0,
     };
-    followed.receive_position(1_000, &mark(50_000));
-    followed.receive_position(4_000, &mark(300));
-    followed.receive_position(5_000, &mark(900));
-    assert_eq!(followed.age_ms(5_000), 0);
+    follower.receive_position(1_000, &position(50_000));
+    follower.receive_position(4_000, &position(300));
+    follower.receive_position(5_000, &position(900));
+    assert_eq!(follower.age_ms(5_000), 0);
 }
 
-/// A change comes whose predecessor got lost. It is not taken in: the list would lack one for good while
-/// seeming complete.
+/// Guards against a list that lacks an entry and seems complete, because a change was applied
+/// although the one before it was lost.
 #[test]
-fn a_change_after_a_missed_one_waits() {
-    let mut followed = LogFollower::default();
-    followed.record_snapshot(0, 10);
-    let news = |before, after| GossipedChange {
+fn change_after_a_gap_is_not_applied() {
+    let mut follower = LogFollower::default();
+    follower.record_snapshot(0, 10);
+    let change = |before, after| GossipedChange {
         previous_offset: before,
         offset: after,
         change: ListChange::Gone("a".to_owned()),
         unconfirmed_ms: 0,
     };
-    assert!(!followed.apply_change(&news(14, 17)));
-    assert!(followed.apply_change(&news(9, 14)));
-    assert!(!followed.apply_change(&news(9, 14)), "twice");
-    assert!(followed.apply_change(&news(14, 17)));
-    assert_eq!(followed.next_offset(), Some(17));
+    assert!(!follower.apply_change(&change(14, 17)));
+    assert!(follower.apply_change(&change(9, 14)));
+    assert!(!follower.apply_change(&change(9, 14)), "twice");
+    assert!(follower.apply_change(&change(14, 17)));
+    assert_eq!(follower.next_offset(), Some(17));
 }
 
-/// An instance starts and reads the whole list, which has no history. Were it to tell the end as a
-/// change, all others would seem to have missed one at each start; it tells nothing until it has heard
-/// where the last change stands.
+/// Guards against a starting instance that makes all others read. A full read has no history; if
+/// its end were gossiped as a change, all others would seem to have missed one. The instance must
+/// gossip no position until it has learned where the last change is.
 #[test]
-fn a_start_makes_nobody_read() {
+fn starting_instance_triggers_no_reads() {
     let mut started = LogFollower::default();
     started.record_snapshot(1_000, 90);
     assert_eq!(started.position(1_100, true), None);
-    let mark = LogPosition {
+    let position = LogPosition {
         read_id: source(1),
         end: 95,
         last_change: 40,
         age_ms: 10,
     };
-    started.receive_position(1_200, &mark);
+    started.receive_position(1_200, &position);
     assert_eq!(
-        started.position(1_200, true).map(|mark| mark.last_change),
+        started
+            .position(1_200, true)
+            .map(|position| position.last_change),
         Some(40)
     );
     let mut first = LogFollower::default();
     first.record_snapshot(1_000, 90);
     assert_eq!(first.position(2_100, false), None);
     assert_eq!(
-        first.position(1_500, true).map(|mark| mark.last_change),
+        first
+            .position(1_500, true)
+            .map(|position| position.last_change),
         Some(90)
     );
 }
 
-/// A reader reads, an upstream leaves, and an instance starts and reads the whole list, all within some ms. The reader's
-/// word waited in the new one's socket, and seems to be younger than the whole list. Were it to say where the last
-/// change stands, the new one would tell all that nothing has changed, and nobody would read the record.
+/// Guards against a delayed position that hides a change. A reader reads, an upstream leaves, and
+/// an instance starts and reads the full list, all within some ms. The reader's position has waited
+/// in the new instance's socket, so it seems younger than the full read. If it decided where the
+/// last change is, the new instance would tell all that nothing has changed.
 #[test]
-fn an_older_word_that_waited_does_not_hide_a_change() {
+fn delayed_position_does_not_hide_a_change() {
     let mut log = Log::default();
     log.write(0, true);
-    let (mut reader, mut started, mut other) = (of(1), of(2), of(3));
+    let (mut reader, mut started, mut other) = (follower_of(1), follower_of(2), follower_of(3));
     for each in [&mut reader, &mut other] {
         log.read_by(each, 1_000);
     }
-    let waited = reader.position(1_001, true).expect("it has read all");
+    let delayed = reader
+        .position(1_001, true)
+        .expect("the reader is up to date");
     log.write(1_010, true);
     started.record_snapshot(1_020, log.end);
-    started.receive_position(1_060, &waited);
-    if let Some(mark) = started.position(1_070, true) {
-        other.receive_position(1_070, &mark);
+    started.receive_position(1_060, &delayed);
+    if let Some(position) = started.position(1_070, true) {
+        other.receive_position(1_070, &position);
     }
     let believes = !other.is_behind() && other.age_ms(1_100) < 90;
     assert!(!believes, "{other:?}");
 }
 
-/// One instance has found an upstream gone before the list says so. The record by which the others
-/// learn it is news to them, whatever this one knows.
+/// Guards against a record that is not passed on. An instance may find out that an upstream is gone
+/// before the list says so; the record is still new to its peers.
 #[test]
-fn news_does_not_depend_on_what_a_reader_found_out() {
-    let mut said = ListedEntries::default();
-    said.replace(&[entry("a", 1), entry("b", 1)]);
-    assert!(!said.apply(&ListChange::Put(entry("a", 2))));
-    assert!(said.apply(&ListChange::Gone("a".to_owned())));
-    assert!(said.apply(&ListChange::Gone("unknown".to_owned())));
-    assert!(said.apply(&ListChange::Put(entry("a", 3))));
+fn novelty_of_a_record_depends_on_the_list_only() {
+    let mut listed = ListedEntries::default();
+    listed.replace(&[entry("a", 1), entry("b", 1)]);
+    assert!(!listed.apply(&ListChange::Put(entry("a", 2))));
+    assert!(listed.apply(&ListChange::Gone("a".to_owned())));
+    assert!(listed.apply(&ListChange::Gone("unknown".to_owned())));
+    assert!(listed.apply(&ListChange::Put(entry("a", 3))));
     let leaving = UpstreamEntry {
         state: UpstreamState::Leaving,
         ..entry("b", 2)
     };
-    assert!(said.apply(&ListChange::Put(leaving)));
+    assert!(listed.apply(&ListChange::Put(leaving)));
 }
--- a/crates/view/tests/message.rs
+++ b/crates/view/tests/message.rs
@@ -1,4 +1,4 @@
-//! The form of a datagram on the wire.
+//! The wire format of gossip datagrams.
 
 use view::{
     GossipMessage, GossipedChange, InstanceKey, ListChange, Load, LogPosition, Member, MessageKind,
@@ -6,7 +6,7 @@
     decode, encode,
 };
 
-fn told() -> GossipMessage {
+fn message() -> GossipMessage {
     let key = |each: u8| UpstreamKey::of(&format!("i-520360d7d{each}"), 1_700_000_000_000);
     let loads = (0..9).map(|each| {
         let load = Load {
@@ -16,7 +16,7 @@
         };
         (key(each), load)
     });
-    let reads = (0..9).map(|each| PrefilledPart {
+    let parts = (0..9).map(|each| PrefilledPart {
         upstream: key(each),
         part: 0x5c1e_07a2,
         tokens: 13_300,
@@ -28,7 +28,7 @@
     });
     GossipMessage {
         loads: loads.collect(),
-        prefilled_parts: reads.collect(),
+        prefilled_parts: parts.collect(),
         role_changes: vec![PendingRoleChange {
             upstream: key(0),
             stage: Stage::Prefill,
@@ -42,13 +42,13 @@
         }],
         alive: vec![InstanceKey::of("front-salt-lake-1")],
         last_order_token: Some(7),
-        list_position: Some(mark(840_123, 240)),
-        config_position: Some(mark(17, 612)),
+        list_position: Some(position(840_123, 240)),
+        config_position: Some(position(17, 612)),
         ..GossipMessage::new(InstanceKey::of("front-salt-lake-1"), MessageKind::Sum)
     }
 }
 
-fn mark(end: u64, age_ms: u32) -> LogPosition {
+fn position(end: u64, age_ms: u32) -> LogPosition {
     LogPosition {
         read_id: ReadId {
             reader: InstanceKey::of("front-garia-2"),
@@ -60,18 +60,18 @@
     }
 }
 
-/// A datagram comes back as it was sent, and is shorter than one that names each upstream once.
+/// A datagram decodes to what was encoded, and stays short because upstreams have keys in it.
 #[test]
-fn a_datagram_comes_back_as_it_was() {
-    let bytes = encode(told()).unwrap();
-    assert_eq!(decode(&bytes).unwrap(), told());
+fn datagram_round_trips() {
+    let bytes = encode(message()).unwrap();
+    assert_eq!(decode(&bytes).unwrap(), message());
     assert!(bytes.len() < 420, "{}", bytes.len());
 }
 
-/// Changes of the list and instances that came travel whole.
+/// List changes and heartbeat records decode to what was encoded.
 #[test]
-fn changes_and_instances_come_back_as_they_were() {
-    let news = GossipedChange {
+fn list_changes_and_members_round_trip() {
+    let change = GossipedChange {
         previous_offset: 4,
         offset: 9,
         change: ListChange::Gone("i-1".to_owned()),
@@ -86,28 +86,28 @@
         heartbeat_seq: 1_700_000_000_000,
         link_mbps: 20,
     };
-    let told = GossipMessage {
-        list_changes: vec![news],
+    let message = GossipMessage {
+        list_changes: vec![change],
         members: vec![member],
-        ..told()
+        ..message()
     };
-    assert_eq!(decode(&encode(told.clone()).unwrap()).unwrap(), told);
+    assert_eq!(decode(&encode(message.clone()).unwrap()).unwrap(), message);
 }
 
-/// A datagram of another version of the program, one that was cut short, and one that is nothing of the
-/// kind are passed over, and said to be.
+/// Guards against taking a datagram of another version, a truncated or an empty one for valid. Each
+/// is rejected with its reason.
 #[test]
-fn what_is_no_datagram_is_refused() {
-    let bytes = encode(told()).unwrap();
+fn malformed_datagram_is_rejected() {
+    let bytes = encode(message()).unwrap();
     let mut newer = bytes.clone();
     newer[0] += 1;
     let cut = &bytes[..bytes.len() - 1];
-    for (bytes, why) in [
+    for (bytes, reason) in [
         (&newer[..], "unknown datagram format Some(8)"),
         (&[][..], "unknown datagram format None"),
         (cut, "Hit the end of buffer, expected more data"),
     ] {
-        assert_eq!(decode(bytes).unwrap_err().to_string(), why);
+        assert_eq!(decode(bytes).unwrap_err().to_string(), reason);
     }
 }
 
@@ -117,13 +117,13 @@
         ..proptest::prelude::ProptestConfig::with_cases(1_000)
     })]
 
-    /// Whatever comes from the network, reading it ends with a datagram or an error.
+    /// Whatever bytes arrive, decoding ends with a datagram or an error.
     #[test]
-    fn any_datagram_is_read_or_refused(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..200)) {
-        let mut formed = encode(told()).unwrap();
-        formed.truncate(1);
-        formed.extend(&bytes);
+    fn any_bytes_decode_or_fail(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..200)) {
+        let mut with_format = encode(message()).unwrap();
+        with_format.truncate(1);
+        with_format.extend(&bytes);
         let _ = decode(&bytes);
-        let _ = decode(&formed);
+        let _ = decode(&with_format);
     }
 }
