--- a/crates/duty/tests/ledger.rs
+++ b/crates/duty/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What ran for whom: counts that are lost, come twice, or come by two ways.
+//! Usage counts that are lost, duplicated, or arrive by two ways.
 
 use std::collections::BTreeMap;
 
@@ -15,9 +15,10 @@
     sum.into_iter().map(|(key, count)| (key.0, count)).collect()
 }
 
-/// Guards against a datagram that comes twice and counts twice, and against an older one that comes late.
+/// Guards against a duplicate datagram that counts twice, and an older one that replaces a later
+/// one.
 #[test]
-fn a_tally_counts_once_however_often_it_is_told() {
+fn duplicate_tally_counts_once() {
     let (mut from, mut to) = (UsageLedger::new(7), UsageLedger::new(8));
     from.record_start(5, ONE);
     let first = from.to_send();
@@ -30,9 +31,9 @@
     assert_eq!(sum(&to, 5), [(1, 2), (2, 1)]);
 }
 
-/// Guards against what a restarted instance had told before its end: its new life counts anew and must not replace it.
+/// Guards against a restarted instance whose new counts replace those of its previous incarnation.
 #[test]
-fn a_new_life_adds_to_what_the_one_before_had_told() {
+fn restarted_instance_adds_to_its_previous_counts() {
     let (mut before, mut after, mut to) = (
         UsageLedger::new(7),
         UsageLedger::new(9),
@@ -46,9 +47,9 @@
     assert_eq!(sum(&to, 5), [(1, 7)]);
 }
 
-/// Guards against three datagrams in a row that are lost with the hub: who reports to a new one tells it all again.
+/// Guards against counts that are lost with a hub: a new hub must get them again.
 #[test]
-fn a_new_hub_is_told_what_the_old_one_knew() {
+fn counts_are_sent_again_to_a_new_hub() {
     let mut from = UsageLedger::new(7);
     from.record_start(5, ONE);
     from.record_start(6, ONE);
@@ -61,9 +62,9 @@
     assert_eq!((sum(&hub, 5), sum(&hub, 6)), (vec![(1, 1)], vec![(1, 1)]));
 }
 
-/// Guards against tallies that go round for ever: what another hub has told goes no further.
+/// Guards against tallies that circulate for ever: those from another hub are not passed on.
 #[test]
-fn only_what_was_reported_here_goes_on() {
+fn only_reported_tallies_are_passed_on() {
     let tally = Tally {
         incarnation: 1,
         window: 5,
@@ -83,9 +84,10 @@
     assert_eq!(hub.to_send().len(), 1);
 }
 
-/// Guards against an instance whose clock has jumped: its windows are far off and must not push the others out.
+/// Guards against an instance whose clock has jumped: its distant windows must not push out the
+/// others.
 #[test]
-fn windows_far_off_are_passed_over() {
+fn distant_windows_are_ignored() {
     let mut ledger = UsageLedger::new(8);
     ledger.record_start(100, ONE);
     for window in [0, 50, 102, 5_000, u64::MAX] {
@@ -107,30 +109,31 @@
         ..ProptestConfig::with_cases(1_000)
     })]
 
-    /// Whatever is lost, doubled or overtaken: once each instance has told its last tally, all counts are right.
+    /// Whatever is lost, duplicated or reordered: all counts are right once each instance has sent
+    /// its last tally.
     #[test]
-    fn all_that_began_is_counted_in_the_end(
+    fn every_start_is_counted_in_the_end(
         steps in prop::collection::vec((0_usize..4, 0_u32..3, 0_u8..3), 0..200)
     ) {
-        let mut all: Vec<UsageLedger> = (0..4).map(|life| UsageLedger::new(life + 1)).collect();
-        let mut keeper = UsageLedger::new(99);
-        let mut truth: BTreeMap<u32, u64> = BTreeMap::new();
-        let mut late: Vec<Tally> = Vec::new();
-        for (who, workspace, fate) in steps {
-            all[who].record_start(7, WorkspaceKey(workspace));
-            *truth.entry(workspace).or_default() += 1;
-            let told = all[who].to_send();
-            match fate {
+        let mut all: Vec<UsageLedger> = (1..=4).map(UsageLedger::new).collect();
+        let mut leader = UsageLedger::new(99);
+        let mut expected: BTreeMap<u32, u64> = BTreeMap::new();
+        let mut delayed: Vec<Tally> = Vec::new();
+        for (index, workspace, delivery) in steps {
+            all[index].record_start(7, WorkspaceKey(workspace));
+            *expected.entry(workspace).or_default() += 1;
+            let tallies = all[index].to_send();
+            match delivery {
                 0 => {}
-                1 => told.iter().for_each(|tally| keeper.receive(7, tally, true)),
-                _ => late.extend(told),
+                1 => tallies.iter().for_each(|tally| leader.receive(7, tally, true)),
+                _ => delayed.extend(tallies),
             }
         }
-        late.iter().rev().for_each(|tally| keeper.receive(7, tally, true));
+        delayed.iter().rev().for_each(|tally| leader.receive(7, tally, true));
         for ledger in &mut all {
             ledger.resend_own();
-            ledger.to_send().iter().for_each(|tally| keeper.receive(7, tally, true));
+            ledger.to_send().iter().for_each(|tally| leader.receive(7, tally, true));
         }
-        prop_assert_eq!(sum(&keeper, 7), truth.into_iter().collect::<Vec<_>>());
+        prop_assert_eq!(sum(&leader, 7), expected.into_iter().collect::<Vec<_>>());
     }
 }
--- a/crates/duty/tests/reports.rs
+++ b/crates/duty/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Windows that are reported: once, with the same counts, in time.
+//! Usage windows are reported once, with the same counts, and in time.
 
 use duty::{ReportAction, UsageReport, UsageReports, UsageWindows};
 
@@ -11,14 +11,14 @@
     }
 }
 
-/// When `window` is over and its tallies have come.
+/// When the tallies of `window` have arrived.
 fn settled_ms(window: u64) -> u64 {
     WINDOWS.end_ms(window) + 2_000
 }
 
-/// Guards against a window that is closed before what was counted last has come.
+/// Guards against fixing a window before its last counts have arrived.
 #[test]
-fn a_window_is_fixed_after_its_tallies_have_come() {
+fn window_is_fixed_after_its_tallies_settled() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(9));
     assert_eq!(
         reports.next_action(settled_ms(10) - 1, |window| window >= 9),
@@ -35,9 +35,9 @@
     );
 }
 
-/// Guards against a window in which nothing ran and of which nobody can tell whether it was forgotten.
+/// Guards against an empty window that is never reported, so that it looks forgotten.
 #[test]
-fn an_empty_window_is_reported_by_who_was_there() {
+fn empty_window_is_reported_if_seen_from_its_start() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(9));
     assert_eq!(
         reports.next_action(settled_ms(10), |_| false),
@@ -45,14 +45,14 @@
     );
 }
 
-/// Guards against two reports of one window with different counts: who takes over sends what was fixed.
+/// Guards against two reports of a window with different counts: a successor sends what was fixed.
 #[test]
-fn a_successor_sends_the_counts_that_were_fixed() {
+fn successor_sends_the_fixed_counts() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(9));
     reports.record_fixed(report(10, 3), false);
     reports.record_fixed(report(10, 4), true);
-    let due = reports.next_action(settled_ms(10), |window| window >= 9);
-    assert_eq!(due, Some(ReportAction::Fix(9)));
+    let action = reports.next_action(settled_ms(10), |window| window >= 9);
+    assert_eq!(action, Some(ReportAction::Fix(9)));
     reports.record_fixed(report(9, 1), true);
     reports.record_sent(settled_ms(10), 9, true);
     assert_eq!(
@@ -61,23 +61,25 @@
     );
 }
 
-/// Guards against a report whose answer was lost and which is never sent again, and against one sent at each look.
+/// Guards against a report that is not sent again after its answer was lost, and against one that
+/// is sent at each check.
 #[test]
-fn a_report_is_sent_again_until_it_is_accepted() {
+fn report_is_resent_until_accepted() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(9));
     reports.record_fixed(report(9, 1), true);
-    let begin_ms = settled_ms(9);
-    reports.record_sent(begin_ms, 9, false);
-    assert_eq!(reports.next_action(begin_ms + 1_000, |_| false), None);
-    let again = reports.next_action(begin_ms + 1_500, |_| false);
-    assert_eq!(again, Some(ReportAction::Send(report(9, 1))));
-    reports.record_sent(begin_ms + 1_500, 9, true);
-    assert_eq!(reports.next_action(begin_ms + 4_000, |_| false), None);
+    let sent_ms = settled_ms(9);
+    reports.record_sent(sent_ms, 9, false);
+    assert_eq!(reports.next_action(sent_ms + 1_000, |_| false), None);
+    let retry = reports.next_action(sent_ms + 1_500, |_| false);
+    assert_eq!(retry, Some(ReportAction::Send(report(9, 1))));
+    reports.record_sent(sent_ms + 1_500, 9, true);
+    assert_eq!(reports.next_action(sent_ms + 4_000, |_| false), None);
 }
 
-/// Guards against other counts for windows that may have been reported in a log that came back older.
+/// Guards against different counts for a window that was already reported, when the log comes back
+/// older than it was.
 #[test]
-fn after_the_log_was_lost_older_windows_are_not_fixed_anew() {
+fn old_windows_are_not_fixed_again_after_log_loss() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(5));
     reports.record_fixed(report(8, 2), true);
     reports.log_was_lost(WINDOWS.start_ms(10) + 100);
--- a/crates/duty/tests/scale.rs
+++ b/crates/duty/tests/scale.rs
@@ -1,10 +1,10 @@
-//! Engines that are ordered, taken back, not to be had, or late.
+//! Engines that are ordered, reclaimed, unavailable or late.
 
 use duty::scale::{
     CapacityKind, OrderOutcome, ScalePlanner, ScalingBounds, ZoneCapacity, ZoneTarget,
 };
 
-fn terms() -> ScalingBounds {
+fn bounds() -> ScalingBounds {
     let prices = [("a", 1.0), ("b", 0.8), ("c", 1.25)];
     ScalingBounds {
         min_per_zone: 1,
@@ -14,15 +14,16 @@
     }
 }
 
-/// A platform that gives what is ordered after the boot time, unless a zone is dry.
+/// A platform that fulfils orders after the engines' startup time, unless a zone has no spot
+/// capacity.
 struct Platform {
     now_ms: u64,
-    scaling: ScalePlanner,
+    planner: ScalePlanner,
     zones: Vec<ZoneCapacity>,
-    coming: Vec<(u64, ZoneTarget)>,
-    dry: Vec<&'static str>,
-    least: usize,
-    most_of_a_zone: usize,
+    pending: Vec<(u64, ZoneTarget)>,
+    zones_without_spot: Vec<&'static str>,
+    min_serving: usize,
+    max_in_zone: usize,
     orders: usize,
 }
 
@@ -35,12 +36,12 @@
         };
         Self {
             now_ms: 0,
-            scaling: ScalePlanner::default(),
+            planner: ScalePlanner::default(),
             zones: ["a", "b", "c"].map(zone).into(),
-            coming: Vec::new(),
-            dry: Vec::new(),
-            least: usize::MAX,
-            most_of_a_zone: 0,
+            pending: Vec::new(),
+            zones_without_spot: Vec::new(),
+            min_serving: usize::MAX,
+            max_in_zone: 0,
             orders: 0,
         }
     }
@@ -50,57 +51,58 @@
         while self.now_ms < until_ms {
             self.now_ms += 250;
             let due = self
-                .coming
+                .pending
                 .extract_if(.., |(at_ms, _)| *at_ms <= self.now_ms);
-            for (_, wish) in due {
+            for (_, target) in due {
                 let zone = self
                     .zones
                     .iter_mut()
-                    .find(|zone| zone.name == wish.zone)
+                    .find(|zone| zone.name == target.zone)
                     .unwrap();
-                match wish.kind {
-                    CapacityKind::OnDemand => zone.on_demand = wish.desired,
-                    CapacityKind::Spot => zone.spot = wish.desired,
+                match target.kind {
+                    CapacityKind::OnDemand => zone.on_demand = target.desired,
+                    CapacityKind::Spot => zone.spot = target.desired,
                 }
             }
-            let wishes = self.scaling.due_orders(self.now_ms, &terms(), &self.zones);
-            for wish in wishes {
-                self.order(&wish);
+            let targets = self.planner.due_orders(self.now_ms, &bounds(), &self.zones);
+            for target in targets {
+                self.order(&target);
             }
             let serving = self
                 .zones
                 .iter()
                 .map(|zone| zone.on_demand + zone.spot)
                 .sum();
-            self.least = self.least.min(serving);
+            self.min_serving = self.min_serving.min(serving);
             let sizes = self.zones.iter().map(|zone| zone.on_demand + zone.spot);
-            self.most_of_a_zone = sizes.fold(self.most_of_a_zone, usize::max);
+            self.max_in_zone = sizes.fold(self.max_in_zone, usize::max);
         }
     }
 
-    fn order(&mut self, wish: &ZoneTarget) {
+    fn order(&mut self, target: &ZoneTarget) {
         self.orders += 1;
         let zone = self
             .zones
             .iter()
-            .find(|zone| zone.name == wish.zone)
+            .find(|zone| zone.name == target.zone)
             .unwrap();
-        let there = match wish.kind {
+        let current = match target.kind {
             CapacityKind::OnDemand => zone.on_demand,
             CapacityKind::Spot => zone.spot,
         };
-        let is_dry = wish.kind == CapacityKind::Spot && self.dry.contains(&wish.zone.as_str());
-        let outcome = if is_dry && wish.desired > there {
+        let has_no_capacity = target.kind == CapacityKind::Spot
+            && self.zones_without_spot.contains(&target.zone.as_str());
+        let outcome = if has_no_capacity && target.desired > current {
             OrderOutcome::Dry
         } else {
-            let wait_ms = if wish.desired > there { 4_000 } else { 0 };
-            self.coming.push((self.now_ms + wait_ms, wish.clone()));
+            let wait_ms = if target.desired > current { 4_000 } else { 0 };
+            self.pending.push((self.now_ms + wait_ms, target.clone()));
             OrderOutcome::Taken
         };
-        self.scaling.record_order(self.now_ms, wish, outcome);
+        self.planner.record_order(self.now_ms, target, outcome);
     }
 
-    fn take_back(&mut self, name: &str) {
+    fn reclaim(&mut self, name: &str) {
         let zone = self
             .zones
             .iter_mut()
@@ -117,45 +119,48 @@
     }
 }
 
-/// Load: a fleet of engines on demand. The others cost a fifth, so all of them are replaced, by as many as leave the size
-/// that the operators set up when a zone is lost; at no moment fewer serve, and no zone goes beyond its bound.
+/// Guards against a fleet that shrinks while spot engines, at a fifth of the price, replace those
+/// on demand. There must be enough of them that the loss of a zone leaves the size that the
+/// operators set up, and no zone may exceed its bound.
 #[test]
-fn the_fleet_becomes_one_that_costs_less_and_never_shrinks() {
+fn spot_replaces_on_demand_without_a_dip() {
     let mut platform = Platform::with(111);
     platform.run(12_000);
     assert_eq!(platform.counts(), [(0, 56), (0, 56), (0, 55)]);
-    assert_eq!(platform.least, 111);
-    assert!(platform.most_of_a_zone <= 76);
+    assert_eq!(platform.min_serving, 111);
+    assert!(platform.max_in_zone <= 76);
     let orders = platform.orders;
     platform.run(60_000);
     assert_eq!(platform.orders, orders, "orders without a cause");
 }
 
-/// Load: a zone's engines are all taken back and none are to be had there. Those that are left are as many as were set up,
-/// the other zones give what they may within the boot time, and nothing more is asked of the dry one than it must have.
+/// Guards against a shortage when a zone reclaims all engines and has no more to give. The engines
+/// that are left must be as many as were set up, the other zones must be filled up within the
+/// startup time, and the lost zone gets only its minimum.
 #[test]
-fn what_a_zone_takes_back_comes_from_the_others() {
+fn reclaimed_zone_is_replaced_by_the_others() {
     let mut platform = Platform::with(111);
     platform.run(12_000);
-    platform.dry = vec!["b"];
-    platform.take_back("b");
+    platform.zones_without_spot = vec!["b"];
+    platform.reclaim("b");
     platform.run(5_000);
     assert_eq!(platform.counts(), [(0, 76), (1, 0), (0, 76)]);
-    assert_eq!(platform.least, 111);
+    assert_eq!(platform.min_serving, 111);
 }
 
-/// Load: no zone has any of the cheap ones left. Those on demand come back until it has.
+/// Guards against a fleet without engines when no zone has spot capacity: engines on demand return
+/// until there is some.
 #[test]
-fn where_none_are_to_be_had_engines_on_demand_come_back() {
+fn on_demand_returns_without_spot_capacity() {
     let mut platform = Platform::with(111);
     platform.run(12_000);
-    platform.dry = vec!["a", "b", "c"];
+    platform.zones_without_spot = vec!["a", "b", "c"];
     for zone in ["a", "b", "c"] {
-        platform.take_back(zone);
+        platform.reclaim(zone);
     }
     platform.run(10_000);
     assert_eq!(platform.counts(), [(37, 0), (37, 0), (37, 0)]);
-    platform.dry = Vec::new();
+    platform.zones_without_spot = Vec::new();
     platform
         .zones
         .iter_mut()
@@ -164,48 +169,48 @@
     assert_eq!(platform.counts(), [(0, 56), (0, 56), (0, 55)]);
 }
 
-/// Guards against an order that is given again at each look while the API does not answer.
+/// Guards against an order that is repeated at each check while the API does not answer.
 #[test]
-fn an_order_without_an_answer_rests_before_it_is_given_again() {
-    let mut scaling = ScalePlanner::default();
+fn unanswered_order_pauses_before_its_retry() {
+    let mut planner = ScalePlanner::default();
     let zone = |name: &str| ZoneCapacity {
         name: name.to_owned(),
         on_demand: 4,
         ..ZoneCapacity::default()
     };
     let zones = ["a", "b", "c"].map(zone);
-    scaling.due_orders(0, &terms(), &zones);
-    let wishes = scaling.due_orders(1_000, &terms(), &zones);
-    assert_eq!(wishes.len(), 3);
-    for wish in &wishes {
-        scaling.record_order(1_000, wish, OrderOutcome::Unanswered);
+    planner.due_orders(0, &bounds(), &zones);
+    let targets = planner.due_orders(1_000, &bounds(), &zones);
+    assert_eq!(targets.len(), 3);
+    for target in &targets {
+        planner.record_order(1_000, target, OrderOutcome::Unanswered);
     }
-    assert!(scaling.due_orders(2_400, &terms(), &zones).is_empty());
-    assert_eq!(scaling.due_orders(2_500, &terms(), &zones), wishes);
+    assert!(planner.due_orders(2_400, &bounds(), &zones).is_empty());
+    assert_eq!(planner.due_orders(2_500, &bounds(), &zones), targets);
 }
 
-/// Guards against a successor that takes the half of a fleet which is left for the size that is wanted.
+/// Guards against a successor that takes what is left of a fleet for its target size.
 #[test]
-fn a_successor_goes_on_with_the_size_that_was_wanted() {
-    let mut scaling = ScalePlanner::default();
-    let wish = ZoneTarget {
+fn successor_keeps_the_target_size() {
+    let mut planner = ScalePlanner::default();
+    let target = ZoneTarget {
         zone: "a".to_owned(),
         kind: CapacityKind::Spot,
         desired: 37,
     };
-    scaling.adopt(111, &wish);
+    planner.adopt(111, &target);
     let zone = |name: &str| ZoneCapacity {
         name: name.to_owned(),
         spot: if name == "a" { 37 } else { 0 },
         ..ZoneCapacity::default()
     };
-    let wishes = scaling.due_orders(0, &terms(), &["a", "b", "c"].map(zone));
-    let spot: usize = wishes
+    let targets = planner.due_orders(0, &bounds(), &["a", "b", "c"].map(zone));
+    let spot: usize = targets
         .iter()
-        .filter(|wish| wish.kind == CapacityKind::Spot)
-        .map(|wish| wish.desired)
+        .filter(|target| target.kind == CapacityKind::Spot)
+        .map(|target| target.desired)
         .sum();
-    assert_eq!((scaling.target_size(), spot), (Some(111), 167));
+    assert_eq!((planner.target_size(), spot), (Some(111), 167));
 }
 
 fn fleet(on_demand: usize, spot: usize) -> [ZoneCapacity; 3] {
@@ -217,38 +222,44 @@
     })
 }
 
-/// Guards against orders for a kind that there is not, or that would cost more than what it replaces.
+/// Guards against orders for a kind that does not exist, or that would cost more than what it
+/// replaces.
 #[test]
-fn nothing_is_replaced_where_it_would_not_cost_less() {
+fn nothing_is_replaced_without_a_saving() {
     for spot_price in [0.0, 0.7, 1.0] {
-        let terms = ScalingBounds {
+        let bounds = ScalingBounds {
             spot_price,
-            ..terms()
+            ..bounds()
         };
-        let mut scaling = ScalePlanner::default();
+        let mut planner = ScalePlanner::default();
         assert!(
-            scaling.due_orders(0, &terms, &fleet(10, 0)).is_empty(),
+            planner.due_orders(0, &bounds, &fleet(10, 0)).is_empty(),
             "{spot_price}"
         );
     }
 }
 
-/// Guards against a fleet that grows by half with each restart of all instances, when the log has lost what was wanted.
+/// Guards against a fleet that grows by half with each restart of all instances, when the log has
+/// lost the target size.
 #[test]
-fn a_fleet_that_was_replaced_before_keeps_its_size() {
-    let mut scaling = ScalePlanner::default();
-    assert!(scaling.due_orders(0, &terms(), &fleet(0, 56)).is_empty());
-    assert_eq!(scaling.target_size(), Some(112));
+fn replaced_fleet_keeps_its_size_after_restart() {
+    let mut planner = ScalePlanner::default();
+    assert!(planner.due_orders(0, &bounds(), &fleet(0, 56)).is_empty());
+    assert_eq!(planner.target_size(), Some(112));
 }
 
-/// Guards against an order that the API refuses for good and that is given again every other second.
+/// Guards against an order that the API refuses for good and that is repeated every other second.
 #[test]
-fn an_order_that_was_refused_rests_for_long() {
-    let mut scaling = ScalePlanner::default();
-    let wishes = scaling.due_orders(0, &terms(), &fleet(4, 0));
-    for wish in &wishes {
-        scaling.record_order(0, wish, OrderOutcome::Refused);
+fn refused_order_pauses_long() {
+    let mut planner = ScalePlanner::default();
+    let targets = planner.due_orders(0, &bounds(), &fleet(4, 0));
+    for target in &targets {
+        planner.record_order(0, target, OrderOutcome::Refused);
     }
-    assert!(scaling.due_orders(7_999, &terms(), &fleet(4, 0)).is_empty());
-    assert_eq!(scaling.due_orders(8_000, &terms(), &fleet(4, 0)), wishes);
+    assert!(
+        planner
+            .due_orders(7_999, &bounds(), &fleet(4, 0))
+            .is_empty()
+    );
+    assert_eq!(planner.due_orders(8_000, &bounds(), &fleet(4, 0)), targets);
 }
