--- a/crates/relay/tests/access.rs
+++ b/crates/relay/tests/access.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Write;
 
-use common::{Act, Bed, Seen, StandIn, config, request};
+use common::{Action, ReceivedRequest, StubUpstream, TestInstance, config, request};
 use http::{HeaderValue, Method, Request};
 use keys::KeyHash;
 use relay::config::{Access, Config, Limits, Route, RouteKind, Workspace};
@@ -43,50 +43,53 @@
 }
 
 fn with(
-    mut asked: Request<http_body_util::Full<bytes::Bytes>>,
+    mut req: Request<http_body_util::Full<bytes::Bytes>>,
     headers: &[(&'static str, &'static str)],
 ) -> Request<http_body_util::Full<bytes::Bytes>> {
     for (name, value) in headers {
-        asked
-            .headers_mut()
+        req.headers_mut()
             .append(*name, HeaderValue::from_static(value));
     }
-    asked
+    req
 }
 
-fn desk() -> StandIn {
-    StandIn::start(|seen| seen.answer("200 OK", "", "ok"))
+fn desk() -> StubUpstream {
+    StubUpstream::start(|received| received.response("200 OK", "", "ok"))
 }
 
-fn bed(desk: &StandIn) -> Bed {
-    let bed = Bed::start(vec![desk.entry("one", "desk", Stage::Whole)]);
-    bed.relay.configure(two(2));
-    bed
+fn start_instance(desk: &StubUpstream) -> TestInstance {
+    let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
+    instance.relay.configure(two(2));
+    instance
 }
 
 /// Guards against a caller's key at an upstream, and a workspace that the caller names itself.
 #[actix_rt::test]
 async fn an_upstream_learns_the_workspace_and_never_the_key() {
     let desk = desk();
-    let bed = bed(&desk);
+    let instance = start_instance(&desk);
     let forged = [
         ("x-key", "key-one"),
         ("x-workspace", "other"),
         ("connection", "x-workspace, x-key"),
     ];
-    let asked = with(request(Method::POST, "/claims/x", "1"), &forged);
-    assert_eq!(bed.get(asked).await.0, 200);
-    let seen = desk.seen.borrow();
-    assert_eq!(seen[0].header("x-workspace"), Some("one"));
-    assert!(!seen[0].headers.contains("key-one"), "{}", seen[0].headers);
-    assert_eq!(seen[0].headers.matches("x-workspace").count(), 1);
+    let req = with(request(Method::POST, "/claims/x", "1"), &forged);
+    assert_eq!(instance.fetch(req).await.0, 200);
+    let received = desk.received.borrow();
+    assert_eq!(received[0].header("x-workspace"), Some("one"));
+    assert!(
+        !received[0].headers.contains("key-one"),
+        "{}",
+        received[0].headers
+    );
+    assert_eq!(received[0].headers.matches("x-workspace").count(), 1);
 }
 
 /// Guards against callers who are let in without a key that somebody has.
 #[actix_rt::test]
 async fn who_has_no_valid_key_is_refused_and_nothing_runs() {
     let desk = desk();
-    let bed = bed(&desk);
+    let instance = start_instance(&desk);
     let presented: [&[(&str, &str)]; 6] = [
         &[],
         &[("x-key", "")],
@@ -97,12 +100,12 @@
         &[("x-key", "key-one"), ("x-key", "key-one")],
     ];
     for headers in presented {
-        let mut asked = request(Method::POST, "/claims/x", "1");
+        let mut req = request(Method::POST, "/claims/x", "1");
         for (name, value) in headers {
             let value = HeaderValue::from_bytes(value.as_bytes()).unwrap();
-            asked.headers_mut().append(*name, value);
+            req.headers_mut().append(*name, value);
         }
-        assert_eq!(bed.get(asked).await.0, 401, "{headers:?}");
+        assert_eq!(instance.fetch(req).await.0, 401, "{headers:?}");
     }
     assert_eq!(desk.count(), 0);
 }
@@ -111,7 +114,7 @@
 #[actix_rt::test]
 async fn a_public_route_needs_no_key_and_passes_no_name_on() {
     let desk = desk();
-    let bed = bed(&desk);
+    let instance = start_instance(&desk);
     let all: [(Headers, Option<&str>); 4] = [
         (&[], None),
         (&[("x-workspace", "other")], None),
@@ -119,11 +122,11 @@
         (&[("x-key", "key-other")], Some("other")),
     ];
     for (at, (headers, named)) in all.into_iter().enumerate() {
-        let asked = with(request(Method::GET, "/open/x", "1"), headers);
-        assert_eq!(bed.get(asked).await.0, 200, "{headers:?}");
-        let seen = &desk.seen.borrow()[at];
-        assert_eq!(seen.header("x-workspace"), named, "{headers:?}");
-        assert!(seen.header("x-key").is_none());
+        let req = with(request(Method::GET, "/open/x", "1"), headers);
+        assert_eq!(instance.fetch(req).await.0, 200, "{headers:?}");
+        let received = &desk.received.borrow()[at];
+        assert_eq!(received.header("x-workspace"), named, "{headers:?}");
+        assert!(received.header("x-key").is_none());
     }
 }
 
@@ -131,45 +134,57 @@
 /// again, a stream that goes on elsewhere.
 #[actix_rt::test]
 async fn the_key_ends_here_on_every_way() {
-    let reader = StandIn::start(|seen| seen.answer("200 OK", "", "kv-1"));
+    let reader = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
     let event = |id: u32| format!("id: {id}\ndata: {id}\n\n");
-    let makes = move |seen: &Seen| {
-        if seen.header("last-event-id").is_some() {
-            return seen.answer("200 OK", "", &event(2));
+    let makes = move |received: &ReceivedRequest| {
+        if received.header("last-event-id").is_some() {
+            return received.response("200 OK", "", &event(2));
         }
-        let whole = seen.text("200 OK", "", &(event(1) + &event(2)));
-        vec![Act::Say(whole[..whole.len() - 3].to_owned()), Act::Close]
+        let whole = received.response_text("200 OK", "", &(event(1) + &event(2)));
+        vec![
+            Action::Write(whole[..whole.len() - 3].to_owned()),
+            Action::Close,
+        ]
     };
-    let (near, far) = (StandIn::start(makes), StandIn::start(makes));
-    let fails = StandIn::start(|seen| seen.answer("500 Oops", "", "oops"));
+    let (near, far) = (StubUpstream::start(makes), StubUpstream::start(makes));
+    let fails = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
     let works = desk();
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         reader.entry("reader", "llm", Stage::Prefill),
         near.entry("near", "llm", Stage::Decode),
         far.entry("far", "llm", Stage::Decode),
         fails.entry("fails", "desk", Stage::Whole),
         works.entry("works", "desk", Stage::Whole),
     ]);
-    bed.relay.configure(two(2));
+    instance.relay.configure(two(2));
     let key = ("x-key", "second-one");
-    let asked = with(
+    let req = with(
         request(Method::POST, "/grades/x", "1"),
         &[key, ("x-prompt", LONG)],
     );
-    assert_eq!(bed.get(asked).await, (200, Some(event(1) + &event(2))));
+    assert_eq!(instance.fetch(req).await, (200, Some(event(1) + &event(2))));
     for number in 0..6 {
-        let asked = with(
+        let req = with(
             request(Method::GET, "/reads/x", &number.to_string()),
             &[key],
         );
-        assert_eq!(bed.get(asked).await.0, 200);
+        assert_eq!(instance.fetch(req).await.0, 200);
     }
     assert!(fails.count() > 0 && reader.count() == 1);
     assert_eq!(near.count() + far.count(), 2);
     for upstream in [&reader, &near, &far, &fails, &works] {
-        for seen in upstream.seen.borrow().iter() {
-            assert_eq!(seen.header("x-workspace"), Some("one"), "{}", seen.line);
-            assert!(!seen.headers.contains("second-one"), "{}", seen.line);
+        for received in upstream.received.borrow().iter() {
+            assert_eq!(
+                received.header("x-workspace"),
+                Some("one"),
+                "{}",
+                received.request_line
+            );
+            assert!(
+                !received.headers.contains("second-one"),
+                "{}",
+                received.request_line
+            );
         }
     }
 }
@@ -177,12 +192,12 @@
 /// Guards against a refusal that says a key is wrong where nobody can know.
 #[actix_rt::test]
 async fn without_a_configuration_no_key_is_called_wrong() {
-    let bed = Bed::knowing_nothing(common::settings());
-    let asked = with(
+    let instance = TestInstance::unconfigured(common::settings());
+    let req = with(
         request(Method::POST, "/claims/x", "1"),
         &[("x-key", "key-one")],
     );
-    assert_eq!(bed.get(asked).await.0, 503);
+    assert_eq!(instance.fetch(req).await.0, 503);
 }
 
 /// Guards against a key that goes on letting in after it was taken away, the last of its workspace included, and against
@@ -190,13 +205,13 @@
 #[actix_rt::test]
 async fn a_key_that_is_taken_away_stops_and_does_not_come_back() {
     let desk = desk();
-    let bed = bed(&desk);
+    let instance = start_instance(&desk);
     let ask = async |key: &'static str| {
-        let asked = with(request(Method::GET, "/reads/x", "1"), &[("x-key", key)]);
-        bed.get(asked).await.0
+        let req = with(request(Method::GET, "/reads/x", "1"), &[("x-key", key)]);
+        instance.fetch(req).await.0
     };
     assert_eq!(ask("key-one").await, 200);
-    bed.relay.configure(keyed(
+    instance.relay.configure(keyed(
         3,
         vec![
             workspace("one", &[], None),
@@ -204,9 +219,9 @@
         ],
     ));
     assert_eq!((ask("key-one").await, ask("key-new").await), (401, 200));
-    bed.relay.configure(two(2));
+    instance.relay.configure(two(2));
     assert_eq!((ask("key-one").await, ask("key-other").await), (401, 401));
-    bed.relay.configure(keyed(4, Vec::new()));
+    instance.relay.configure(keyed(4, Vec::new()));
     assert_eq!(ask("key-new").await, 401);
 }
 
@@ -214,16 +229,16 @@
 #[actix_rt::test]
 async fn no_key_stands_in_what_an_instance_tells() {
     let desk = desk();
-    let bed = bed(&desk);
+    let instance = start_instance(&desk);
     let mut said = String::new();
     for key in ["key-one", "key-unknown"] {
-        let asked = with(request(Method::POST, "/claims/x", "1"), &[("x-key", key)]);
-        let response = bed.ask(asked).await.unwrap();
+        let req = with(request(Method::POST, "/claims/x", "1"), &[("x-key", key)]);
+        let response = instance.send(req).await.unwrap();
         write!(said, "{:?}", response.headers()).unwrap();
     }
-    let state = serde_json::to_string(&bed.relay.snapshot()).unwrap();
-    let metrics = String::from_utf8(bed.relay.metrics_text()).unwrap();
-    let config = format!("{:?}", bed.relay.config());
+    let state = serde_json::to_string(&instance.relay.snapshot()).unwrap();
+    let metrics = String::from_utf8(instance.relay.metrics_text()).unwrap();
+    let config = format!("{:?}", instance.relay.config());
     for text in [&state, &metrics, &said, &config] {
         assert!(
             !text.contains("key-one") && !text.contains("key-unknown"),
@@ -236,13 +251,13 @@
 #[actix_rt::test]
 async fn who_may_ask_goes_along_with_a_configuration_that_is_told() {
     let desk = desk();
-    let bed = bed(&desk);
-    let told = serde_json::to_value(bed.relay.snapshot()).unwrap();
+    let instance = start_instance(&desk);
+    let told = serde_json::to_value(instance.relay.snapshot()).unwrap();
     let state: Snapshot = serde_json::from_value(told.clone()).unwrap();
-    let new = Bed::knowing_nothing(common::settings());
+    let new = TestInstance::unconfigured(common::settings());
     relay::snapshot::merge(&new.relay, &state, desk.address);
-    let asked = request(Method::POST, "/claims/x", "1");
-    assert_eq!(new.get(asked).await.0, 401);
+    let req = request(Method::POST, "/claims/x", "1");
+    assert_eq!(new.fetch(req).await.0, 401);
     // One of a version that knows of no keys is not believed.
     let mut older = told;
     older["config"].as_object_mut().unwrap().remove("access");
@@ -252,15 +267,19 @@
 /// Guards against a workspace whose own priority is passed over for that of the route.
 #[actix_rt::test]
 async fn the_priority_of_a_workspace_goes_before_the_routes() {
-    let engine = StandIn::start(|seen| seen.answer("200 OK", "", "id: 1\ndata: 1\n\n"));
-    let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    bed.relay.configure(two(2));
+    let engine =
+        StubUpstream::start(|received| received.response("200 OK", "", "id: 1\ndata: 1\n\n"));
+    let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    instance.relay.configure(two(2));
     for key in ["key-one", "key-other"] {
         let headers = [("x-key", key), ("x-prompt", "7:50,8:40")];
-        let asked = with(request(Method::POST, "/grades/x", "1"), &headers);
-        assert_eq!(bed.get(asked).await.0, 200);
+        let req = with(request(Method::POST, "/grades/x", "1"), &headers);
+        assert_eq!(instance.fetch(req).await.0, 200);
     }
-    let seen = engine.seen.borrow();
-    let ranks: Vec<_> = seen.iter().map(|seen| seen.header("x-rank")).collect();
+    let received = engine.received.borrow();
+    let ranks: Vec<_> = received
+        .iter()
+        .map(|received| received.header("x-rank"))
+        .collect();
     assert_eq!(ranks, [Some("2"), Some("0")]);
 }
--- a/crates/relay/tests/common/wire.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -1,4 +1,4 @@
-//! Names on the wire of these tests.
+//! The dialect of these tests: the headers and paths with which upstreams and callers speak.
 
 use std::net::SocketAddr;
 
@@ -10,18 +10,18 @@
 };
 use relay::role_orders::RoleOrder;
 
-/// Names on the wire of these tests.
-pub struct Wire;
+/// Reads and writes the `x-` headers of these tests.
+pub struct TestDialect;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
-    text(headers, name)?.parse().ok()
+fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    header_text(headers, name)?.parse().ok()
 }
 
-fn prompt(value: &str) -> Prompt {
+fn parse_prompt(value: &str) -> Prompt {
     let parts: Vec<PromptPart> = value
         .split(',')
         .filter_map(|part| {
@@ -40,7 +40,7 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> PresentedKey {
+fn presented_key(headers: &HeaderMap) -> PresentedKey {
     let keys: Vec<_> = headers.get_all("x-key").iter().collect();
     match keys[..] {
         [] => PresentedKey::Nothing,
@@ -49,14 +49,14 @@
     }
 }
 
-impl Dialect for Wire {
+impl Dialect for TestDialect {
     fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead {
         RequestHead {
             attempt: headers.get("x-attempt").cloned(),
-            deadline_ms: number(headers, "x-left-ms"),
-            prompt: text(headers, "x-prompt").map(prompt),
-            last_event: number(headers, "last-event-id"),
-            key: key(headers),
+            deadline_ms: header_number(headers, "x-left-ms"),
+            prompt: header_text(headers, "x-prompt").map(parse_prompt),
+            last_event: header_number(headers, "last-event-id"),
+            key: presented_key(headers),
         }
     }
 
@@ -78,25 +78,25 @@
         name.as_str().starts_with("x-")
     }
 
-    fn write_send_options(&self, headers: &mut HeaderMap, sending: &SendOptions) {
+    fn write_send_options(&self, headers: &mut HeaderMap, options: &SendOptions) {
         let mut put = |name: &'static str, value: String| {
             headers.insert(name, HeaderValue::from_str(&value).expect("a valid value"));
         };
-        put("x-instance", sending.instance.to_owned());
-        put("x-left-ms", sending.deadline_ms.to_string());
-        if let Some(rank) = sending.priority {
+        put("x-instance", options.instance.to_owned());
+        put("x-left-ms", options.deadline_ms.to_string());
+        if let Some(rank) = options.priority {
             put("x-rank", rank.to_string());
         }
-        if sending.step == Step::Prefill {
+        if options.step == Step::Prefill {
             put("x-step", "prefill".to_owned());
         }
-        if let Some(kv) = sending.kv {
+        if let Some(kv) = options.kv {
             put("x-kv", kv.id.clone());
         }
-        if let Some(holder) = sending.copy_from {
+        if let Some(holder) = options.copy_from {
             put("x-copy", holder.to_string());
         }
-        if let Some(last) = sending.last_event {
+        if let Some(last) = options.last_event {
             put("last-event-id", last.to_string());
         }
     }
@@ -107,7 +107,7 @@
     }
 
     fn parse_response_head(&self, headers: &HeaderMap) -> ResponseHead {
-        let load = number(headers, "x-load").map(|running| ReportedLoad {
+        let load = header_number(headers, "x-load").map(|running| ReportedLoad {
             running: running as u32,
             waiting: 0,
         });
@@ -115,9 +115,9 @@
             attempt: headers.get("x-attempt").cloned(),
             is_signed: headers.contains_key("x-signature"),
             not_run: headers.contains_key("x-not-run"),
-            instance: text(headers, "x-instance").map(str::to_owned),
+            instance: header_text(headers, "x-instance").map(str::to_owned),
             load,
-            limit_per_s: text(headers, "x-limit").and_then(|limit| limit.parse().ok()),
+            limit_per_s: header_text(headers, "x-limit").and_then(|limit| limit.parse().ok()),
         }
     }
 
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A relay on loopback with stand-ins for its upstreams.
+//! Starts an instance on loopback, with stub upstreams behind it.
 
 #![allow(
     dead_code,
@@ -6,8 +6,8 @@
     reason = "each test file uses a part of this"
 )]
 
-mod standin;
-mod wire;
+mod dialect;
+mod stub;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,24 +28,25 @@
 use tokio::sync::watch;
 use view::Member;
 
-pub use standin::{Act, Seen, StandIn};
-pub use wire::Wire;
+pub use dialect::TestDialect;
+pub use stub::{Action, ReceivedRequest, StubUpstream};
 
-/// Time for which the process of a relay has been running: longer than any of its windows.
-pub const AGE: Duration = Duration::from_secs(60);
+/// How long the process of an instance seems to have been running: longer than any of its time
+/// windows, so that the whole retry budget is available.
+pub const PROCESS_AGE: Duration = Duration::from_secs(60);
 
-/// A relay that listens on loopback.
-pub struct Bed {
-    /// The relay.
+/// An instance that listens on loopback.
+pub struct TestInstance {
+    /// State of the instance.
     pub relay: Rc<Relay>,
-    /// Where callers connect.
+    /// Address at which it accepts callers.
     pub address: SocketAddr,
-    /// Its phase.
+    /// Sets the phase that its listener follows.
     pub phase: watch::Sender<Phase>,
     pool: Rc<Pool>,
 }
 
-/// A route of these tests.
+/// A route for `host.test`; an unsafe one gets a single attempt, a stream can be resumed.
 pub fn route(prefix: &str, kind: RouteKind, service: &str) -> Route {
     Route {
         name: prefix.trim_matches('/').to_owned(),
@@ -66,7 +67,8 @@
     }
 }
 
-/// Version 1 of a configuration with the usual routes.
+/// A configuration of this version with routes for an unsafe, a safe, a resumable and a
+/// non-resumable request.
 pub fn config(version: u64) -> Config {
     let mut once = route("/once/", RouteKind::Stream, "llm");
     once.resumable = false;
@@ -97,7 +99,7 @@
     Config::new(version, routes, services, Limits::default())
 }
 
-/// Settings of these tests.
+/// Settings of instance `a` in zone `here`.
 pub fn settings() -> Settings {
     Settings {
         name: "a".to_owned(),
@@ -117,30 +119,36 @@
     }
 }
 
-impl Bed {
-    /// Starts a relay with these upstreams.
+impl TestInstance {
+    /// Starts an instance with these upstreams and the usual settings.
     pub fn start(entries: Vec<UpstreamEntry>) -> Self {
         Self::start_with(settings(), entries)
     }
 
-    /// Starts a relay with these settings and upstreams.
+    /// Starts an instance with these settings and upstreams. It knows itself as a member, as it has
+    /// no retries to spend before that.
     pub fn start_with(settings: Settings, entries: Vec<UpstreamEntry>) -> Self {
-        let bed = Self::knowing_nothing(settings);
-        bed.relay.configure(config(1));
-        let own = bed.relay.heartbeat();
-        let now_ms = bed.relay.now_ms();
-        bed.relay.members.borrow_mut().record_heartbeat(now_ms, own);
+        let instance = Self::unconfigured(settings);
+        instance.relay.configure(config(1));
+        let own = instance.relay.heartbeat();
+        let now_ms = instance.relay.now_ms();
+        instance
+            .relay
+            .members
+            .borrow_mut()
+            .record_heartbeat(now_ms, own);
         for entry in entries {
-            bed.relay
+            instance
+                .relay
                 .apply_change(ListChange::Put(entry), relay::Origin::Read);
         }
-        bed
+        instance
     }
 
-    /// Starts a relay that has no configuration and no upstreams.
-    pub fn knowing_nothing(settings: Settings) -> Self {
-        let clock = Clock::of_age(AGE);
-        let relay = Relay::new(settings, Rc::new(Wire), clock);
+    /// Starts an instance without a configuration or upstreams.
+    pub fn unconfigured(settings: Settings) -> Self {
+        let clock = Clock::of_age(PROCESS_AGE);
+        let relay = Relay::new(settings, Rc::new(TestDialect), clock);
         let listener = bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = watch::channel(Phase::Serving);
@@ -158,20 +166,20 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
-    pub async fn ask(
+    /// Sends a request and returns the head of the response; its body can still be read.
+    pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        let (response, lease) = exchange(&self.pool, usize::MAX, request).await?;
-        // The connection lives until the answer is read; the pool is not what is tested here.
-        std::mem::forget(lease);
+        let (response, connection) = exchange(&self.pool, usize::MAX, request).await?;
+        // Dropping it would close the connection while the body is yet to be read.
+        std::mem::forget(connection);
         Ok(response)
     }
 
-    /// Sends a request and gives status and body; nothing for a body that broke off.
-    pub async fn get(&self, request: Request<Full<Bytes>>) -> (u16, Option<String>) {
-        let response = self.ask(request).await.expect("an answer's head");
+    /// Sends a request and returns the status and the body; `None` for a body that was truncated.
+    pub async fn fetch(&self, request: Request<Full<Bytes>>) -> (u16, Option<String>) {
+        let response = self.send(request).await.expect("an answer's head");
         let status = response.status().as_u16();
         let body = response.into_body().collect().await.ok();
         let body = body.map(|body| String::from_utf8_lossy(&body.to_bytes()).into_owned());
@@ -179,7 +187,7 @@
     }
 }
 
-/// A request to `path` under an id.
+/// A request to `path` at `host.test` with 3 s to its deadline, under the attempt id `id`.
 pub fn request(method: Method, path: &str, id: &str) -> Request<Full<Bytes>> {
     let body = if method == Method::POST { "body" } else { "" };
     Request::builder()
@@ -192,8 +200,8 @@
         .expect("a request")
 }
 
-/// Waits until something holds, for at most some seconds.
-pub async fn until(holds: impl Fn() -> bool) -> bool {
+/// Polls until `holds` is true; false if it isn't after five seconds.
+pub async fn wait_until(holds: impl Fn() -> bool) -> bool {
     for _ in 0..500 {
         if holds() {
             return true;
@@ -203,11 +211,11 @@
     false
 }
 
-/// Another instance, to be told things.
-pub fn listener() -> Member {
+/// A ready peer to which gossip is addressed; nobody receives it.
+pub fn peer_member() -> Member {
     let address: SocketAddr = "127.0.0.1:2".parse().expect("an address");
     Member {
-        name: "told".to_owned(),
+        name: "peer".to_owned(),
         address,
         gossip_address: Some(address),
         zone: "here".to_owned(),
@@ -217,15 +225,15 @@
     }
 }
 
-/// Lets one relay tell another one all that it has to tell now.
-pub fn tell(from: &Relay, to: &Relay) {
-    let other = listener();
-    let address = other.address;
+/// Delivers to `to` the gossip messages that `from` would send to a peer now.
+pub fn deliver_gossip(from: &Relay, to: &Relay) {
+    let peer = peer_member();
+    let address = peer.address;
     from.members
         .borrow_mut()
-        .record_heartbeat(from.now_ms(), other);
+        .record_heartbeat(from.now_ms(), peer);
     from.heartbeat_stored(from.heartbeat());
-    for (_, told) in from.due_gossip() {
-        to.receive_gossip(&told, address);
+    for (_, message) in from.due_gossip() {
+        to.receive_gossip(&message, address);
     }
 }
--- a/crates/relay/tests/common/standin.rs
+++ b/crates/relay/tests/common/stub.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer as a test says.
+//! Upstreams that respond as a test prescribes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,43 +11,43 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// What a stand-in does on a connection, one after the other.
-pub enum Act {
+/// A step of a response; a stub carries out its steps in order.
+pub enum Action {
     /// Writes bytes.
-    Say(String),
-    /// Waits.
+    Write(String),
+    /// Waits for this many milliseconds, or until the other end closes the connection.
     Wait(u64),
     /// Closes the connection.
     Close,
-    /// Ends the process: all connections close, and no new one is accepted.
+    /// Ends the process: all connections close and no new one is accepted.
     Crash,
 }
 
-/// A request as a stand-in saw it.
+/// A request as the upstream received it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Method, path and version.
-    pub line: String,
-    /// All headers, in lower case, one a line.
+    pub request_line: String,
+    /// All headers in lower case, one a line.
     pub headers: String,
-    /// Body.
+    /// Body, as UTF-8.
     pub body: String,
 }
 
-impl Seen {
-    /// The value of a header.
+impl ReceivedRequest {
+    /// The value of a header; its name is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.headers.lines();
         lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
-    /// A whole answer of this upstream to the request.
-    pub fn answer(&self, status: &str, headers: &str, body: &str) -> Vec<Act> {
-        vec![Act::Say(self.text(status, headers, body))]
+    /// A complete, signed response to this request.
+    pub fn response(&self, status: &str, headers: &str, body: &str) -> Vec<Action> {
+        vec![Action::Write(self.response_text(status, headers, body))]
     }
 
-    /// The bytes of such an answer.
-    pub fn text(&self, status: &str, headers: &str, body: &str) -> String {
+    /// The bytes of a complete, signed response to this request.
+    pub fn response_text(&self, status: &str, headers: &str, body: &str) -> String {
         let attempt = self.header("x-attempt").unwrap_or("none");
         let length = body.len();
         format!(
@@ -56,31 +56,31 @@
     }
 }
 
-/// An upstream that answers as it is told.
+/// An upstream on loopback that responds as a test prescribes.
 #[derive(Clone)]
-pub struct StandIn {
-    /// Where it listens.
+pub struct StubUpstream {
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// What it has seen.
-    pub seen: Rc<RefCell<Vec<Seen>>>,
-    /// Connections that their other end closed while an answer was being made.
-    pub left: Rc<RefCell<usize>>,
+    /// The requests that it received, in order.
+    pub received: Rc<RefCell<Vec<ReceivedRequest>>>,
+    /// Connections that the other end closed while a response was under way.
+    pub closed_by_relay: Rc<RefCell<usize>>,
     crashed: watch::Sender<bool>,
 }
 
-impl StandIn {
-    /// Starts one.
-    pub fn start(answer: impl Fn(&Seen) -> Vec<Act> + 'static) -> Self {
+impl StubUpstream {
+    /// Starts one that responds to each request with these steps.
+    pub fn start(respond: impl Fn(&ReceivedRequest) -> Vec<Action> + 'static) -> Self {
         let listener = bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let standin = Self {
+        let stub = Self {
             address: listener.local_addr().expect("an address"),
-            seen: Rc::default(),
-            left: Rc::default(),
+            received: Rc::default(),
+            closed_by_relay: Rc::default(),
             crashed: watch::Sender::new(false),
         };
-        let answer = Rc::new(answer);
-        let shared = standin.clone();
-        let mut crashed = standin.crashed.subscribe();
+        let respond = Rc::new(respond);
+        let shared = stub.clone();
+        let mut crashed = stub.crashed.subscribe();
         actix_rt::spawn(async move {
             loop {
                 let accepted = tokio::select! {
@@ -90,49 +90,53 @@
                 let Ok((stream, _)) = accepted else {
                     return;
                 };
-                let standin = shared.clone();
-                let answer = Rc::clone(&answer);
+                let stub = shared.clone();
+                let respond = Rc::clone(&respond);
                 actix_rt::spawn(async move {
-                    let mut crashed = standin.crashed.subscribe();
+                    let mut crashed = stub.crashed.subscribe();
                     tokio::select! {
-                        () = standin.converse(stream, &*answer) => {}
+                        () = stub.serve_connection(stream, &*respond) => {}
                         _ = crashed.wait_for(|crashed| *crashed) => {}
                     }
                 });
             }
         });
-        standin
+        stub
     }
 
-    /// Whether it has ended.
+    /// Whether a step has ended the process.
     pub fn has_crashed(&self) -> bool {
         *self.crashed.borrow()
     }
 
-    async fn converse(&self, mut stream: TcpStream, answer: &dyn Fn(&Seen) -> Vec<Act>) {
-        while let Some(seen) = read(&mut stream).await {
-            self.seen.borrow_mut().push(seen.clone());
-            for act in answer(&seen) {
-                match act {
-                    Act::Say(bytes) => {
+    async fn serve_connection(
+        &self,
+        mut stream: TcpStream,
+        respond: &dyn Fn(&ReceivedRequest) -> Vec<Action>,
+    ) {
+        while let Some(received) = read_request(&mut stream).await {
+            self.received.borrow_mut().push(received.clone());
+            for action in respond(&received) {
+                match action {
+                    Action::Write(bytes) => {
                         if stream.write_all(bytes.as_bytes()).await.is_err() {
-                            *self.left.borrow_mut() += 1;
+                            *self.closed_by_relay.borrow_mut() += 1;
                             return;
                         }
                     }
-                    Act::Wait(ms) => {
+                    Action::Wait(ms) => {
                         let mut byte = [0];
                         let wait = Duration::from_millis(ms);
                         if actix_rt::time::timeout(wait, stream.peek(&mut byte))
                             .await
                             .is_ok()
                         {
-                            *self.left.borrow_mut() += 1;
+                            *self.closed_by_relay.borrow_mut() += 1;
                             return;
                         }
                     }
-                    Act::Close => return,
-                    Act::Crash => {
+                    Action::Close => return,
+                    Action::Crash => {
                         self.crashed.send_replace(true);
                         return;
                     }
@@ -141,12 +145,12 @@
         }
     }
 
-    /// How many requests it has seen.
+    /// The number of requests that it received.
     pub fn count(&self) -> usize {
-        self.seen.borrow().len()
+        self.received.borrow().len()
     }
 
-    /// Its entry in the list.
+    /// Its entry in the list of upstreams.
     pub fn entry(&self, id: &str, service: &str, stage: Stage) -> UpstreamEntry {
         UpstreamEntry {
             id: id.to_owned(),
@@ -163,7 +167,7 @@
     }
 }
 
-async fn read(stream: &mut TcpStream) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut bytes = Vec::new();
     loop {
         let mut chunk = [0; 4_096];
@@ -178,16 +182,16 @@
             continue;
         };
         let (line, headers) = head.split_once("\r\n").unwrap_or((head, ""));
-        let seen = Seen {
-            line: line.to_owned(),
+        let received = ReceivedRequest {
+            request_line: line.to_owned(),
             headers: headers.to_ascii_lowercase(),
             body: body.to_owned(),
         };
-        let length = seen
+        let length = received
             .header("content-length")
             .map_or(0, |value| value.parse().unwrap_or(0));
         if body.len() >= length {
-            return Some(seen);
+            return Some(received);
         }
     }
 }
--- a/crates/relay/tests/engines.rs
+++ b/crates/relay/tests/generation.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use common::{Act, Bed, Seen, StandIn, request, until};
+use common::{Action, ReceivedRequest, StubUpstream, TestInstance, request, wait_until};
 use http::{HeaderValue, Method, Request};
 use http_body_util::{BodyExt, Full};
 use relay::upstream::{InFlight, PrefillProgress, Stage, UpstreamEntry, UpstreamState, Work};
@@ -19,23 +19,23 @@
 const SHORT: &str = "7:50,8:40";
 
 fn generation(path: &str, prompt: &'static str) -> Request<Full<Bytes>> {
-    let mut asked = request(Method::POST, path, "1");
+    let mut req = request(Method::POST, path, "1");
     let prompt = HeaderValue::from_static(prompt);
-    asked.headers_mut().insert("x-prompt", prompt);
-    asked
+    req.headers_mut().insert("x-prompt", prompt);
+    req
 }
 
 /// A relay with one engine that reads prompts and one for output.
-fn reader_and_maker(reader: &StandIn, engine: &StandIn) -> Bed {
-    Bed::start(vec![
+fn reader_and_maker(reader: &StubUpstream, engine: &StubUpstream) -> TestInstance {
+    TestInstance::start(vec![
         reader.entry("reader", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ])
 }
 
 /// An engine that reads prompts.
-fn kv() -> StandIn {
-    StandIn::start(|seen| seen.answer("200 OK", "", "kv-1"))
+fn kv() -> StubUpstream {
+    StubUpstream::start(|received| received.response("200 OK", "", "kv-1"))
 }
 
 fn events(from: u64, to: u64) -> String {
@@ -45,12 +45,12 @@
     })
 }
 
-fn maker() -> StandIn {
-    StandIn::start(|seen| {
-        let from = seen
+fn maker() -> StubUpstream {
+    StubUpstream::start(|received| {
+        let from = received
             .header("last-event-id")
             .map_or(1, |id| id.parse::<u64>().unwrap() + 1);
-        seen.answer(
+        received.response(
             "200 OK",
             "content-type: text/event-stream\r\n",
             &events(from, 3),
@@ -70,10 +70,10 @@
 /// later. The output must be made elsewhere, since the leaving engine may be gone by then.
 #[actix_rt::test]
 async fn an_engine_that_left_while_the_prompt_was_read_gets_no_output() {
-    let reader = StandIn::start(|seen| {
-        let mut acts = vec![Act::Wait(300)];
-        acts.extend(seen.answer("200 OK", "", "kv-1"));
-        acts
+    let reader = StubUpstream::start(|received| {
+        let mut actions = vec![Action::Wait(300)];
+        actions.extend(received.response("200 OK", "", "kv-1"));
+        actions
     });
     let (near, far) = (maker(), maker());
     let near_entry = near.entry("near", "llm", Stage::Decode);
@@ -81,42 +81,45 @@
         zone: "there".to_owned(),
         ..far.entry("far", "llm", Stage::Decode)
     };
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         reader.entry("reader", "llm", Stage::Prefill),
         near_entry.clone(),
         far_entry,
     ]);
-    let asked = generation("/once/x", LONG);
-    let relay = Rc::clone(&bed.relay);
-    let seen = Rc::clone(&reader.seen);
+    let req = generation("/once/x", LONG);
+    let relay = Rc::clone(&instance.relay);
+    let received = Rc::clone(&reader.received);
     actix_rt::spawn(async move {
-        until(|| !seen.borrow().is_empty()).await;
+        wait_until(|| !received.borrow().is_empty()).await;
         relay.apply_change(leaving(near_entry), relay::Origin::Read);
     });
-    let (status, body) = bed.get(asked).await;
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(near.count(), 0, "the leaving engine got the output");
-    assert_eq!(far.seen.borrow()[0].header("x-kv"), Some("kv-1"));
+    assert_eq!(far.received.borrow()[0].header("x-kv"), Some("kv-1"));
 }
 
 /// The caller sees one whole stream. The engine's connection breaks in the middle of the second
 /// event; the rest comes from another engine, after the last whole event, without a seam.
 #[actix_rt::test]
 async fn a_broken_stream_goes_on_at_another_engine() {
-    let breaks = |seen: &Seen| {
-        if seen.header("last-event-id").is_some() {
-            return seen.answer("200 OK", "", &events(2, 3));
+    let breaks = |received: &ReceivedRequest| {
+        if received.header("last-event-id").is_some() {
+            return received.response("200 OK", "", &events(2, 3));
         }
-        let whole = seen.text("200 OK", "", &events(1, 3));
-        vec![Act::Say(whole[..whole.len() - 22].to_owned()), Act::Close]
+        let whole = received.response_text("200 OK", "", &events(1, 3));
+        vec![
+            Action::Write(whole[..whole.len() - 22].to_owned()),
+            Action::Close,
+        ]
     };
-    let (one, two) = (StandIn::start(breaks), StandIn::start(breaks));
-    let bed = Bed::start(vec![
+    let (one, two) = (StubUpstream::start(breaks), StubUpstream::start(breaks));
+    let instance = TestInstance::start(vec![
         one.entry("one", "llm", Stage::Decode),
         two.entry("two", "llm", Stage::Decode),
     ]);
-    let asked = generation("/grades/x", SHORT);
-    let (status, body) = bed.get(asked).await;
+    let req = generation("/grades/x", SHORT);
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(one.count() + two.count(), 2);
 }
@@ -125,20 +128,23 @@
 /// second time, and the engine broke off after two of three events.
 #[actix_rt::test]
 async fn a_broken_stream_that_may_not_be_resumed_does_not_look_whole() {
-    let engine = StandIn::start(|seen| {
-        let whole = seen.text("200 OK", "", &events(1, 3));
-        vec![Act::Say(whole[..whole.len() - 15].to_owned()), Act::Close]
+    let engine = StubUpstream::start(|received| {
+        let whole = received.response_text("200 OK", "", &events(1, 3));
+        vec![
+            Action::Write(whole[..whole.len() - 15].to_owned()),
+            Action::Close,
+        ]
     });
     let other = maker();
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         engine.entry("one", "llm", Stage::Decode),
         UpstreamEntry {
             zone: "there".to_owned(),
             ..other.entry("two", "llm", Stage::Decode)
         },
     ]);
-    let asked = generation("/once/x", SHORT);
-    let (status, body) = bed.get(asked).await;
+    let req = generation("/once/x", SHORT);
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, None));
     assert_eq!(other.count(), 0);
 }
@@ -147,19 +153,19 @@
 /// can stop; without that it would work on for nobody.
 #[actix_rt::test]
 async fn a_caller_that_leaves_stops_the_engine() {
-    let engine = StandIn::start(|seen| {
-        let whole = seen.text("200 OK", "", &events(1, 3));
+    let engine = StubUpstream::start(|received| {
+        let whole = received.response_text("200 OK", "", &events(1, 3));
         let cut = whole.len() - 18;
-        vec![Act::Say(whole[..cut].to_owned()), Act::Wait(5_000)]
+        vec![Action::Write(whole[..cut].to_owned()), Action::Wait(5_000)]
     });
-    let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let asked = generation("/once/x", SHORT);
-    let response = bed.ask(asked).await.unwrap();
+    let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    let req = generation("/once/x", SHORT);
+    let response = instance.send(req).await.unwrap();
     let mut body = response.into_body();
     assert!(body.frame().await.is_some());
     drop(body);
     assert!(
-        until(|| *engine.left.borrow() == 1).await,
+        wait_until(|| *engine.closed_by_relay.borrow() == 1).await,
         "the engine works on"
     );
 }
@@ -168,14 +174,14 @@
 /// waits, and the engine must see that too.
 #[actix_rt::test]
 async fn a_caller_that_leaves_early_stops_the_engine() {
-    let engine = StandIn::start(|_| vec![Act::Wait(5_000)]);
-    let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let asked = generation("/once/x", SHORT);
+    let engine = StubUpstream::start(|_| vec![Action::Wait(5_000)]);
+    let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    let req = generation("/once/x", SHORT);
     let wait = std::time::Duration::from_millis(800);
-    let answered = actix_rt::time::timeout(wait, bed.ask(asked)).await;
+    let answered = actix_rt::time::timeout(wait, instance.send(req)).await;
     assert!(answered.is_err());
     assert!(
-        until(|| *engine.left.borrow() == 1).await,
+        wait_until(|| *engine.closed_by_relay.borrow() == 1).await,
         "the engine works on"
     );
 }
@@ -184,16 +190,16 @@
 /// nothing ran; it is asked again to read the prompt itself.
 #[actix_rt::test]
 async fn a_lapsed_cache_is_read_again_by_the_same_engine() {
-    let reader = StandIn::start(|seen| seen.answer("200 OK", "", "kv-1"));
-    let engine = StandIn::start(|seen| {
-        if seen.header("x-kv").is_some() {
-            return seen.answer("503 Unavailable", "x-not-run: 1\r\n", "");
+    let reader = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
+    let engine = StubUpstream::start(|received| {
+        if received.header("x-kv").is_some() {
+            return received.response("503 Unavailable", "x-not-run: 1\r\n", "");
         }
-        seen.answer("200 OK", "", &events(1, 3))
+        received.response("200 OK", "", &events(1, 3))
     });
-    let bed = reader_and_maker(&reader, &engine);
-    let asked = generation("/once/x", LONG);
-    let (status, body) = bed.get(asked).await;
+    let instance = reader_and_maker(&reader, &engine);
+    let req = generation("/once/x", LONG);
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(engine.count(), 2);
 }
@@ -202,14 +208,14 @@
 /// answer; the prompt is not waited for until the deadline but read by the engine for output.
 #[actix_rt::test]
 async fn a_prompt_whose_answer_is_lost_is_read_elsewhere() {
-    let reader = StandIn::start(|_| vec![Act::Wait(60_000)]);
+    let reader = StubUpstream::start(|_| vec![Action::Wait(60_000)]);
     let engine = maker();
-    let bed = reader_and_maker(&reader, &engine);
-    let asked = generation("/once/x", LONG);
-    let (status, body) = bed.get(asked).await;
+    let instance = reader_and_maker(&reader, &engine);
+    let req = generation("/once/x", LONG);
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!((reader.count(), engine.count()), (1, 1));
-    assert!(until(|| *reader.left.borrow() == 1).await);
+    assert!(wait_until(|| *reader.closed_by_relay.borrow() == 1).await);
 }
 
 /// The caller sees its own answer. The engine that reads prompts sends a second answer to an
@@ -217,31 +223,31 @@
 /// made from it would answer a question that nobody asked.
 #[actix_rt::test]
 async fn a_handle_of_another_request_is_not_gone_on_from() {
-    let reader = StandIn::start(|_| {
+    let reader = StubUpstream::start(|_| {
         let text = "HTTP/1.1 200 OK\r\nx-attempt: other\r\ncontent-length: 4\r\n\r\nkv-9";
-        vec![Act::Say(text.to_owned())]
+        vec![Action::Write(text.to_owned())]
     });
     let engine = maker();
-    let bed = reader_and_maker(&reader, &engine);
-    let asked = generation("/once/x", LONG);
-    let (status, body) = bed.get(asked).await;
+    let instance = reader_and_maker(&reader, &engine);
+    let req = generation("/once/x", LONG);
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
-    assert_eq!(engine.seen.borrow()[0].header("x-kv"), None);
+    assert_eq!(engine.received.borrow()[0].header("x-kv"), None);
 }
 
 /// The caller sees the engine's own failure: a resumable generation ran and failed at the only
 /// engine, and neither "not run" nor another error would be true.
 #[actix_rt::test]
 async fn a_failed_generation_is_not_refused_as_unrun() {
-    let engine = StandIn::start(|seen| seen.answer("500 Oops", "", "oops"));
-    let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let asked = generation("/grades/x", SHORT);
-    assert_eq!(bed.get(asked).await, (500, Some("oops".to_owned())));
+    let engine = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
+    let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    let req = generation("/grades/x", SHORT);
+    assert_eq!(instance.fetch(req).await, (500, Some("oops".to_owned())));
 }
 
 /// An engine that reads, and how far it has come with the shared part of the long prompts.
-fn reader_with(bed: &Bed, id: &str, reading: PrefillProgress) {
-    let upstreams = bed.relay.upstreams.borrow();
+fn reader_with(instance: &TestInstance, id: &str, reading: PrefillProgress) {
+    let upstreams = instance.relay.upstreams.borrow();
     let engine = upstreams.get(id).unwrap();
     engine.note_cached_part(7, 13_000.0, reading, 400_000.0);
 }
@@ -252,29 +258,29 @@
 #[actix_rt::test]
 async fn a_part_is_copied_from_a_busy_engine() {
     let (busy, idle, engine) = (kv(), kv(), maker());
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         busy.entry("busy", "llm", Stage::Prefill),
         idle.entry("idle", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ]);
-    reader_with(&bed, "busy", PrefillProgress::Done);
-    let held = Rc::clone(bed.relay.upstreams.borrow().get("busy").unwrap());
+    reader_with(&instance, "busy", PrefillProgress::Done);
+    let held = Rc::clone(instance.relay.upstreams.borrow().get("busy").unwrap());
     let work = Work {
         prefill_tokens: 100_000.0,
         ..Work::default()
     };
-    let _guard = InFlight::begin(&held, bed.relay.now_ms(), work);
-    let mut asked = generation("/once/x", LONG);
+    let _guard = InFlight::begin(&held, instance.relay.now_ms(), work);
+    let mut req = generation("/once/x", LONG);
     let forged = HeaderValue::from_static("6.6.6.6:6");
-    asked.headers_mut().insert("x-copy", forged);
-    let (status, body) = bed.get(asked).await;
+    req.headers_mut().insert("x-copy", forged);
+    let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(busy.count(), 0);
-    let seen = idle.seen.borrow();
+    let received = idle.received.borrow();
     let from = busy.address.to_string();
-    assert_eq!(seen[0].header("x-copy"), Some(from.as_str()));
-    assert_eq!(engine.seen.borrow()[0].header("x-copy"), None);
-    let metrics = String::from_utf8(bed.relay.metrics_text()).unwrap();
+    assert_eq!(received[0].header("x-copy"), Some(from.as_str()));
+    assert_eq!(engine.received.borrow()[0].header("x-copy"), None);
+    let metrics = String::from_utf8(instance.relay.metrics_text()).unwrap();
     let placed = r#"placed_total{held="copied",read="apart",service="llm""#;
     assert!(metrics.contains(placed), "the placement is not counted");
 }
@@ -284,19 +290,19 @@
 #[actix_rt::test]
 async fn a_part_that_is_still_being_read_is_not_copied() {
     let (busy, idle, engine) = (kv(), kv(), maker());
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         busy.entry("busy", "llm", Stage::Prefill),
         idle.entry("idle", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ]);
-    reader_with(&bed, "busy", PrefillProgress::Begun);
-    let (status, _) = bed.get(generation("/once/x", LONG)).await;
+    reader_with(&instance, "busy", PrefillProgress::Begun);
+    let (status, _) = instance.fetch(generation("/once/x", LONG)).await;
     assert_eq!(status, 200);
-    let all = [&busy, &idle, &engine].map(|each| each.seen.borrow().clone());
+    let all = [&busy, &idle, &engine].map(|each| each.received.borrow().clone());
     let copies = all
         .iter()
         .flatten()
-        .filter_map(|seen| seen.header("x-copy"));
+        .filter_map(|received| received.header("x-copy"));
     assert_eq!(copies.count(), 0);
 }
 
@@ -305,11 +311,11 @@
 #[actix_rt::test]
 async fn what_an_engine_has_read_is_told() {
     let engine = maker();
-    let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let (status, _) = bed.get(generation("/once/x", LONG)).await;
+    let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    let (status, _) = instance.fetch(generation("/once/x", LONG)).await;
     assert_eq!(status, 200);
-    let other = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    common::tell(&bed.relay, &other.relay);
+    let other = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    common::deliver_gossip(&instance.relay, &other.relay);
     let upstreams = other.relay.upstreams.borrow();
     let known = upstreams.get("one").unwrap();
     assert!((known.copyable_tokens(7) - 13_000.0).abs() < 1.0);
@@ -322,25 +328,25 @@
 #[actix_rt::test]
 async fn who_came_back_goes_before_who_is_new() {
     let engine = maker();
-    let bed = Bed::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let one = Rc::clone(bed.relay.upstreams.borrow().get("one").unwrap());
+    let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
+    let one = Rc::clone(instance.relay.upstreams.borrow().get("one").unwrap());
     let work = Work {
         prefill_tokens: 66_000.0,
         rank: 1,
         ..Work::default()
     };
-    let _guard = InFlight::begin(&one, bed.relay.now_ms(), work);
+    let _guard = InFlight::begin(&one, instance.relay.now_ms(), work);
     let mut new = generation("/once/x", SHORT);
     let left = HeaderValue::from_static("6000");
     new.headers_mut().insert("x-left-ms", left);
-    let response = bed.ask(new).await.unwrap();
+    let response = instance.send(new).await.unwrap();
     assert_eq!(response.status().as_u16(), 503);
     assert!(response.headers().contains_key("retry-after"));
     assert_eq!(engine.count(), 0);
     let mut again = generation("/once/x", SHORT);
     let left = HeaderValue::from_static("5700");
     again.headers_mut().insert("x-left-ms", left);
-    assert_eq!(bed.get(again).await, (200, Some(events(1, 3))));
+    assert_eq!(instance.fetch(again).await, (200, Some(events(1, 3))));
 }
 
 /// An engine turned from output to reading while the list could not be read. The first request that
@@ -350,15 +356,15 @@
 #[actix_rt::test]
 async fn a_rejected_step_tells_that_an_engine_has_turned() {
     let reader = kv();
-    let turned = StandIn::start(|seen| {
-        seen.answer(
+    let turned = StubUpstream::start(|received| {
+        received.response(
             "421 Misdirected Request",
             "x-instance: turned\r\nx-not-run: 1\r\n",
             "",
         )
     });
     let other = maker();
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         reader.entry("reader", "llm", Stage::Prefill),
         turned.entry("turned", "llm", Stage::Decode),
         UpstreamEntry {
@@ -366,10 +372,10 @@
             ..other.entry("other", "llm", Stage::Decode)
         },
     ]);
-    let own = bed.relay.heartbeat();
-    bed.relay.members.borrow_mut().record_heartbeat(0, own);
+    let own = instance.relay.heartbeat();
+    instance.relay.members.borrow_mut().record_heartbeat(0, own);
     for _ in 0..3 {
-        let answer = bed.ask(generation("/grades/x", LONG)).await.unwrap();
+        let answer = instance.send(generation("/grades/x", LONG)).await.unwrap();
         assert_eq!(answer.status().as_u16(), 200);
     }
     assert_eq!(turned.count(), 1);
@@ -378,8 +384,8 @@
         1,
         "the part was read once and is copied from then on"
     );
-    assert_eq!(other.seen.borrow()[0].header("x-kv"), Some("kv-1"));
-    let upstreams = bed.relay.upstreams.borrow();
+    assert_eq!(other.received.borrow()[0].header("x-kv"), Some("kv-1"));
+    let upstreams = instance.relay.upstreams.borrow();
     assert_eq!(upstreams.get("turned").unwrap().stage(), Stage::Prefill);
 }
 
@@ -388,7 +394,7 @@
 #[actix_rt::test]
 async fn an_engine_that_is_turning_gets_nothing_new() {
     let (turning, other) = (maker(), maker());
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         turning.entry("turning", "llm", Stage::Decode),
         UpstreamEntry {
             zone: "far".to_owned(),
@@ -403,24 +409,25 @@
         }],
         ..GossipMessage::new(InstanceKey::of("b"), MessageKind::Sum)
     };
-    bed.relay
+    instance
+        .relay
         .receive_gossip(&told, "127.0.0.1:2".parse().unwrap());
-    let answer = bed.ask(generation("/grades/x", SHORT)).await.unwrap();
+    let answer = instance.send(generation("/grades/x", SHORT)).await.unwrap();
     assert_eq!(answer.status().as_u16(), 200);
     assert_eq!((turning.count(), other.count()), (0, 1));
-    bed.relay.apply_change(
+    instance.relay.apply_change(
         ListChange::Put(UpstreamEntry {
             seq: 2,
             ..turning.entry("turning", "llm", Stage::Prefill)
         }),
         relay::Origin::Read,
     );
-    let upstreams = bed.relay.upstreams.borrow();
+    let upstreams = instance.relay.upstreams.borrow();
     assert!(
         !upstreams
             .get("turning")
             .unwrap()
-            .is_changing_role(bed.relay.now_ms())
+            .is_changing_role(instance.relay.now_ms())
     );
 }
 
@@ -436,9 +443,10 @@
 }
 
 async fn one_is_sent_to_an_engine_that_rejects(status: &'static str) {
-    let away = StandIn::start(move |seen| seen.answer(status, "x-not-run: 1\r\n", ""));
+    let away =
+        StubUpstream::start(move |received| received.response(status, "x-not-run: 1\r\n", ""));
     let other = maker();
-    let bed = Bed::start(vec![
+    let instance = TestInstance::start(vec![
         away.entry("away", "llm", Stage::Decode),
         UpstreamEntry {
             zone: "far".to_owned(),
@@ -446,7 +454,7 @@
         },
     ]);
     for _ in 0..5 {
-        let answer = bed.ask(generation("/grades/x", SHORT)).await.unwrap();
+        let answer = instance.send(generation("/grades/x", SHORT)).await.unwrap();
         assert_eq!(answer.status().as_u16(), 200);
     }
     assert_eq!((away.count(), other.count()), (1, 5));
--- a/crates/relay/tests/beliefs.rs
+++ b/crates/relay/tests/instance_view.rs
@@ -4,7 +4,7 @@
 
 use std::rc::Rc;
 
-use common::{AGE, Wire, config, settings};
+use common::{PROCESS_AGE, TestDialect, config, settings};
 use relay::Relay;
 use relay::config::{Config, Limits, Route, RouteKind, Target};
 use relay::directory::addresses;
@@ -40,7 +40,7 @@
 /// comes from, such as a store that hands out its history again.
 #[test]
 fn a_configuration_never_goes_back() {
-    let relay = Relay::new(settings(), Rc::new(Wire), Clock::default());
+    let relay = Relay::new(settings(), Rc::new(TestDialect), Clock::default());
     assert!(!relay.is_ready());
     assert!(relay.configure(config(5)));
     assert!(!relay.configure(config(4)));
@@ -278,7 +278,7 @@
 /// each took the whole budget of repeats they would send six times what is allowed.
 #[test]
 fn an_instance_that_knows_nobody_repeats_nothing() {
-    let relay = Relay::new(settings(), Rc::new(Wire), Clock::of_age(AGE));
+    let relay = Relay::new(settings(), Rc::new(TestDialect), Clock::of_age(PROCESS_AGE));
     relay.count_first_send("desk");
     assert!(!relay.take_retry("desk"));
     let own = relay.heartbeat();
--- a/crates/relay/tests/places.rs
+++ b/crates/relay/tests/list_consistency.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use common::{Wire, settings};
+use common::{TestDialect, settings};
 use proptest::prelude::*;
 use relay::Relay;
 use relay::members::Member;
@@ -124,7 +124,7 @@
     let mut told = settings();
     told.name = format!("entry-{index}");
     told.peer = Some(address(index));
-    let relay = Relay::new(told, Rc::new(Wire), Clock::default());
+    let relay = Relay::new(told, Rc::new(TestDialect), Clock::default());
     for other in 0..INSTANCES {
         let member = Member {
             name: format!("entry-{other}"),
--- a/crates/relay/tests/metrics.rs
+++ b/crates/relay/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bed, StandIn, request};
+use common::{StubUpstream, TestInstance, request};
 use http::Method;
 use relay::members::Member;
 use relay::upstream::Stage;
@@ -10,8 +10,8 @@
 use view::InstanceKey;
 
 /// The lines of one metric, without the instance's own labels.
-fn lines(bed: &Bed, name: &str) -> Vec<String> {
-    let text = String::from_utf8(bed.relay.metrics_text()).unwrap();
+fn lines(instance: &TestInstance, name: &str) -> Vec<String> {
+    let text = String::from_utf8(instance.relay.metrics_text()).unwrap();
     let own = [r#",instance="a""#, r#",zone="here""#];
     let lines = text.lines().filter(|line| line.starts_with(name));
     lines
@@ -23,48 +23,53 @@
 /// late, one finds no upstream and is refused. A success alone would hide the second.
 #[actix_rt::test]
 async fn answers_in_time_stand_beside_answers_and_refusals() {
-    let desk = StandIn::start(|seen| {
-        let mut acts = Vec::new();
-        if seen.line.contains("late") {
-            acts.push(common::Act::Wait(900));
+    let desk = StubUpstream::start(|received| {
+        let mut actions = Vec::new();
+        if received.request_line.contains("late") {
+            actions.push(common::Action::Wait(900));
         }
-        acts.extend(seen.answer("200 OK", "", "ok"));
-        acts
+        actions.extend(received.response("200 OK", "", "ok"));
+        actions
     });
-    let bed = Bed::start(vec![desk.entry("one", "desk", Stage::Whole)]);
-    bed.relay
+    let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
+    instance
+        .relay
         .config_position
         .borrow_mut()
         .record_read(since_boot_ms(), 1, Some(1));
     for (path, id) in [("/reads/x", "1"), ("/reads/late", "2")] {
-        let (status, _) = bed.get(request(Method::GET, path, id)).await;
+        let (status, _) = instance.fetch(request(Method::GET, path, id)).await;
         assert_eq!(status, 200);
     }
-    bed.relay.replace_list(Vec::new(), relay::Origin::Whole);
-    let (status, _) = bed.get(request(Method::GET, "/reads/x", "3")).await;
+    instance
+        .relay
+        .replace_list(Vec::new(), relay::Origin::Whole);
+    let (status, _) = instance.fetch(request(Method::GET, "/reads/x", "3")).await;
     assert_eq!(status, 503);
-    let (status, _) = bed.get(request(Method::GET, "/nowhere/x", "4")).await;
+    let (status, _) = instance
+        .fetch(request(Method::GET, "/nowhere/x", "4"))
+        .await;
     assert_eq!(status, 404);
     assert_eq!(
-        lines(&bed, "chicoryrack_answers_total"),
+        lines(&instance, "chicoryrack_answers_total"),
         [
             r#"chicoryrack_answers_total{in_time="no",route="reads"} 1"#,
             r#"chicoryrack_answers_total{in_time="yes",route="reads"} 1"#,
         ]
     );
     assert_eq!(
-        lines(&bed, "chicoryrack_refusals_total"),
+        lines(&instance, "chicoryrack_refusals_total"),
         [
             r#"chicoryrack_refusals_total{reason="no_route",route="-"} 1"#,
             r#"chicoryrack_refusals_total{reason="no_upstream",route="reads"} 1"#,
         ]
     );
     assert_eq!(
-        lines(&bed, "chicoryrack_own_seconds_count"),
+        lines(&instance, "chicoryrack_own_seconds_count"),
         [r#"chicoryrack_own_seconds_count{route="reads"} 2"#]
     );
     assert_eq!(
-        lines(&bed, "chicoryrack_upstream_seconds_count"),
+        lines(&instance, "chicoryrack_upstream_seconds_count"),
         [r#"chicoryrack_upstream_seconds_count{service="desk"} 2"#]
     );
 }
@@ -72,9 +77,9 @@
 /// How old each belief is can be read, and one that was never had does not look fresh.
 #[actix_rt::test]
 async fn the_age_of_beliefs_is_told() {
-    let bed = Bed::start(Vec::new());
+    let instance = TestInstance::start(Vec::new());
     let names = ["config_age_ms", "list_age_ms", "load_age_ms"];
-    let ages = || names.map(|name| age_ms(&bed, name));
+    let ages = || names.map(|name| age_ms(&instance, name));
     assert!(ages().iter().all(|age_ms| *age_ms > 1e15), "{:?}", ages());
     let other = Member {
         name: "b".to_owned(),
@@ -85,37 +90,44 @@
         heartbeat_seq: 1,
         link_mbps: 20,
     };
-    let now_ms = bed.relay.now_ms();
-    bed.relay
+    let now_ms = instance.relay.now_ms();
+    instance
+        .relay
         .members
         .borrow_mut()
         .record_heartbeat(now_ms, other);
     let key = InstanceKey::of("b");
-    bed.relay.members.borrow_mut().record_alive(now_ms, key);
-    bed.relay
+    instance
+        .relay
+        .members
+        .borrow_mut()
+        .record_alive(now_ms, key);
+    instance
+        .relay
         .config_position
         .borrow_mut()
         .record_read(since_boot_ms(), 1, Some(1));
-    bed.relay
+    instance
+        .relay
         .list_position
         .borrow_mut()
         .record_read(since_boot_ms(), 1, Some(1));
     assert!(ages().iter().all(|age_ms| *age_ms < 1e6), "{:?}", ages());
 }
 
-fn age_ms(bed: &Bed, name: &str) -> f64 {
-    let line = lines(bed, &format!("chicoryrack_{name}")).concat();
+fn age_ms(instance: &TestInstance, name: &str) -> f64 {
+    let line = lines(instance, &format!("chicoryrack_{name}")).concat();
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
 /// Lines that were left out are counted, so that a missing line is not taken for nothing done.
 #[actix_rt::test]
 async fn lines_left_out_are_counted() {
-    let bed = Bed::start(Vec::new());
+    let instance = TestInstance::start(Vec::new());
     for _ in 0..260 {
-        bed.relay.failure_log_limit.take(1);
+        instance.relay.failure_log_limit.take(1);
     }
-    let lines = lines(&bed, "chicoryrack_lines_left_out");
+    let lines = lines(&instance, "chicoryrack_lines_left_out");
     assert!(
         lines.contains(&r#"chicoryrack_lines_left_out{kind="failed"} 60"#.to_owned()),
         "{lines:?}"
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use std::rc::Rc;
 
-use common::{Bed, StandIn, Wire, request, settings, until};
+use common::{StubUpstream, TestDialect, TestInstance, request, settings, wait_until};
 use http::Method;
 use relay::gossip;
 use relay::listener::{ListenerKind, bind, serve};
@@ -21,8 +21,8 @@
 /// until the store was back.
 #[actix_rt::test]
 async fn an_instance_that_starts_without_the_store_asks_another() {
-    let desk = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
-    let old = Bed::start(vec![desk.entry("one", "desk", Stage::Whole)]);
+    let desk = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
+    let old = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     old.relay
         .list_position
         .borrow_mut()
@@ -39,26 +39,26 @@
 
     let mut told = settings();
     told.seeds = vec![peer];
-    let new = Bed::knowing_nothing(told);
-    let (status, _) = new.get(request(Method::GET, "/reads/x", "1")).await;
+    let new = TestInstance::unconfigured(told);
+    let (status, _) = new.fetch(request(Method::GET, "/reads/x", "1")).await;
     assert_eq!(status, 503);
     query_peer(&new.relay).await;
     assert!(new.relay.is_ready());
-    let (status, _) = new.get(request(Method::GET, "/reads/x", "2")).await;
+    let (status, _) = new.fetch(request(Method::GET, "/reads/x", "2")).await;
     assert_eq!(status, 200);
 }
 
 fn relay(name: &str) -> Rc<Relay> {
     let mut told = settings();
     name.clone_into(&mut told.name);
-    Relay::new(told, Rc::new(Wire), Clock::default())
+    Relay::new(told, Rc::new(TestDialect), Clock::default())
 }
 
 /// Two instances send to one engine. What one has outstanding there counts in the other's view,
 /// until it says that it has nothing any more.
 #[actix_rt::test]
 async fn the_load_of_others_is_seen() {
-    let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
+    let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let (one, two) = (relay("a"), relay("b"));
     let sockets = [
         gossip::bind("127.0.0.1:0".parse().unwrap()).await.unwrap(),
@@ -104,16 +104,16 @@
         ..Work::default()
     };
     let guard = InFlight::begin(&upstream, one.now_ms(), work);
-    assert!(until(|| (seen(&two) - 5_000.0).abs() < 1.0).await);
+    assert!(wait_until(|| (seen(&two) - 5_000.0).abs() < 1.0).await);
     drop(guard);
-    assert!(until(|| seen(&two) < 1.0).await);
+    assert!(wait_until(|| seen(&two) < 1.0).await);
 }
 
 /// One read of this instance fails while its list of upstreams is up to date; the instance that it
 /// asks has an older list, without the upstream that has just joined. It must stay in use.
 #[actix_rt::test]
 async fn an_older_list_does_not_replace_a_newer_one() {
-    let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
+    let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let relay = relay("a");
     let entry = engine.entry("one", "llm", Stage::Prefill);
     relay.apply_change(
@@ -145,8 +145,8 @@
 }
 
 /// A relay that has read a list with one engine.
-fn knowing_one() -> (StandIn, Rc<Relay>) {
-    let engine = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
+fn knowing_one() -> (StubUpstream, Rc<Relay>) {
+    let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let relay = relay("a");
     relay.apply_change(
         ListChange::Put(engine.entry("one", "llm", Stage::Prefill)),
--- a/crates/relay/tests/poison.rs
+++ b/crates/relay/tests/poison_requests.rs
@@ -9,7 +9,10 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use common::{Act, Bed, Seen, StandIn, config, request, tell, until};
+use common::{
+    Action, ReceivedRequest, StubUpstream, TestInstance, config, deliver_gossip, request,
+    wait_until,
+};
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
 use relay::config::{Config, Limits, Route};
@@ -24,49 +27,53 @@
 const MOST_ENDED: usize = 3;
 
 fn poison(path: &str, attempt: usize) -> Request<Full<Bytes>> {
-    let mut asked = request(Method::POST, path, &attempt.to_string());
-    *asked.body_mut() = Full::from(POISON);
-    asked
+    let mut req = request(Method::POST, path, &attempt.to_string());
+    *req.body_mut() = Full::from(POISON);
+    req
 }
 
 fn poisoned_question(attempt: usize) -> Request<Full<Bytes>> {
-    let mut asked = poison("/grades/1", attempt);
+    let mut req = poison("/grades/1", attempt);
     let prompt = HeaderValue::from_static("7:50,8:40");
-    asked.headers_mut().insert("x-prompt", prompt);
-    asked
+    req.headers_mut().insert("x-prompt", prompt);
+    req
 }
 
 /// Answers all but the one request, in whose answer it ends.
-fn fragile(seen: &Seen) -> Vec<Act> {
+fn fragile(received: &ReceivedRequest) -> Vec<Action> {
     let events = "id: 1\ndata: 1\n\n";
     let head = "content-type: text/event-stream\r\n";
-    if seen.body == POISON {
-        let whole = seen.text("200 OK", head, events);
+    if received.body == POISON {
+        let whole = received.response_text("200 OK", head, events);
         let cut = whole.len() - events.len();
-        return vec![Act::Say(whole[..cut].to_owned()), Act::Crash];
+        return vec![Action::Write(whole[..cut].to_owned()), Action::Crash];
     }
-    seen.answer("200 OK", head, events)
+    received.response("200 OK", head, events)
 }
 
-fn fleet(size: usize) -> Vec<StandIn> {
-    (0..size).map(|_| StandIn::start(fragile)).collect()
+fn fleet(size: usize) -> Vec<StubUpstream> {
+    (0..size).map(|_| StubUpstream::start(fragile)).collect()
 }
 
-fn entries(fleet: &[StandIn], service: &str, stage: Stage) -> Vec<relay::upstream::UpstreamEntry> {
-    let entry = |(at, each): (usize, &StandIn)| each.entry(&format!("u{at}"), service, stage);
+fn entries(
+    fleet: &[StubUpstream],
+    service: &str,
+    stage: Stage,
+) -> Vec<relay::upstream::UpstreamEntry> {
+    let entry = |(at, each): (usize, &StubUpstream)| each.entry(&format!("u{at}"), service, stage);
     fleet.iter().enumerate().map(entry).collect()
 }
 
 /// Waits until it is found out of each upstream whose connection ended whether it has ended.
-async fn looked(bed: &Bed) {
+async fn looked(instance: &TestInstance) {
     let is_over = || {
-        let upstreams = bed.relay.upstreams.borrow();
+        let upstreams = instance.relay.upstreams.borrow();
         upstreams.iter().all(|each| !each.is_health_check_running())
     };
-    assert!(until(is_over).await);
+    assert!(wait_until(is_over).await);
 }
 
-fn crashed(fleet: &[StandIn]) -> usize {
+fn crashed(fleet: &[StubUpstream]) -> usize {
     fleet.iter().filter(|each| each.has_crashed()).count()
 }
 
@@ -78,24 +85,24 @@
 #[actix_rt::test]
 async fn a_question_that_ends_engines_does_not_end_the_fleet() {
     let fleet = fleet(8);
-    let bed = Bed::start(entries(&fleet, "llm", Stage::Decode));
+    let instance = TestInstance::start(entries(&fleet, "llm", Stage::Decode));
     for attempt in 0..8 {
-        bed.get(poisoned_question(attempt)).await;
+        instance.fetch(poisoned_question(attempt)).await;
     }
     assert!(crashed(&fleet) <= MOST_ENDED, "{} ended", crashed(&fleet));
     let mut other = request(Method::POST, "/grades/2", "other");
     let prompt = HeaderValue::from_static("7:50,8:40");
     other.headers_mut().insert("x-prompt", prompt);
-    assert_eq!(bed.get(other).await.0, 200);
+    assert_eq!(instance.fetch(other).await.0, 200);
 }
 
 /// The same for a read, which is no stream: no answer comes, and the read is sent on, since it may run twice.
 #[actix_rt::test]
 async fn a_read_that_ends_services_does_not_end_all() {
     let fleet = fleet(8);
-    let bed = Bed::start(entries(&fleet, "desk", Stage::Whole));
+    let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
     for attempt in 0..8 {
-        bed.get(poison("/reads/1", attempt)).await;
+        instance.fetch(poison("/reads/1", attempt)).await;
     }
     assert!(crashed(&fleet) <= MOST_ENDED, "{} ended", crashed(&fleet));
 }
@@ -105,14 +112,14 @@
 #[actix_rt::test]
 async fn what_ended_under_a_question_elsewhere_is_known() {
     let fleet = fleet(12);
-    let beds: Vec<Rc<Bed>> = (0..4)
-        .map(|_| Rc::new(Bed::start(entries(&fleet, "llm", Stage::Decode))))
+    let instances: Vec<Rc<TestInstance>> = (0..4)
+        .map(|_| Rc::new(TestInstance::start(entries(&fleet, "llm", Stage::Decode))))
         .collect();
-    for (attempt, bed) in beds.iter().enumerate() {
-        bed.get(poisoned_question(attempt)).await;
-        for other in &beds {
-            if !Rc::ptr_eq(bed, other) {
-                tell(&bed.relay, &other.relay);
+    for (attempt, instance) in instances.iter().enumerate() {
+        instance.fetch(poisoned_question(attempt)).await;
+        for other in &instances {
+            if !Rc::ptr_eq(instance, other) {
+                deliver_gossip(&instance.relay, &other.relay);
             }
         }
     }
@@ -124,11 +131,11 @@
 #[actix_rt::test]
 async fn a_claim_that_ends_services_is_refused_as_unrun() {
     let fleet = fleet(8);
-    let bed = Bed::start(entries(&fleet, "desk", Stage::Whole));
+    let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
     let mut statuses = Vec::new();
     for attempt in 0..5 {
-        statuses.push(bed.get(poison("/claims/1", attempt)).await.0);
-        looked(&bed).await;
+        statuses.push(instance.fetch(poison("/claims/1", attempt)).await.0);
+        looked(&instance).await;
     }
     assert_eq!(crashed(&fleet), 2);
     assert_eq!(statuses, [502, 502, 503, 503, 503]);
@@ -138,19 +145,20 @@
 /// whole to an engine for output, which ends too. Both count, whatever they were doing.
 #[actix_rt::test]
 async fn a_prompt_that_ends_its_readers_is_known() {
-    let readers: Vec<StandIn> = (0..6)
-        .map(|_| StandIn::start(|_| vec![Act::Crash]))
+    let readers: Vec<StubUpstream> = (0..6)
+        .map(|_| StubUpstream::start(|_| vec![Action::Crash]))
         .collect();
     let makers = fleet(6);
     let mut all = entries(&readers, "llm", Stage::Prefill);
-    let named = |(at, each): (usize, &StandIn)| each.entry(&format!("m{at}"), "llm", Stage::Decode);
+    let named =
+        |(at, each): (usize, &StubUpstream)| each.entry(&format!("m{at}"), "llm", Stage::Decode);
     all.extend(makers.iter().enumerate().map(named));
-    let bed = Bed::start(all);
+    let instance = TestInstance::start(all);
     for attempt in 0..6 {
-        let mut asked = poisoned_question(attempt);
+        let mut req = poisoned_question(attempt);
         let prompt = HeaderValue::from_static("7:13000,8:4000");
-        asked.headers_mut().insert("x-prompt", prompt);
-        bed.get(asked).await;
+        req.headers_mut().insert("x-prompt", prompt);
+        instance.fetch(req).await;
     }
     let ended = crashed(&readers) + crashed(&makers);
     assert!(ended <= MOST_ENDED, "{ended} ended");
@@ -161,13 +169,13 @@
 #[actix_rt::test]
 async fn those_that_were_there_are_answered() {
     let fleet = fleet(3);
-    let bed = Bed::start(entries(&fleet, "llm", Stage::Decode));
-    bed.get(poisoned_question(0)).await;
+    let instance = TestInstance::start(entries(&fleet, "llm", Stage::Decode));
+    instance.fetch(poisoned_question(0)).await;
     for attempt in 1..5 {
-        let mut asked = request(Method::POST, "/grades/3", &attempt.to_string());
+        let mut req = request(Method::POST, "/grades/3", &attempt.to_string());
         let prompt = HeaderValue::from_static("7:50,8:40");
-        asked.headers_mut().insert("x-prompt", prompt);
-        let (status, body) = bed.get(asked).await;
+        req.headers_mut().insert("x-prompt", prompt);
+        let (status, body) = instance.fetch(req).await;
         assert_eq!((status, body.is_some()), (200, true));
     }
 }
@@ -178,16 +186,16 @@
 async fn one_that_starts_is_told() {
     let fleet = fleet(8);
     let all = entries(&fleet, "llm", Stage::Decode);
-    let old = Bed::start(all.clone());
+    let old = TestInstance::start(all.clone());
     for attempt in 0..4 {
-        old.get(poisoned_question(attempt)).await;
+        old.fetch(poisoned_question(attempt)).await;
         looked(&old).await;
     }
     let ended = crashed(&fleet);
-    let new = Bed::start(all);
+    let new = TestInstance::start(all);
     let peer = "127.0.0.1:1".parse().expect("an address");
     relay::snapshot::merge(&new.relay, &old.relay.snapshot(), peer);
-    assert_eq!(new.get(poisoned_question(9)).await.0, 503);
+    assert_eq!(new.fetch(poisoned_question(9)).await.0, 503);
     assert_eq!(crashed(&fleet), ended);
 }
 
@@ -198,20 +206,20 @@
     let left = Rc::new(Cell::new(9));
     let resets = || {
         let left = Rc::clone(&left);
-        StandIn::start(move |seen| {
+        StubUpstream::start(move |received| {
             if left.get() == 0 {
-                return seen.answer("200 OK", "", "ok");
+                return received.response("200 OK", "", "ok");
             }
             left.set(left.get() - 1);
-            vec![Act::Close]
+            vec![Action::Close]
         })
     };
-    let fleet: Vec<StandIn> = (0..5).map(|_| resets()).collect();
-    let bed = Bed::start(entries(&fleet, "desk", Stage::Whole));
+    let fleet: Vec<StubUpstream> = (0..5).map(|_| resets()).collect();
+    let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
     let mut statuses = Vec::new();
     for attempt in 0..6 {
-        statuses.push(bed.get(poison("/reads/1", attempt)).await.0);
-        looked(&bed).await;
+        statuses.push(instance.fetch(poison("/reads/1", attempt)).await.0);
+        looked(&instance).await;
     }
     assert_eq!(statuses, [502, 502, 502, 502, 200, 200]);
 }
@@ -220,17 +228,17 @@
 /// The list names the new incarnation, under the old id or a new one; each of them that ended counts.
 #[actix_rt::test]
 async fn one_that_is_back_at_once_has_ended_all_the_same() {
-    let desk = StandIn::start(|_| vec![Act::Close]);
+    let desk = StubUpstream::start(|_| vec![Action::Close]);
     let entry = |nth: u64| relay::upstream::UpstreamEntry {
         started_ms: nth,
         ..desk.entry("desk", "desk", Stage::Whole)
     };
-    let bed = Bed::start(vec![entry(0)]);
+    let instance = TestInstance::start(vec![entry(0)]);
     let mut statuses = Vec::new();
     for attempt in 0..4 {
-        statuses.push(bed.get(poison("/claims/1", attempt)).await.0);
-        looked(&bed).await;
-        bed.relay.apply_change(
+        statuses.push(instance.fetch(poison("/claims/1", attempt)).await.0);
+        looked(&instance).await;
+        instance.relay.apply_change(
             ListChange::Put(entry(1 + attempt as u64)),
             relay::Origin::Read,
         );
@@ -242,25 +250,25 @@
 /// under the question, and the engine for output, which would be the third, is not asked.
 #[actix_rt::test]
 async fn a_question_found_out_while_it_was_read_gets_no_output() {
-    let reader = StandIn::start(|seen| {
-        let mut acts = vec![Act::Wait(300)];
-        acts.extend(seen.answer("200 OK", "", "kv-1"));
-        acts
+    let reader = StubUpstream::start(|received| {
+        let mut actions = vec![Action::Wait(300)];
+        actions.extend(received.response("200 OK", "", "kv-1"));
+        actions
     });
     let makers = fleet(2);
     let mut all = entries(&makers, "llm", Stage::Decode);
     all.push(reader.entry("reader", "llm", Stage::Prefill));
-    let bed = Rc::new(Bed::start(all));
-    let mut asked = poisoned_question(0);
+    let instance = Rc::new(TestInstance::start(all));
+    let mut req = poisoned_question(0);
     let prompt = HeaderValue::from_static("7:13000,8:4000");
-    asked.headers_mut().insert("x-prompt", prompt);
+    req.headers_mut().insert("x-prompt", prompt);
     let answer = actix_rt::spawn({
-        let bed = Rc::clone(&bed);
-        async move { bed.get(asked).await.0 }
+        let instance = Rc::clone(&instance);
+        async move { instance.fetch(req).await.0 }
     });
-    assert!(until(|| reader.count() == 1).await);
+    assert!(wait_until(|| reader.count() == 1).await);
     let key = RequestKey::of("host.test", "POST", "/grades/1", POISON.as_bytes());
-    bed.relay.learn_poison_requests(&[key]);
+    instance.relay.learn_poison_requests(&[key]);
     assert_eq!(answer.await.expect("an answer"), 503);
     assert_eq!(crashed(&makers), 0);
 }
@@ -274,7 +282,7 @@
         ("/grades/1", "llm", Stage::Decode),
     ] {
         let fleet = fleet(8);
-        let bed = Bed::start(entries(&fleet, service, stage));
+        let instance = TestInstance::start(entries(&fleet, service, stage));
         let usual = config(2);
         let routes = usual.all_routes().cloned().map(|route| Route {
             max_attempts: 6,
@@ -282,13 +290,13 @@
         });
         let services = usual.services().clone();
         let patient = Config::new(2, routes.collect(), services, Limits::default());
-        assert!(bed.relay.configure(patient));
-        let mut asked = poison(path, 0);
+        assert!(instance.relay.configure(patient));
+        let mut req = poison(path, 0);
         if stage == Stage::Decode {
-            asked = poisoned_question(0);
+            req = poisoned_question(0);
         }
-        bed.get(asked).await;
-        looked(&bed).await;
+        instance.fetch(req).await;
+        looked(&instance).await;
         assert_eq!(crashed(&fleet), 2, "{path}");
     }
 }
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/rate_limits.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bed, Seen, StandIn, request, tell};
+use common::{ReceivedRequest, StubUpstream, TestInstance, deliver_gossip, request};
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
 use relay::upstream::{RateLimit, Stage, UpstreamEntry};
@@ -19,19 +19,22 @@
 const EVENTS: &str = "id: 1\ndata: 1\n\n";
 
 /// Whether a prompt is to be read apart.
-fn is_read(seen: &Seen) -> bool {
-    seen.header("x-step") == Some("prefill")
+fn is_read(received: &ReceivedRequest) -> bool {
+    received.header("x-step") == Some("prefill")
 }
 
-fn answers(headers: &'static str) -> StandIn {
-    StandIn::start(move |seen| {
-        let body = if is_read(seen) { "kv-1" } else { EVENTS };
-        seen.answer("200 OK", headers, body)
+fn answers(headers: &'static str) -> StubUpstream {
+    StubUpstream::start(move |received| {
+        let body = if is_read(received) { "kv-1" } else { EVENTS };
+        received.response("200 OK", headers, body)
     })
 }
 
 /// Two upstreams of a service, of which the first is nearer and limited.
-fn limited_and_free(service: &str, stage: Stage) -> (StandIn, StandIn, Vec<UpstreamEntry>) {
+fn limited_and_free(
+    service: &str,
+    stage: Stage,
+) -> (StubUpstream, StubUpstream, Vec<UpstreamEntry>) {
     let (limited, free) = (answers(HARDLY_ANY), answers(""));
     let near = limited.entry("limited", service, stage);
     let far = UpstreamEntry {
@@ -46,17 +49,20 @@
 }
 
 fn generation(id: usize, tokens: usize) -> Request<Full<bytes::Bytes>> {
-    let mut asked = request(Method::POST, "/once/x", &id.to_string());
+    let mut req = request(Method::POST, "/once/x", &id.to_string());
     let prompt = HeaderValue::from_str(&format!("{id}:{tokens}")).expect("a valid value");
-    asked.headers_mut().insert("x-prompt", prompt);
-    asked
+    req.headers_mut().insert("x-prompt", prompt);
+    req
 }
 
 /// Asks one after the other, and gives how many were served.
-async fn ask_all(bed: &Bed, asked: impl Fn(usize) -> Request<Full<bytes::Bytes>>) -> usize {
+async fn ask_all(
+    instance: &TestInstance,
+    req: impl Fn(usize) -> Request<Full<bytes::Bytes>>,
+) -> usize {
     let mut served = 0;
     for id in 0..REQUESTS {
-        let (status, _) = bed.get(asked(id)).await;
+        let (status, _) = instance.fetch(req(id)).await;
         assert!([200, 503].contains(&status), "{status}");
         served += usize::from(status == 200);
     }
@@ -67,8 +73,8 @@
 #[actix_rt::test]
 async fn a_service_that_names_a_limit_gets_no_more_calls() {
     let (limited, free, entries) = limited_and_free("desk", Stage::Whole);
-    let bed = Bed::start(entries);
-    assert_eq!(ask_all(&bed, read).await, REQUESTS);
+    let instance = TestInstance::start(entries);
+    assert_eq!(ask_all(&instance, read).await, REQUESTS);
     assert_eq!(limited.count(), LEARNED_BY);
     assert_eq!(free.count(), REQUESTS - LEARNED_BY);
 }
@@ -79,13 +85,16 @@
     let (limited, free, mut entries) = limited_and_free("llm", Stage::Prefill);
     let maker = answers("");
     entries.push(maker.entry("maker", "llm", Stage::Decode));
-    let bed = Bed::start(entries);
-    assert_eq!(ask_all(&bed, |id| generation(id, 17_000)).await, REQUESTS);
+    let instance = TestInstance::start(entries);
+    assert_eq!(
+        ask_all(&instance, |id| generation(id, 17_000)).await,
+        REQUESTS
+    );
     let read_there = limited
-        .seen
+        .received
         .borrow()
         .iter()
-        .filter(|seen| is_read(seen))
+        .filter(|received| is_read(received))
         .count();
     assert_eq!(read_there, LEARNED_BY);
     assert!(free.count() > 0, "prompts are still read apart");
@@ -95,11 +104,11 @@
 #[actix_rt::test]
 async fn a_limit_that_one_instance_was_told_binds_the_others() {
     let (limited, _free, entries) = limited_and_free("llm", Stage::Decode);
-    let one = Bed::start(entries.clone());
+    let one = TestInstance::start(entries.clone());
     assert_eq!(ask_all(&one, |id| generation(id, 50)).await, REQUESTS);
     let before = limited.count();
-    let other = Bed::start(entries);
-    tell(&one.relay, &other.relay);
+    let other = TestInstance::start(entries);
+    deliver_gossip(&one.relay, &other.relay);
     assert_eq!(ask_all(&other, |id| generation(id, 50)).await, REQUESTS);
     assert_eq!((before, limited.count()), (LEARNED_BY, LEARNED_BY));
 }
@@ -108,9 +117,9 @@
 #[actix_rt::test]
 async fn what_no_upstream_takes_is_refused_at_once_and_unrun() {
     let limited = answers(HARDLY_ANY);
-    let bed = Bed::start(vec![limited.entry("limited", "desk", Stage::Whole)]);
-    assert_eq!(bed.get(read(0)).await.0, 200);
-    let refused = bed.ask(read(1)).await.expect("an answer");
+    let instance = TestInstance::start(vec![limited.entry("limited", "desk", Stage::Whole)]);
+    assert_eq!(instance.fetch(read(0)).await.0, 200);
+    let refused = instance.send(read(1)).await.expect("an answer");
     assert_eq!(refused.status(), 503);
     assert!(refused.headers().contains_key("retry-after"));
     assert_eq!(limited.count(), LEARNED_BY);
@@ -120,14 +129,15 @@
 #[actix_rt::test]
 async fn a_repeat_goes_to_no_limited_upstream() {
     let (limited, _, entries) = limited_and_free("desk", Stage::Whole);
-    let fails = StandIn::start(|seen| seen.answer("500 Internal Server Error", "", ""));
+    let fails =
+        StubUpstream::start(|received| received.response("500 Internal Server Error", "", ""));
     let failing = UpstreamEntry {
         zone: "there".to_owned(),
         ..fails.entry("failing", "desk", Stage::Whole)
     };
-    let bed = Bed::start(vec![entries[0].clone(), failing]);
+    let instance = TestInstance::start(vec![entries[0].clone(), failing]);
     for id in 0..REQUESTS {
-        bed.get(read(id)).await;
+        instance.fetch(read(id)).await;
     }
     assert!(fails.count() > 0);
     assert_eq!(limited.count(), LEARNED_BY);
--- a/crates/relay/tests/repeats.rs
+++ b/crates/relay/tests/retry_budget.rs
@@ -7,7 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{AGE, Act, Bed, Seen, StandIn, Wire, request, settings};
+use common::{
+    Action, PROCESS_AGE, ReceivedRequest, StubUpstream, TestDialect, TestInstance, request,
+    settings,
+};
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
 use plan::RetryBudgetSettings;
@@ -32,50 +35,53 @@
 const EVENTS: &str = "id: 1\ndata: 1\n\n";
 
 fn generation(path: &str, id: usize) -> Request<Full<bytes::Bytes>> {
-    let mut asked = request(Method::POST, path, &id.to_string());
+    let mut req = request(Method::POST, path, &id.to_string());
     // Worth reading apart, and of parts so short that nobody counts on their being held anywhere.
     let parts: Vec<String> = (0..PARTS)
         .map(|part| format!("{}:100", id * PARTS + part))
         .collect();
     let prompt = HeaderValue::from_str(&parts.join(",")).expect("a valid value");
-    asked.headers_mut().insert("x-prompt", prompt);
-    asked
+    req.headers_mut().insert("x-prompt", prompt);
+    req
 }
 
-fn is_read(seen: &Seen) -> bool {
-    seen.header("x-step") == Some("prefill")
+fn is_read(received: &ReceivedRequest) -> bool {
+    received.header("x-step") == Some("prefill")
 }
 
-fn rejects(seen: &Seen) -> Vec<Act> {
-    seen.answer("503 Service Unavailable", "x-not-run: 1\r\n", "")
+fn rejects(received: &ReceivedRequest) -> Vec<Action> {
+    received.response("503 Service Unavailable", "x-not-run: 1\r\n", "")
 }
 
-fn closes(_: &Seen) -> Vec<Act> {
-    vec![Act::Close]
+fn closes(_: &ReceivedRequest) -> Vec<Action> {
+    vec![Action::Close]
 }
 
-fn makes(seen: &Seen) -> Vec<Act> {
-    seen.answer("200 OK", "content-type: text/event-stream\r\n", EVENTS)
+fn makes(received: &ReceivedRequest) -> Vec<Action> {
+    received.response("200 OK", "content-type: text/event-stream\r\n", EVENTS)
 }
 
 /// An engine that answers reads of prompts and requests for output as told.
-fn engine(reads: fn(&Seen) -> Vec<Act>, makes: fn(&Seen) -> Vec<Act>) -> StandIn {
-    StandIn::start(move |seen| {
-        if seen.line.starts_with("DELETE") {
-            return seen.answer("200 OK", "", "");
+fn engine(
+    reads: fn(&ReceivedRequest) -> Vec<Action>,
+    makes: fn(&ReceivedRequest) -> Vec<Action>,
+) -> StubUpstream {
+    StubUpstream::start(move |received| {
+        if received.request_line.starts_with("DELETE") {
+            return received.response("200 OK", "", "");
         }
-        if is_read(seen) {
-            reads(seen)
+        if is_read(received) {
+            reads(received)
         } else {
-            makes(seen)
+            makes(received)
         }
     })
 }
 
-fn bed(readers: &[StandIn], makers: &[StandIn]) -> Bed {
-    let entries = |all: &[StandIn], name: &str, stage| -> Vec<_> {
+fn start_instance(readers: &[StubUpstream], makers: &[StubUpstream]) -> TestInstance {
+    let entries = |all: &[StubUpstream], name: &str, stage| -> Vec<_> {
         let entry =
-            |(at, each): (usize, &StandIn)| each.entry(&format!("{name}{at}"), "llm", stage);
+            |(at, each): (usize, &StubUpstream)| each.entry(&format!("{name}{at}"), "llm", stage);
         all.iter().enumerate().map(entry).collect()
     };
     let mut all = entries(readers, "reader", Stage::Prefill);
@@ -84,19 +90,19 @@
         retry_budget: TERMS,
         ..settings()
     };
-    Bed::start_with(settings, all)
+    TestInstance::start_with(settings, all)
 }
 
 /// Arrivals beyond the first of each request; `accepts` tells whether reads of prompts were accepted.
-fn again(engines: &[&[StandIn]], accepts: bool) -> usize {
+fn again(engines: &[&[StubUpstream]], accepts: bool) -> usize {
     let mut arrivals: HashMap<String, usize> = HashMap::new();
     let mut free: HashMap<String, usize> = HashMap::new();
     for engine in engines.iter().copied().flatten() {
-        for seen in engine.seen.borrow().iter() {
-            let Some(id) = seen.header("x-attempt") else {
+        for received in engine.received.borrow().iter() {
+            let Some(id) = received.header("x-attempt") else {
                 continue;
             };
-            if accepts && is_read(seen) && free.insert(id.to_owned(), 1).is_none() {
+            if accepts && is_read(received) && free.insert(id.to_owned(), 1).is_none() {
                 continue;
             }
             *arrivals.entry(id.to_owned()).or_default() += 1;
@@ -107,7 +113,7 @@
 
 /// One of seven instances, which has been running for `age`.
 fn one_of_seven(age: Duration) -> Rc<Relay> {
-    let relay = Relay::new(settings(), Rc::new(Wire), Clock::of_age(age));
+    let relay = Relay::new(settings(), Rc::new(TestDialect), Clock::of_age(age));
     let own = relay.heartbeat();
     let names = ["b", "c", "d", "e", "f", "g"];
     let others = names.map(|name| Member {
@@ -133,7 +139,7 @@
 #[test]
 fn a_process_that_starts_again_takes_no_second_part() {
     let part = settings().retry_budget.slack / 7.0;
-    let before = unpaid(&one_of_seven(AGE));
+    let before = unpaid(&one_of_seven(PROCESS_AGE));
     let after = unpaid(&one_of_seven(Duration::ZERO));
     assert!(before > 0);
     assert!(
@@ -145,7 +151,7 @@
 /// Guards against parts that grow as instances fall silent, which may only be cut off and go on with theirs.
 #[test]
 fn instances_that_fall_silent_leave_their_parts_to_nobody() {
-    let relay = one_of_seven(AGE);
+    let relay = one_of_seven(PROCESS_AGE);
     let silent_ms = relay.now_ms() + 3_000;
     let mut members = relay.members.borrow_mut();
     for name in ["b", "c"] {
@@ -161,7 +167,7 @@
 /// Guards against parts that grow while others start again: they are not ready yet, and will be within a window.
 #[test]
 fn instances_that_are_not_ready_leave_their_parts_to_nobody() {
-    let relay = one_of_seven(AGE);
+    let relay = one_of_seven(PROCESS_AGE);
     let now_ms = relay.now_ms();
     let own = relay.heartbeat();
     for name in ["b", "c", "d", "e", "f", "g"] {
@@ -181,10 +187,10 @@
 }
 
 /// Asks one after the other, and gives how many were served.
-async fn ask_all(bed: &Bed, path: &str) -> usize {
+async fn ask_all(instance: &TestInstance, path: &str) -> usize {
     let mut served = 0;
     for id in 0..REQUESTS {
-        let (status, _) = bed.get(generation(path, id)).await;
+        let (status, _) = instance.fetch(generation(path, id)).await;
         assert!([200, 502, 503].contains(&status), "{status}");
         served += usize::from(status == 200);
     }
@@ -196,11 +202,11 @@
 }
 
 /// Asks before engines that take no prompt to be read apart, and do so as `reads` says.
-async fn where_no_prompt_is_read(reads: fn(&Seen) -> Vec<Act>) {
+async fn where_no_prompt_is_read(reads: fn(&ReceivedRequest) -> Vec<Action>) {
     let readers = [engine(reads, makes), engine(reads, makes)];
     let makers = [engine(reads, makes)];
-    let bed = bed(&readers, &makers);
-    let served = ask_all(&bed, "/once/x").await;
+    let instance = start_instance(&readers, &makers);
+    let served = ask_all(&instance, "/once/x").await;
     let again = again(&[&readers, &makers], false);
     assert!(again <= bound(), "{again} of {} allowed", bound());
     assert!(served > 0, "what the bound allows is served");
@@ -221,11 +227,12 @@
 /// Guards against a repeat that is counted once and arrives twice, as its prompt is read again.
 #[actix_rt::test]
 async fn a_prompt_read_again_is_within_the_bound() {
-    let reads: fn(&Seen) -> Vec<Act> = |seen| seen.answer("200 OK", "", "kv-1");
+    let reads: fn(&ReceivedRequest) -> Vec<Action> =
+        |received| received.response("200 OK", "", "kv-1");
     let readers = [engine(reads, makes)];
     let makers = [engine(reads, closes), engine(reads, closes)];
-    let bed = bed(&readers, &makers);
-    ask_all(&bed, "/grades/x").await;
+    let instance = start_instance(&readers, &makers);
+    ask_all(&instance, "/grades/x").await;
     let again = again(&[&readers, &makers], true);
     assert!(again <= bound(), "{again} of {} allowed", bound());
 }
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/unconfirmed_entries.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Wire, settings};
+use common::{TestDialect, settings};
 use relay::upstream::{Stage, UpstreamEntry, UpstreamState};
 use relay::{Origin, Relay};
 use tick::{Clock, since_boot_ms};
@@ -22,7 +22,7 @@
 fn relay(name: &str) -> Rc<Relay> {
     let mut told = settings();
     name.clone_into(&mut told.name);
-    Relay::new(told, Rc::new(Wire), Clock::default())
+    Relay::new(told, Rc::new(TestDialect), Clock::default())
 }
 
 fn entry(seq: u64) -> UpstreamEntry {
--- a/crates/relay/tests/usage.rs
+++ b/crates/relay/tests/usage.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use common::{Act, Bed, StandIn, config, listener, request, settings};
+use common::{Action, StubUpstream, TestInstance, config, peer_member, request, settings};
 use duty::UsageWindows;
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
@@ -16,8 +16,8 @@
 use relay::{Origin, Settings};
 use view::{ListChange, WorkspaceKey};
 
-fn bed(entries: Vec<UpstreamEntry>) -> Bed {
-    let bed = Bed::knowing_nothing(Settings {
+fn start_instance(entries: Vec<UpstreamEntry>) -> TestInstance {
+    let instance = TestInstance::unconfigured(Settings {
         singleton_tasks: TaskSettings {
             usage: Some(UsageWindows {
                 length_ms: 3_600_000,
@@ -32,32 +32,35 @@
         keys: vec![KeyHash::of(name.as_bytes())],
     };
     let access = Access::keyed(vec![workspace("one"), workspace("other")]);
-    bed.relay.configure(config(1).with_access(access));
-    let own = bed.relay.heartbeat();
-    bed.relay
+    instance.relay.configure(config(1).with_access(access));
+    let own = instance.relay.heartbeat();
+    instance
+        .relay
         .members
         .borrow_mut()
-        .record_heartbeat(bed.relay.now_ms(), own);
+        .record_heartbeat(instance.relay.now_ms(), own);
     for entry in entries {
-        bed.relay.apply_change(ListChange::Put(entry), Origin::Read);
+        instance
+            .relay
+            .apply_change(ListChange::Put(entry), Origin::Read);
     }
-    bed
+    instance
 }
 
-fn asked(method: Method, path: &str, workspace: &'static str, id: &str) -> Request<Full<Bytes>> {
-    let mut asked = request(method, path, id);
+fn req(method: Method, path: &str, workspace: &'static str, id: &str) -> Request<Full<Bytes>> {
+    let mut req = request(method, path, id);
     let key = HeaderValue::from_static(workspace);
-    asked.headers_mut().insert("x-key", key);
-    asked
+    req.headers_mut().insert("x-key", key);
+    req
 }
 
 /// What another instance is told of what ran, by workspace.
-async fn counted(bed: &Bed) -> BTreeMap<&'static str, u32> {
-    let relay = &bed.relay;
+async fn counted(instance: &TestInstance) -> BTreeMap<&'static str, u32> {
+    let relay = &instance.relay;
     relay
         .members
         .borrow_mut()
-        .record_heartbeat(relay.now_ms(), listener());
+        .record_heartbeat(relay.now_ms(), peer_member());
     relay.heartbeat_stored(relay.heartbeat());
     let mut counts = BTreeMap::new();
     for _ in 0..20 {
@@ -76,38 +79,39 @@
 /// Guards against a request that counts once for each upstream that it was sent to.
 #[actix_rt::test]
 async fn a_request_counts_once_for_its_workspace() {
-    let fails = StandIn::start(|seen| seen.answer("500 Oops", "", "oops"));
-    let works = StandIn::start(|seen| seen.answer("200 OK", "", "ok"));
-    let bed = bed(vec![
+    let fails = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
+    let works = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
+    let instance = start_instance(vec![
         fails.entry("fails", "desk", Stage::Whole),
         works.entry("works", "desk", Stage::Whole),
     ]);
     for (number, workspace) in ["one", "one", "other"].into_iter().enumerate() {
-        let asked = asked(Method::GET, "/reads/x", workspace, &number.to_string());
-        assert_eq!(bed.get(asked).await.0, 200);
+        let req = req(Method::GET, "/reads/x", workspace, &number.to_string());
+        assert_eq!(instance.fetch(req).await.0, 200);
     }
     assert!(fails.count() > 0);
-    assert_eq!(counted(&bed).await, [("one", 2), ("other", 1)].into());
+    assert_eq!(counted(&instance).await, [("one", 2), ("other", 1)].into());
 }
 
 /// Guards against usage of what never ran: refused for its key, rejected by the upstream, or for nobody.
 #[actix_rt::test]
 async fn what_did_not_run_counts_for_nobody() {
-    let full = StandIn::start(|seen| seen.answer("503 Full", "x-not-run: 1\r\n", ""));
-    let bed = bed(vec![full.entry("full", "desk", Stage::Whole)]);
+    let full =
+        StubUpstream::start(|received| received.response("503 Full", "x-not-run: 1\r\n", ""));
+    let instance = start_instance(vec![full.entry("full", "desk", Stage::Whole)]);
     for (workspace, status) in [("one", 503), ("nobody", 401)] {
-        let asked = asked(Method::POST, "/claims/x", workspace, "1");
-        assert_eq!(bed.get(asked).await.0, status);
+        let req = req(Method::POST, "/claims/x", workspace, "1");
+        assert_eq!(instance.fetch(req).await.0, status);
     }
-    assert_eq!(counted(&bed).await, BTreeMap::new());
+    assert_eq!(counted(&instance).await, BTreeMap::new());
 }
 
 /// Guards against a claim that ran and is billed to nobody, since its answer was lost.
 #[actix_rt::test]
 async fn a_claim_whose_answer_was_lost_counts() {
-    let desk = StandIn::start(|_| vec![Act::Close]);
-    let bed = bed(vec![desk.entry("one", "desk", Stage::Whole)]);
-    let asked = asked(Method::POST, "/claims/x", "other", "1");
-    assert_eq!(bed.get(asked).await.0, 502);
-    assert_eq!(counted(&bed).await, [("other", 1)].into());
+    let desk = StubUpstream::start(|_| vec![Action::Close]);
+    let instance = start_instance(vec![desk.entry("one", "desk", Stage::Whole)]);
+    let req = req(Method::POST, "/claims/x", "other", "1");
+    assert_eq!(instance.fetch(req).await.0, 502);
+    assert_eq!(counted(&instance).await, [("other", 1)].into());
 }
