--- a/crates/relay/tests/generation.rs
+++ b/crates/relay/tests/generation.rs
@@ -1,4 +1,5 @@
-//! Generations: read apart, moved, gone on with, left.
+//! Generation requests: prefill at a separate engine, copied prompt parts, resumed streams, role
+//! changes and callers that disconnect.
 
 mod common;
 
@@ -12,40 +13,41 @@
 use relay::upstreams::ListChange;
 use view::{GossipMessage, InstanceKey, MessageKind, PendingRoleChange, UpstreamKey};
 
-/// A prompt of 13,000 shared tokens and 4,000 of its own.
-const LONG: &str = "7:13000,8:4000";
+/// A prompt of 13,000 shared tokens and 4,000 of its own, long enough for prefill at a separate
+/// engine.
+const LONG_PROMPT: &str = "7:13000,8:4000";
 
-/// A short question.
-const SHORT: &str = "7:50,8:40";
+/// A prompt of 90 tokens.
+const SHORT_PROMPT: &str = "7:50,8:40";
 
-fn generation(path: &str, prompt: &'static str) -> Request<Full<Bytes>> {
+fn generation_request(path: &str, prompt: &'static str) -> Request<Full<Bytes>> {
     let mut req = request(Method::POST, path, "1");
     let prompt = HeaderValue::from_static(prompt);
     req.headers_mut().insert("x-prompt", prompt);
     req
 }
 
-/// A relay with one engine that reads prompts and one for output.
-fn reader_and_maker(reader: &StubUpstream, engine: &StubUpstream) -> TestInstance {
+/// An instance with one prefill engine and one decode engine.
+fn prefill_and_decode(prefill: &StubUpstream, engine: &StubUpstream) -> TestInstance {
     TestInstance::start(vec![
-        reader.entry("reader", "llm", Stage::Prefill),
+        prefill.entry("prefill", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ])
 }
 
-/// An engine that reads prompts.
-fn kv() -> StubUpstream {
+/// A prefill engine, which responds with the handle of a KV cache.
+fn prefill_engine() -> StubUpstream {
     StubUpstream::start(|received| received.response("200 OK", "", "kv-1"))
 }
 
 fn events(from: u64, to: u64) -> String {
     let ids = (from..=to).map(|id| id.to_string());
-    ids.fold(String::new(), |all, id| {
-        all + "id: " + &id + "\ndata: " + &id + "\n\n"
+    ids.fold(String::new(), |text, id| {
+        text + "id: " + &id + "\ndata: " + &id + "\n\n"
     })
 }
 
-fn maker() -> StubUpstream {
+fn decode_engine() -> StubUpstream {
     StubUpstream::start(|received| {
         let from = received
             .header("last-event-id")
@@ -65,45 +67,46 @@
     })
 }
 
-/// The caller sees its answer as always. While its long prompt is read by one engine, the engine
-/// that looked best for the output says that it is leaving; the prompt is done two seconds
-/// later. The output must be made elsewhere, since the leaving engine may be gone by then.
+/// Guards against a decode engine that is chosen before prefill and not checked after it. Here the
+/// engine that looked best announces during prefill that it is leaving; it may be gone when prefill
+/// is done, so decode must go to another engine.
 #[actix_rt::test]
-async fn an_engine_that_left_while_the_prompt_was_read_gets_no_output() {
-    let reader = StubUpstream::start(|received| {
+async fn an_engine_that_leaves_during_prefill_gets_no_decode() {
+    let prefill = StubUpstream::start(|received| {
         let mut actions = vec![Action::Wait(300)];
         actions.extend(received.response("200 OK", "", "kv-1"));
         actions
     });
-    let (near, far) = (maker(), maker());
+    let (near, far) = (decode_engine(), decode_engine());
     let near_entry = near.entry("near", "llm", Stage::Decode);
     let far_entry = UpstreamEntry {
         zone: "there".to_owned(),
         ..far.entry("far", "llm", Stage::Decode)
     };
     let instance = TestInstance::start(vec![
-        reader.entry("reader", "llm", Stage::Prefill),
+        prefill.entry("prefill", "llm", Stage::Prefill),
         near_entry.clone(),
         far_entry,
     ]);
-    let req = generation("/once/x", LONG);
+    let req = generation_request("/once/x", LONG_PROMPT);
     let relay = Rc::clone(&instance.relay);
-    let received = Rc::clone(&reader.received);
+    let received = Rc::clone(&prefill.received);
     actix_rt::spawn(async move {
         wait_until(|| !received.borrow().is_empty()).await;
         relay.apply_change(leaving(near_entry), relay::Origin::Read);
     });
     let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
-    assert_eq!(near.count(), 0, "the leaving engine got the output");
+    assert_eq!(near.count(), 0, "the leaving engine got the decode");
     assert_eq!(far.received.borrow()[0].header("x-kv"), Some("kv-1"));
 }
 
-/// The caller sees one whole stream. The engine's connection breaks in the middle of the second
-/// event; the rest comes from another engine, after the last whole event, without a seam.
+/// Guards against a stream that shows where it was resumed. The connection breaks in the middle of
+/// the second event; another engine continues after the last complete event, and the caller gets
+/// each event once.
 #[actix_rt::test]
-async fn a_broken_stream_goes_on_at_another_engine() {
-    let breaks = |received: &ReceivedRequest| {
+async fn a_broken_stream_is_resumed_at_another_engine() {
+    let truncate = |received: &ReceivedRequest| {
         if received.header("last-event-id").is_some() {
             return received.response("200 OK", "", &events(2, 3));
         }
@@ -113,21 +116,21 @@
             Action::Close,
         ]
     };
-    let (one, two) = (StubUpstream::start(breaks), StubUpstream::start(breaks));
+    let (one, two) = (StubUpstream::start(truncate), StubUpstream::start(truncate));
     let instance = TestInstance::start(vec![
         one.entry("one", "llm", Stage::Decode),
         two.entry("two", "llm", Stage::Decode),
     ]);
-    let req = generation("/grades/x", SHORT);
+    let req = generation_request("/grades/x", SHORT_PROMPT);
     let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(one.count() + two.count(), 2);
 }
 
-/// The caller sees a stream that breaks off, not one that looks complete: it may not be made a
-/// second time, and the engine broke off after two of three events.
+/// Guards against a truncated stream that looks complete. The engine breaks off after two of three
+/// events of a request that may run only once, so the caller must see a truncated body.
 #[actix_rt::test]
-async fn a_broken_stream_that_may_not_be_resumed_does_not_look_whole() {
+async fn a_broken_stream_that_may_not_be_resumed_is_truncated() {
     let engine = StubUpstream::start(|received| {
         let whole = received.response_text("200 OK", "", &events(1, 3));
         vec![
@@ -135,7 +138,7 @@
             Action::Close,
         ]
     });
-    let other = maker();
+    let other = decode_engine();
     let instance = TestInstance::start(vec![
         engine.entry("one", "llm", Stage::Decode),
         UpstreamEntry {
@@ -143,134 +146,134 @@
             ..other.entry("two", "llm", Stage::Decode)
         },
     ]);
-    let req = generation("/once/x", SHORT);
+    let req = generation_request("/once/x", SHORT_PROMPT);
     let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, None));
     assert_eq!(other.count(), 0);
 }
 
-/// The caller leaves while its stream is being made. The engine sees its connection closed and
-/// can stop; without that it would work on for nobody.
+/// Guards against an engine that goes on decoding for a caller that has disconnected: the engine
+/// must see its own connection closed.
 #[actix_rt::test]
-async fn a_caller_that_leaves_stops_the_engine() {
+async fn a_caller_that_disconnects_stops_the_engine() {
     let engine = StubUpstream::start(|received| {
         let whole = received.response_text("200 OK", "", &events(1, 3));
         let cut = whole.len() - 18;
         vec![Action::Write(whole[..cut].to_owned()), Action::Wait(5_000)]
     });
     let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let req = generation("/once/x", SHORT);
+    let req = generation_request("/once/x", SHORT_PROMPT);
     let response = instance.send(req).await.unwrap();
     let mut body = response.into_body();
     assert!(body.frame().await.is_some());
     drop(body);
     assert!(
         wait_until(|| *engine.closed_by_relay.borrow() == 1).await,
-        "the engine works on"
+        "the engine is still decoding"
     );
 }
 
-/// The caller leaves before the first event. Its connection is closed while the engine still
-/// waits, and the engine must see that too.
+/// The same for a caller that disconnects before the first event, while the engine hasn't responded.
 #[actix_rt::test]
-async fn a_caller_that_leaves_early_stops_the_engine() {
+async fn a_caller_that_disconnects_before_the_first_event_stops_the_engine() {
     let engine = StubUpstream::start(|_| vec![Action::Wait(5_000)]);
     let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let req = generation("/once/x", SHORT);
+    let req = generation_request("/once/x", SHORT_PROMPT);
     let wait = std::time::Duration::from_millis(800);
     let answered = actix_rt::time::timeout(wait, instance.send(req)).await;
     assert!(answered.is_err());
     assert!(
         wait_until(|| *engine.closed_by_relay.borrow() == 1).await,
-        "the engine works on"
+        "the engine is still decoding"
     );
 }
 
-/// The caller sees its answer. The engine cannot fetch the prompt's cache any more and says that
-/// nothing ran; it is asked again to read the prompt itself.
+/// Guards against a request that fails because its KV cache has expired. The decode engine can't
+/// fetch the cache and rejects the request as not run; it gets the request again and prefills the
+/// prompt itself.
 #[actix_rt::test]
-async fn a_lapsed_cache_is_read_again_by_the_same_engine() {
-    let reader = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
+async fn an_expired_kv_cache_is_recomputed_by_the_same_engine() {
+    let prefill = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
     let engine = StubUpstream::start(|received| {
         if received.header("x-kv").is_some() {
             return received.response("503 Unavailable", "x-not-run: 1\r\n", "");
         }
         received.response("200 OK", "", &events(1, 3))
     });
-    let instance = reader_and_maker(&reader, &engine);
-    let req = generation("/once/x", LONG);
+    let instance = prefill_and_decode(&prefill, &engine);
+    let req = generation_request("/once/x", LONG_PROMPT);
     let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(engine.count(), 2);
 }
 
-/// The caller sees its stream. The engine that reads its prompt has run the call and lost the
-/// answer; the prompt is not waited for until the deadline but read by the engine for output.
+/// Guards against waiting until the deadline for a prefill whose response is lost. The prefill
+/// engine never responds, and the decode engine prefills the prompt itself.
 #[actix_rt::test]
-async fn a_prompt_whose_answer_is_lost_is_read_elsewhere() {
-    let reader = StubUpstream::start(|_| vec![Action::Wait(60_000)]);
-    let engine = maker();
-    let instance = reader_and_maker(&reader, &engine);
-    let req = generation("/once/x", LONG);
+async fn a_prompt_whose_prefill_is_lost_is_prefilled_elsewhere() {
+    let prefill = StubUpstream::start(|_| vec![Action::Wait(60_000)]);
+    let engine = decode_engine();
+    let instance = prefill_and_decode(&prefill, &engine);
+    let req = generation_request("/once/x", LONG_PROMPT);
     let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
-    assert_eq!((reader.count(), engine.count()), (1, 1));
-    assert!(wait_until(|| *reader.closed_by_relay.borrow() == 1).await);
+    assert_eq!((prefill.count(), engine.count()), (1, 1));
+    assert!(wait_until(|| *prefill.closed_by_relay.borrow() == 1).await);
 }
 
-/// The caller sees its own answer. The engine that reads prompts sends a second answer to an
-/// earlier request where this one's is due; its handle leads to another prompt's cache, and output
-/// made from it would answer a question that nobody asked.
+/// Guards against decoding from the KV cache of another prompt, which would answer a different
+/// question. The prefill engine sends a late response to an earlier request where the one to this
+/// request is due, and its handle must not be used.
 #[actix_rt::test]
-async fn a_handle_of_another_request_is_not_gone_on_from() {
-    let reader = StubUpstream::start(|_| {
+async fn a_kv_handle_of_another_request_is_not_used() {
+    let prefill = StubUpstream::start(|_| {
         let text = "HTTP/1.1 200 OK\r\nx-attempt: other\r\ncontent-length: 4\r\n\r\nkv-9";
         vec![Action::Write(text.to_owned())]
     });
-    let engine = maker();
-    let instance = reader_and_maker(&reader, &engine);
-    let req = generation("/once/x", LONG);
+    let engine = decode_engine();
+    let instance = prefill_and_decode(&prefill, &engine);
+    let req = generation_request("/once/x", LONG_PROMPT);
     let (status, body) = instance.fetch(req).await;
     assert_eq!((status, body), (200, Some(events(1, 3))));
     assert_eq!(engine.received.borrow()[0].header("x-kv"), None);
 }
 
-/// The caller sees the engine's own failure: a resumable generation ran and failed at the only
-/// engine, and neither "not run" nor another error would be true.
+/// Guards against refusing a request as not run after it ran. A resumable generation fails at the
+/// only engine, and the caller gets that engine's response.
 #[actix_rt::test]
-async fn a_failed_generation_is_not_refused_as_unrun() {
+async fn a_failed_generation_is_not_refused_as_not_run() {
     let engine = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
     let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let req = generation("/grades/x", SHORT);
+    let req = generation_request("/grades/x", SHORT_PROMPT);
     assert_eq!(instance.fetch(req).await, (500, Some("oops".to_owned())));
 }
 
-/// An engine that reads, and how far it has come with the shared part of the long prompts.
-fn reader_with(instance: &TestInstance, id: &str, reading: PrefillProgress) {
+/// Notes that an engine holds the shared part of the long prompts, and how far its prefill is.
+fn note_shared_part(instance: &TestInstance, id: &str, progress: PrefillProgress) {
     let upstreams = instance.relay.upstreams.borrow();
     let engine = upstreams.get(id).unwrap();
-    engine.note_cached_part(7, 13_000.0, reading, 400_000.0);
+    engine.note_cached_part(7, 13_000.0, progress, 400_000.0);
 }
 
-/// The caller sees its stream. One engine holds the prompt's shared part and has seconds of other
-/// work; another one is idle. That one copies the part and reads the rest, where it would
-/// otherwise have read 13,000 tokens a second time or the caller waited behind the others.
+/// Guards against a second prefill of 13,000 shared tokens, and against waiting for it. One engine
+/// holds the shared part and has seconds of other work; an idle engine copies the part and prefills
+/// the rest.
 #[actix_rt::test]
-async fn a_part_is_copied_from_a_busy_engine() {
-    let (busy, idle, engine) = (kv(), kv(), maker());
+async fn a_prompt_part_is_copied_from_a_busy_engine() {
+    let (busy, idle, engine) = (prefill_engine(), prefill_engine(), decode_engine());
     let instance = TestInstance::start(vec![
         busy.entry("busy", "llm", Stage::Prefill),
         idle.entry("idle", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ]);
-    reader_with(&instance, "busy", PrefillProgress::Done);
-    let held = Rc::clone(instance.relay.upstreams.borrow().get("busy").unwrap());
+    note_shared_part(&instance, "busy", PrefillProgress::Done);
+    let busy_engine = Rc::clone(instance.relay.upstreams.borrow().get("busy").unwrap());
     let work = Work {
         prefill_tokens: 100_000.0,
         ..Work::default()
     };
-    let _guard = InFlight::begin(&held, instance.relay.now_ms(), work);
-    let mut req = generation("/once/x", LONG);
+    let _guard = InFlight::begin(&busy_engine, instance.relay.now_ms(), work);
+    let mut req = generation_request("/once/x", LONG_PROMPT);
     let forged = HeaderValue::from_static("6.6.6.6:6");
     req.headers_mut().insert("x-copy", forged);
     let (status, body) = instance.fetch(req).await;
@@ -285,34 +288,38 @@
     assert!(metrics.contains(placed), "the placement is not counted");
 }
 
-/// The caller sees its stream. The engine that would be copied from is still reading the part, so
-/// a copy would find nothing: the request waits there, or reads for itself, and asks for no copy.
+/// Guards against copying a prompt part before its prefill is done, when there is nothing to copy.
+/// The request waits for that engine or is prefilled elsewhere without a copy.
 #[actix_rt::test]
-async fn a_part_that_is_still_being_read_is_not_copied() {
-    let (busy, idle, engine) = (kv(), kv(), maker());
+async fn a_prompt_part_still_in_prefill_is_not_copied() {
+    let (busy, idle, engine) = (prefill_engine(), prefill_engine(), decode_engine());
     let instance = TestInstance::start(vec![
         busy.entry("busy", "llm", Stage::Prefill),
         idle.entry("idle", "llm", Stage::Prefill),
         engine.entry("one", "llm", Stage::Decode),
     ]);
-    reader_with(&instance, "busy", PrefillProgress::Begun);
-    let (status, _) = instance.fetch(generation("/once/x", LONG)).await;
+    note_shared_part(&instance, "busy", PrefillProgress::Begun);
+    let (status, _) = instance
+        .fetch(generation_request("/once/x", LONG_PROMPT))
+        .await;
     assert_eq!(status, 200);
-    let all = [&busy, &idle, &engine].map(|each| each.received.borrow().clone());
-    let copies = all
+    let stubs = [&busy, &idle, &engine].map(|stub| stub.received.borrow().clone());
+    let copies = stubs
         .iter()
         .flatten()
         .filter_map(|received| received.header("x-copy"));
     assert_eq!(copies.count(), 0);
 }
 
-/// Which parts an engine holds is told between instances, and whether they have been read: another
-/// instance's requests copy from it, but not before.
+/// Peers learn by gossip which prompt parts an engine holds and whether their prefill is done; only
+/// then may their requests copy from it.
 #[actix_rt::test]
-async fn what_an_engine_has_read_is_told() {
-    let engine = maker();
+async fn cached_prompt_parts_are_gossiped() {
+    let engine = decode_engine();
     let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    let (status, _) = instance.fetch(generation("/once/x", LONG)).await;
+    let (status, _) = instance
+        .fetch(generation_request("/once/x", LONG_PROMPT))
+        .await;
     assert_eq!(status, 200);
     let other = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
     common::deliver_gossip(&instance.relay, &other.relay);
@@ -322,12 +329,12 @@
     assert!(known.copyable_tokens(9) < 1.0);
 }
 
-/// Two callers see different answers to the same question: an engine has work for more than three
-/// objectives, so who is new is refused and told when to come back. Who has come back, as what is left
-/// of its deadline tells, is served; refused again it would have waited for nothing.
+/// Guards against refusing a caller again that waited as it was told to. An engine has work for
+/// more than three times the route's goal, so a new request is refused with a retry-after. A
+/// request whose shorter deadline shows that its caller has waited before is served.
 #[actix_rt::test]
-async fn who_came_back_goes_before_who_is_new() {
-    let engine = maker();
+async fn a_returning_caller_is_admitted_before_a_new_one() {
+    let engine = decode_engine();
     let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
     let one = Rc::clone(instance.relay.upstreams.borrow().get("one").unwrap());
     let work = Work {
@@ -336,37 +343,37 @@
         ..Work::default()
     };
     let _guard = InFlight::begin(&one, instance.relay.now_ms(), work);
-    let mut new = generation("/once/x", SHORT);
+    let mut new = generation_request("/once/x", SHORT_PROMPT);
     let left = HeaderValue::from_static("6000");
     new.headers_mut().insert("x-left-ms", left);
     let response = instance.send(new).await.unwrap();
     assert_eq!(response.status().as_u16(), 503);
     assert!(response.headers().contains_key("retry-after"));
     assert_eq!(engine.count(), 0);
-    let mut again = generation("/once/x", SHORT);
+    let mut returning = generation_request("/once/x", SHORT_PROMPT);
     let left = HeaderValue::from_static("5700");
-    again.headers_mut().insert("x-left-ms", left);
-    assert_eq!(instance.fetch(again).await, (200, Some(events(1, 3))));
+    returning.headers_mut().insert("x-left-ms", left);
+    assert_eq!(instance.fetch(returning).await, (200, Some(events(1, 3))));
 }
 
-/// An engine turned from output to reading while the list could not be read. The first request that
-/// is handed to it is rejected as not its step; the caller sees its answer all the same. The prompt
-/// is not read a second time, the cache goes to another engine, and no further request is sent to the
-/// one that turned.
+/// Guards against further requests to an engine that changed its role while the list couldn't be
+/// read. It rejects the first decode as not its step; the caller is served all the same, by another
+/// engine that gets the same KV cache, without a second prefill and without more requests to the
+/// first.
 #[actix_rt::test]
-async fn a_rejected_step_tells_that_an_engine_has_turned() {
-    let reader = kv();
-    let turned = StubUpstream::start(|received| {
+async fn a_rejected_step_reveals_a_role_change() {
+    let prefill = prefill_engine();
+    let changed = StubUpstream::start(|received| {
         received.response(
             "421 Misdirected Request",
-            "x-instance: turned\r\nx-not-run: 1\r\n",
+            "x-instance: changed\r\nx-not-run: 1\r\n",
             "",
         )
     });
-    let other = maker();
+    let other = decode_engine();
     let instance = TestInstance::start(vec![
-        reader.entry("reader", "llm", Stage::Prefill),
-        turned.entry("turned", "llm", Stage::Decode),
+        prefill.entry("prefill", "llm", Stage::Prefill),
+        changed.entry("changed", "llm", Stage::Decode),
         UpstreamEntry {
             zone: "far".to_owned(),
             ..other.entry("other", "llm", Stage::Decode)
@@ -375,35 +382,39 @@
     let own = instance.relay.heartbeat();
     instance.relay.members.borrow_mut().record_heartbeat(0, own);
     for _ in 0..3 {
-        let answer = instance.send(generation("/grades/x", LONG)).await.unwrap();
+        let answer = instance
+            .send(generation_request("/grades/x", LONG_PROMPT))
+            .await
+            .unwrap();
         assert_eq!(answer.status().as_u16(), 200);
     }
-    assert_eq!(turned.count(), 1);
+    assert_eq!(changed.count(), 1);
     assert_eq!(
-        reader.count(),
+        prefill.count(),
         1,
-        "the part was read once and is copied from then on"
+        "the part was prefilled once and is copied from then on"
     );
     assert_eq!(other.received.borrow()[0].header("x-kv"), Some("kv-1"));
     let upstreams = instance.relay.upstreams.borrow();
-    assert_eq!(upstreams.get("turned").unwrap().stage(), Stage::Prefill);
+    assert_eq!(upstreams.get("changed").unwrap().stage(), Stage::Prefill);
 }
 
-/// Another instance has ordered an engine to read prompts. As soon as it tells, nothing is sent there:
-/// it would be rejected for as long as the engine is away. The list says when it is there.
+/// Guards against requests to an engine that a peer has ordered to change its role, which would all
+/// be rejected until it is done. The engine is avoided from the gossip message on, until the list
+/// shows its new role.
 #[actix_rt::test]
-async fn an_engine_that_is_turning_gets_nothing_new() {
-    let (turning, other) = (maker(), maker());
+async fn an_engine_changing_its_role_gets_no_new_requests() {
+    let (changing, other) = (decode_engine(), decode_engine());
     let instance = TestInstance::start(vec![
-        turning.entry("turning", "llm", Stage::Decode),
+        changing.entry("changing", "llm", Stage::Decode),
         UpstreamEntry {
             zone: "far".to_owned(),
             ..other.entry("other", "llm", Stage::Decode)
         },
     ]);
-    let told = GossipMessage {
+    let message = GossipMessage {
         role_changes: vec![PendingRoleChange {
-            upstream: UpstreamKey::of("turning", 0),
+            upstream: UpstreamKey::of("changing", 0),
             stage: Stage::Prefill,
             remaining_ms: 60_000,
         }],
@@ -411,51 +422,56 @@
     };
     instance
         .relay
-        .receive_gossip(&told, "127.0.0.1:2".parse().unwrap());
-    let answer = instance.send(generation("/grades/x", SHORT)).await.unwrap();
+        .receive_gossip(&message, "127.0.0.1:2".parse().unwrap());
+    let answer = instance
+        .send(generation_request("/grades/x", SHORT_PROMPT))
+        .await
+        .unwrap();
     assert_eq!(answer.status().as_u16(), 200);
-    assert_eq!((turning.count(), other.count()), (0, 1));
+    assert_eq!((changing.count(), other.count()), (0, 1));
     instance.relay.apply_change(
         ListChange::Put(UpstreamEntry {
             seq: 2,
-            ..turning.entry("turning", "llm", Stage::Prefill)
+            ..changing.entry("changing", "llm", Stage::Prefill)
         }),
         relay::Origin::Read,
     );
     let upstreams = instance.relay.upstreams.borrow();
     assert!(
         !upstreams
-            .get("turning")
+            .get("changing")
             .unwrap()
             .is_changing_role(instance.relay.now_ms())
     );
 }
 
-/// An engine ends what it has before it turns, which takes longer than its instance expected; its list
-/// entry still says that it makes output, and it rejects all that is new. The first caller is served
-/// by another engine, and those that come in the next moments are not sent there at all: each would
-/// be rejected and count as a repeat.
+/// Guards against sending request after request to an engine that rejects them. It finishes what it
+/// has before a role change, and the list still shows it as a decode engine. The first request is
+/// retried elsewhere; the next ones go elsewhere at once, since each rejection would cost a retry.
 #[actix_rt::test]
-async fn an_engine_that_rejects_what_is_new_is_left_alone_for_a_moment() {
+async fn an_engine_that_rejects_new_requests_is_avoided_for_a_moment() {
     for status in ["503 Service Unavailable", "429 Too Many Requests"] {
-        one_is_sent_to_an_engine_that_rejects(status).await;
+        assert_one_request_reaches_a_rejecting_engine(status).await;
     }
 }
 
-async fn one_is_sent_to_an_engine_that_rejects(status: &'static str) {
-    let away =
+async fn assert_one_request_reaches_a_rejecting_engine(status: &'static str) {
+    let rejecting =
         StubUpstream::start(move |received| received.response(status, "x-not-run: 1\r\n", ""));
-    let other = maker();
+    let other = decode_engine();
     let instance = TestInstance::start(vec![
-        away.entry("away", "llm", Stage::Decode),
+        rejecting.entry("rejecting", "llm", Stage::Decode),
         UpstreamEntry {
             zone: "far".to_owned(),
             ..other.entry("other", "llm", Stage::Decode)
         },
     ]);
     for _ in 0..5 {
-        let answer = instance.send(generation("/grades/x", SHORT)).await.unwrap();
+        let answer = instance
+            .send(generation_request("/grades/x", SHORT_PROMPT))
+            .await
+            .unwrap();
         assert_eq!(answer.status().as_u16(), 200);
     }
-    assert_eq!((away.count(), other.count()), (1, 5));
+    assert_eq!((rejecting.count(), other.count()), (1, 5));
 }
