--- a/crates/relay/tests/instance_view.rs
+++ b/crates/relay/tests/instance_view.rs
@@ -1,4 +1,4 @@
-//! What an instance takes from the store, and keeps.
+//! What an instance takes over from the store and from peers, and how long it relies on it.
 
 mod common;
 
@@ -14,14 +14,14 @@
 use tick::Clock;
 use view::InstanceKey;
 
-fn entry(id: &str, seq: u64, standing: UpstreamState) -> UpstreamEntry {
+fn entry(id: &str, seq: u64, state: UpstreamState) -> UpstreamEntry {
     UpstreamEntry {
         id: id.to_owned(),
         service: "desk".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "here".to_owned(),
         slots: 4,
-        state: standing,
+        state,
         stage: Stage::Whole,
         seq,
         is_spot: false,
@@ -36,8 +36,8 @@
         .collect()
 }
 
-/// Callers must not see an older version after a newer one: it is passed over, wherever it
-/// comes from, such as a store that hands out its history again.
+/// Guards against serving callers by an older configuration after a newer one, such as from a store
+/// that returns its history again. An older version is ignored, wherever it comes from.
 #[test]
 fn a_configuration_never_goes_back() {
     let relay = Relay::new(settings(), Rc::new(TestDialect), Clock::default());
@@ -49,8 +49,8 @@
     assert!(relay.is_ready());
 }
 
-/// An entry that an upstream wrote before it said that it leaves comes after it. Taken as new it
-/// would bring work to an upstream that is about to end.
+/// Guards against sending requests to an upstream that is about to end, because an entry that it
+/// wrote before it announced its leaving arrives later.
 #[test]
 fn a_late_entry_does_not_bring_a_leaving_upstream_back() {
     let mut upstreams = Upstreams::new("here", Clock::default());
@@ -67,10 +67,10 @@
     assert!(ready(&upstreams, 0).is_empty());
 }
 
-/// An upstream left and its entry was taken away; one of its older entries comes afterwards. A
-/// later one means that it only lapsed and is back.
+/// The same after the entry was removed: an older entry changes nothing. A later one means that the
+/// entry had only lapsed, and the upstream is back.
 #[test]
-fn a_late_entry_does_not_bring_back_one_that_is_gone() {
+fn a_late_entry_does_not_bring_a_removed_upstream_back() {
     let mut upstreams = Upstreams::new("here", Clock::default());
     upstreams.apply(0, ListChange::Put(entry("a", 3, UpstreamState::Ready)));
     assert_eq!(
@@ -88,10 +88,11 @@
     );
 }
 
-/// The store was away and all entries lapsed with it. Callers are served meanwhile, since the
-/// upstreams live; one whose entry is not back after 2.6 s is gone.
+/// Guards against refusing callers after a store outage in which all entries lapsed while the
+/// upstreams went on. They stay in use, unconfirmed; one whose entry isn't back after 2.6 s is
+/// removed.
 #[test]
-fn entries_that_lapse_with_the_store_are_used_for_a_while() {
+fn entries_that_lapse_in_an_outage_are_used_for_a_while() {
     let mut upstreams = Upstreams::new("here", Clock::default());
     for id in ["a", "b"] {
         upstreams.apply(0, ListChange::Put(entry(id, 1, UpstreamState::Ready)));
@@ -108,10 +109,11 @@
     assert_eq!(upstreams.remove_lapsed(12_700), ["b"]);
 }
 
-/// An upstream leaves without a word 1.5 s after the store is back: its entry just goes. It must
-/// not be taken for one that lapsed and be used for two more seconds, since by then it has ended.
+/// Guards against taking an upstream that ended for one whose entry lapsed. Its entry is removed
+/// 1.5 s after the store was last unreachable; kept as unconfirmed, it would get requests for two
+/// more seconds.
 #[test]
-fn an_entry_that_goes_after_the_return_is_not_used_for_long() {
+fn an_entry_removed_after_an_outage_is_not_used_for_long() {
     let mut upstreams = Upstreams::new("here", Clock::default());
     upstreams.apply(0, ListChange::Put(entry("a", 1, UpstreamState::Ready)));
     upstreams.store_unreachable(10_000);
@@ -119,7 +121,8 @@
     assert!(ready(&upstreams, 12_700).is_empty());
 }
 
-/// A leaving upstream's entry goes while the store is away: it is not one that lapsed.
+/// The entry of an upstream that announced its leaving is removed while the store is unreachable:
+/// it hasn't lapsed.
 #[test]
 fn a_leaving_upstream_is_not_kept_through_an_outage() {
     let mut upstreams = Upstreams::new("here", Clock::default());
@@ -145,16 +148,16 @@
     }
 }
 
-/// Callers are not sent to an instance whose heartbeats stay away, also by one that nobody tells
-/// anything; while heartbeats cannot be read at all, the silence says nothing and all stay.
+/// Guards against sending callers to an instance without heartbeats, also one that gets no gossip.
+/// While no heartbeats can be read at all, silence means nothing and all stay.
 #[test]
-fn silent_instances_are_not_handed_out() {
+fn instances_without_heartbeats_are_not_named_to_callers() {
     let mut members = Members::default();
     members.record_store_read(0);
     members.record_heartbeat(0, member("a", "here", true));
     members.record_heartbeat(0, member("b", "here", true));
     let later_ms = 4 * members.heartbeat_interval_ms();
-    assert_eq!(members.reachable_count(), 2, "nothing was read since");
+    assert_eq!(members.reachable_count(), 2, "no heartbeat was read since");
     members.record_store_read(later_ms);
     members.record_heartbeat(later_ms, member("a", "here", true));
     let names: Vec<&str> = members.ready().map(|each| each.name.as_str()).collect();
@@ -162,9 +165,10 @@
     assert_eq!(members.reachable_count(), 1);
 }
 
-/// A caller hears of two instances at least: with only one, it has nowhere to go when it stops.
+/// Callers are given two instances at least, from other zones if need be: with only one they have
+/// no address left when it stops.
 #[test]
-fn callers_hear_of_near_instances_if_there_are_two() {
+fn callers_get_near_instances_if_there_are_two() {
     let all = [
         member("b", "here", true),
         member("c", "there", true),
@@ -175,10 +179,10 @@
     assert_eq!(near.len(), 2);
     let own = member("a", "here", false);
     let wide = addresses(all.iter(), &own, Some("here"));
-    assert_eq!(wide.len(), 3, "an instance that leaves is not named");
+    assert_eq!(wide.len(), 3, "a leaving instance is not named");
 }
 
-/// Of the routes of a host the one with the longest prefix is taken, and only its weights decide
+/// The route with the longest matching prefix of the host is used, and only its weights decide
 /// which service gets a request.
 #[test]
 fn routes_go_by_host_and_longest_prefix() {
@@ -211,10 +215,10 @@
     assert_eq!(to_y, 900);
 }
 
-/// One of three instances is killed. Nobody tells of it any more, and callers are not sent there
-/// a second later, before its heartbeats are missed.
+/// Guards against sending callers to an instance that was killed. No gossip names it any more, and
+/// it is left out a second later, before its heartbeats are missed.
 #[test]
-fn an_instance_of_which_nobody_tells_is_not_handed_out() {
+fn an_instance_missing_from_gossip_is_not_named_to_callers() {
     let mut members = Members::default();
     for name in ["a", "b", "c"] {
         members.record_heartbeat(0, member(name, "here", true));
@@ -228,10 +232,10 @@
     assert_eq!(names, ["a", "b"]);
 }
 
-/// This instance hears nobody any more, though its callers still reach it. It is not the others that
-/// are gone, and all that lived when it last heard are handed out.
+/// Guards against an instance that is cut off from gossip and takes all peers for gone. Callers
+/// still reach it, and it goes on to name all that were alive when it last got a message.
 #[test]
-fn an_instance_that_hears_nobody_leaves_nobody_out() {
+fn an_isolated_instance_leaves_no_peer_out() {
     let mut members = Members::default();
     for name in ["a", "b", "c"] {
         members.record_heartbeat(0, member(name, "here", true));
@@ -242,10 +246,11 @@
     assert_eq!(members.reachable().count(), 3);
 }
 
-/// An instance is killed for good, and its record stays in the store. One that starts later reads the
-/// record, hears of all others but of that one, and does not hand it out for long.
+/// Guards against naming an instance to callers that was killed and whose record stays in the
+/// store. A later one reads the record, gets gossip of all but that instance, and soon leaves it
+/// out.
 #[test]
-fn the_record_of_one_that_is_gone_is_not_believed_for_long() {
+fn the_record_of_a_killed_instance_is_not_trusted_for_long() {
     let mut members = Members::default();
     members.record_store_read(0);
     for name in ["a", "gone"] {
@@ -258,26 +263,27 @@
     assert_eq!(names, ["a"]);
 }
 
-/// An instance says that it leaves, and what it said before is still on its way through the others. It
-/// is not handed out again by the older word, whichever comes last and over whichever way.
+/// Guards against naming a leaving instance again because an older heartbeat of it arrives late
+/// through a peer or from the store.
 #[test]
-fn an_older_word_of_an_instance_changes_nothing() {
+fn an_older_heartbeat_changes_nothing() {
     let mut members = Members::default();
-    let says = |beat, ready| Member {
-        heartbeat_seq: beat,
+    let heartbeat = |heartbeat_seq, ready| Member {
+        heartbeat_seq,
         ..member("a", "here", ready)
     };
-    assert!(members.receive_heartbeat(0, &says(7, true)));
-    assert!(members.receive_heartbeat(10, &says(8, false)));
-    assert!(!members.receive_heartbeat(20, &says(7, true)));
-    members.record_heartbeat(30, says(7, true));
+    assert!(members.receive_heartbeat(0, &heartbeat(7, true)));
+    assert!(members.receive_heartbeat(10, &heartbeat(8, false)));
+    assert!(!members.receive_heartbeat(20, &heartbeat(7, true)));
+    members.record_heartbeat(30, heartbeat(7, true));
     assert_eq!(members.reachable().count(), 0);
 }
 
-/// All instances are restarted at once while upstreams fail. None knows the others yet, and if
-/// each took the whole budget of repeats they would send six times what is allowed.
+/// Guards against exceeding the retry budget when all instances restart at once while upstreams
+/// fail: none knows its peers yet, and if each took the whole budget they would send six times what
+/// is allowed.
 #[test]
-fn an_instance_that_knows_nobody_repeats_nothing() {
+fn an_instance_without_known_peers_makes_no_retries() {
     let relay = Relay::new(settings(), Rc::new(TestDialect), Clock::of_age(PROCESS_AGE));
     relay.count_first_send("desk");
     assert!(!relay.take_retry("desk"));
@@ -289,31 +295,39 @@
     assert!(relay.take_retry("desk"));
 }
 
-/// An upstream starts again under its id and counts its entries from one. Callers are served by it as
-/// soon as its entry is read; taken for the old one, it would be passed over until it had written as
-/// many entries as before. What it held is forgotten, and a late entry of its first life changes
-/// nothing.
+/// Guards against ignoring an upstream that restarts under its id and counts its entries from one,
+/// until it has written as many as before. The new incarnation is used at once, without the prompt
+/// parts that the old one held, and a late entry of the old one changes nothing.
 #[test]
 fn a_restart_under_the_same_id_is_another_incarnation() {
-    let born = |born_ms, seq, standing| UpstreamEntry {
-        started_ms: born_ms,
-        ..entry("a", seq, standing)
+    let entry_of = |started_ms, seq, state| UpstreamEntry {
+        started_ms,
+        ..entry("a", seq, state)
     };
     let mut upstreams = Upstreams::new("here", Clock::default());
-    upstreams.apply(0, ListChange::Put(born(1_000, 90, UpstreamState::Ready)));
+    upstreams.apply(
+        0,
+        ListChange::Put(entry_of(1_000, 90, UpstreamState::Ready)),
+    );
     let first = Rc::clone(upstreams.get("a").unwrap());
     first.note_cached_part(7, 13_000.0, PrefillProgress::Done, 100_000.0);
-    upstreams.apply(0, ListChange::Put(born(1_000, 91, UpstreamState::Leaving)));
+    upstreams.apply(
+        0,
+        ListChange::Put(entry_of(1_000, 91, UpstreamState::Leaving)),
+    );
     assert!(ready(&upstreams, 0).is_empty());
-    let effect = upstreams.apply(0, ListChange::Put(born(5_000, 1, UpstreamState::Ready)));
+    let effect = upstreams.apply(0, ListChange::Put(entry_of(5_000, 1, UpstreamState::Ready)));
     assert_eq!(effect, Effect::Joined);
     assert_eq!(ready(&upstreams, 0), ["a"]);
     assert!(upstreams.get("a").unwrap().cached_tokens(7) < 1.0);
-    let late = upstreams.apply(0, ListChange::Put(born(1_000, 92, UpstreamState::Leaving)));
+    let late = upstreams.apply(
+        0,
+        ListChange::Put(entry_of(1_000, 92, UpstreamState::Leaving)),
+    );
     assert_eq!(late, Effect::Unchanged);
     assert_eq!(ready(&upstreams, 0), ["a"]);
     assert!(
         !first.is_ready(),
-        "requests of its first life do not come back to it"
+        "a request of the old incarnation must not return to the new one"
     );
 }
--- a/crates/relay/tests/list_consistency.rs
+++ b/crates/relay/tests/list_consistency.rs
@@ -1,5 +1,5 @@
-//! What an instance holds of the list of upstreams is what the list said at the place up to which it has
-//! taken it in, in whatever order reads, answers and datagrams come.
+//! An instance's view of the list of upstreams equals the list as it was at the offset up to which
+//! the instance has applied it, in whatever order reads, answers of peers and datagrams arrive.
 
 mod common;
 
@@ -17,16 +17,16 @@
 use tick::{Clock, since_boot_ms};
 use view::{GossipMessage, ListChange};
 
-/// Instances, each of which tells each.
+/// Number of instances; each sends gossip to each.
 const INSTANCES: usize = 5;
 
-/// Periods of which one says all there is.
-const WHOLE_PERIODS: usize = 4;
+/// Of this many gossip periods one sends a full message.
+const FULL_MESSAGE_PERIODS: usize = 4;
 
-/// Upstreams that come and go.
+/// Number of upstream ids.
 const UPSTREAMS: usize = 4;
 
-/// The list as its store keeps it.
+/// The list as the store keeps it.
 #[derive(Default)]
 struct List {
     records: Vec<ListChange>,
@@ -34,30 +34,33 @@
 }
 
 impl List {
-    fn write(&mut self, upstream: usize, standing: Option<UpstreamState>) {
+    fn write(&mut self, upstream: usize, state: Option<UpstreamState>) {
         let id = format!("i-{upstream}");
-        let stood = self.at(self.records.len() as u64).get(&id).copied();
-        // One that leaves says so until its entry goes, and does not come back under its id.
-        let is_over = stood.is_none() && self.seqs.contains_key(&id);
-        if is_over
-            || stood == Some(UpstreamState::Leaving) && standing == Some(UpstreamState::Ready)
+        let previous = self
+            .states_before(self.records.len() as u64)
+            .get(&id)
+            .copied();
+        // An upstream that leaves stays so until its entry is removed, and its id isn't used again.
+        let is_removed = previous.is_none() && self.seqs.contains_key(&id);
+        if is_removed
+            || previous == Some(UpstreamState::Leaving) && state == Some(UpstreamState::Ready)
         {
             return;
         }
-        let change = match standing {
-            None if stood.is_none() => return,
+        let change = match state {
+            None if previous.is_none() => return,
             None => ListChange::Gone(id),
-            Some(standing) => {
+            Some(state) => {
                 let seq = self.seqs.entry(id.clone()).or_default();
                 *seq += 1;
-                ListChange::Put(entry(id, standing, *seq))
+                ListChange::Put(entry(id, state, *seq))
             }
         };
         self.records.push(change);
     }
 
-    /// Standings up to an offset.
-    fn at(&self, next: u64) -> BTreeMap<String, UpstreamState> {
+    /// The state of each listed upstream before offset `next`.
+    fn states_before(&self, next: u64) -> BTreeMap<String, UpstreamState> {
         let mut all = BTreeMap::new();
         for change in &self.records[..next as usize] {
             match change {
@@ -79,15 +82,15 @@
         all.into_values().collect()
     }
 
-    fn read(&self, from: Option<u64>) -> Reading {
+    fn read(&self, from: Option<u64>) -> PendingRead {
         let end = self.records.len() as u64;
         let Some(from) = from else {
-            return Reading::Whole(end, self.newest());
+            return PendingRead::Whole(end, self.newest());
         };
         let unread = self.records.iter().enumerate().skip(from as usize);
-        Reading::Changes(ChangesRead {
+        PendingRead::Changes(ChangesRead {
             changes: unread
-                .map(|(at, change)| (at as u64, change.clone()))
+                .map(|(offset, change)| (offset as u64, change.clone()))
                 .collect(),
             next: end,
             end,
@@ -95,13 +98,13 @@
     }
 }
 
-/// An answer of the store on its way.
-enum Reading {
+/// A response of the store that is still under way.
+enum PendingRead {
     Whole(u64, Vec<UpstreamEntry>),
     Changes(ChangesRead),
 }
 
-fn entry(id: String, standing: UpstreamState, seq: u64) -> UpstreamEntry {
+fn entry(id: String, state: UpstreamState, seq: u64) -> UpstreamEntry {
     UpstreamEntry {
         id,
         started_ms: 0,
@@ -109,7 +112,7 @@
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "here".to_owned(),
         slots: 4,
-        state: standing,
+        state,
         stage: Stage::Prefill,
         seq,
         is_spot: false,
@@ -120,11 +123,11 @@
     SocketAddr::from(([127, 0, 0, 1], 1_000 + index as u16))
 }
 
-fn instance(index: usize) -> Rc<Relay> {
-    let mut told = settings();
-    told.name = format!("entry-{index}");
-    told.peer = Some(address(index));
-    let relay = Relay::new(told, Rc::new(TestDialect), Clock::default());
+fn start_instance(index: usize) -> Rc<Relay> {
+    let mut own = settings();
+    own.name = format!("entry-{index}");
+    own.peer = Some(address(index));
+    let relay = Relay::new(own, Rc::new(TestDialect), Clock::default());
     for other in 0..INSTANCES {
         let member = Member {
             name: format!("entry-{other}"),
@@ -143,110 +146,118 @@
     relay
 }
 
-/// Instances, and what is on its way to them.
-struct World {
+/// Instances, and the messages that are still under way to them.
+struct Simulation {
     list: List,
-    all: Vec<Rc<Relay>>,
-    readings: Vec<Option<Reading>>,
-    answers: Vec<Option<(usize, Snapshot)>>,
+    instances: Vec<Rc<Relay>>,
+    pending_reads: Vec<Option<PendingRead>>,
+    pending_answers: Vec<Option<(usize, Snapshot)>>,
     datagrams: Vec<(usize, usize, GossipMessage)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             list: List::default(),
-            all: (0..INSTANCES).map(instance).collect(),
-            readings: (0..INSTANCES).map(|_| None).collect(),
-            answers: (0..INSTANCES).map(|_| None).collect(),
+            instances: (0..INSTANCES).map(start_instance).collect(),
+            pending_reads: (0..INSTANCES).map(|_| None).collect(),
+            pending_answers: (0..INSTANCES).map(|_| None).collect(),
             datagrams: Vec::new(),
         }
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Write(upstream, standing) => self.list.write(upstream, standing),
-            Step::Read(who) => {
-                let next = self.all[who].list_position.borrow().next_offset();
-                self.readings[who].get_or_insert_with(|| self.list.read(next));
+            Step::Write(upstream, state) => self.list.write(upstream, state),
+            Step::Read(instance) => {
+                let next = self.instances[instance]
+                    .list_position
+                    .borrow()
+                    .next_offset();
+                self.pending_reads[instance].get_or_insert_with(|| self.list.read(next));
             }
-            Step::TakeReading(who) => self.take_reading(who),
-            Step::Ask(who, other) => {
-                let answer = (other, self.all[other].snapshot());
-                self.answers[who].get_or_insert(answer);
+            Step::ApplyRead(instance) => self.apply_read(instance),
+            Step::QueryPeer(instance, other) => {
+                let answer = (other, self.instances[other].snapshot());
+                self.pending_answers[instance].get_or_insert(answer);
             }
-            Step::TakeAnswer(who) => {
-                if let Some((other, answer)) = self.answers[who].take() {
-                    relay::snapshot::merge(&self.all[who], &answer, address(other));
+            Step::MergeAnswer(instance) => {
+                if let Some((other, answer)) = self.pending_answers[instance].take() {
+                    relay::snapshot::merge(&self.instances[instance], &answer, address(other));
                 }
             }
-            Step::Tell(who) => {
-                // One in some datagrams says all there is; the others are left out where nothing changed.
-                let mut out = (0..WHOLE_PERIODS).map(|_| self.all[who].due_gossip());
-                let told = out
-                    .find(|told| !told.is_empty())
+            Step::SendGossip(instance) => {
+                // One period in `FULL_MESSAGE_PERIODS` sends a full message; the others send none
+                // where nothing changed.
+                let mut out =
+                    (0..FULL_MESSAGE_PERIODS).map(|_| self.instances[instance].due_gossip());
+                let messages = out
+                    .find(|messages| !messages.is_empty())
                     .unwrap_or_default()
                     .into_iter();
                 let to = |peer: SocketAddr| usize::from(peer.port() - 1_000);
-                let told = told.map(|(peer, told)| (who, to(peer), told));
-                self.datagrams.extend(told);
+                let messages = messages.map(|(peer, message)| (instance, to(peer), message));
+                self.datagrams.extend(messages);
             }
-            Step::Deliver(which) | Step::Lose(which) if self.datagrams.is_empty() => {
+            Step::Deliver(which) | Step::Drop(which) if self.datagrams.is_empty() => {
                 let _ = which;
             }
             Step::Deliver(which) => {
-                let (from, to, told) = self.datagrams.remove(which % self.datagrams.len());
-                self.all[to].receive_gossip(&told, address(from));
+                let (from, to, message) = self.datagrams.remove(which % self.datagrams.len());
+                self.instances[to].receive_gossip(&message, address(from));
             }
-            Step::Lose(which) => {
+            Step::Drop(which) => {
                 self.datagrams.remove(which % self.datagrams.len());
             }
-            Step::Cut(who) => {
-                let now_ms = self.all[who].now_ms();
-                self.all[who]
+            Step::LoseStore(instance) => {
+                let now_ms = self.instances[instance].now_ms();
+                self.instances[instance]
                     .upstreams
                     .borrow_mut()
                     .store_unreachable(now_ms);
             }
-            Step::LoseHistory(who) => {
-                self.readings[who] = None;
-                self.all[who].list_position.borrow_mut().require_full_read();
+            Step::RequireFullRead(instance) => {
+                self.pending_reads[instance] = None;
+                self.instances[instance]
+                    .list_position
+                    .borrow_mut()
+                    .require_full_read();
             }
-            Step::Restart(who) => {
-                self.all[who] = instance(who);
-                self.readings[who] = None;
-                self.answers[who] = None;
+            Step::Restart(instance) => {
+                self.instances[instance] = start_instance(instance);
+                self.pending_reads[instance] = None;
+                self.pending_answers[instance] = None;
             }
         }
     }
 
-    fn take_reading(&mut self, who: usize) {
+    fn apply_read(&mut self, instance: usize) {
         let now_ms = since_boot_ms();
-        match self.readings[who].take() {
+        match self.pending_reads[instance].take() {
             None => {}
-            Some(Reading::Whole(next, entries)) => {
-                self.all[who].take_whole_list(now_ms, next, entries);
+            Some(PendingRead::Whole(next, entries)) => {
+                self.instances[instance].take_whole_list(now_ms, next, entries);
             }
-            Some(Reading::Changes(read)) => self.all[who].take_changes(now_ms, read),
+            Some(PendingRead::Changes(read)) => self.instances[instance].take_changes(now_ms, read),
         }
     }
 
-    /// An instance that holds something else than the list said at its place.
-    fn wrong(&self) -> Option<String> {
-        self.all.iter().find_map(|relay| {
+    /// Describes an instance whose ready upstreams differ from those of the list at its offset.
+    fn inconsistency(&self) -> Option<String> {
+        self.instances.iter().find_map(|relay| {
             let next = relay.list_position.borrow().next_offset()?;
             let now_ms = relay.now_ms();
             let upstreams = relay.upstreams.borrow();
-            let doubts = upstreams.unconfirmed_entries(now_ms);
-            let is_doubted = |id: &str| doubts.iter().any(|doubt| doubt.id == id);
+            let unconfirmed = upstreams.unconfirmed_entries(now_ms);
+            let is_unconfirmed = |id: &str| unconfirmed.iter().any(|entry| entry.id == id);
             let ready = upstreams.ready("llm", now_ms).map(|each| each.id.clone());
-            let ready: BTreeSet<String> = ready.filter(|id| !is_doubted(id)).collect();
-            let said = self.list.at(next).into_iter();
-            let said = said.filter(|(_, standing)| *standing == UpstreamState::Ready);
-            let said: BTreeSet<String> = said.map(|(id, _)| id).collect();
-            (ready != said).then(|| {
+            let ready: BTreeSet<String> = ready.filter(|id| !is_unconfirmed(id)).collect();
+            let listed = self.list.states_before(next).into_iter();
+            let listed = listed.filter(|(_, state)| *state == UpstreamState::Ready);
+            let listed: BTreeSet<String> = listed.map(|(id, _)| id).collect();
+            (ready != listed).then(|| {
                 let name = relay.settings.borrow().name.clone();
-                format!("{name} at {next} holds {ready:?}, the list said {said:?}")
+                format!("{name} at offset {next} holds {ready:?}, the list has {listed:?}")
             })
         })
     }
@@ -256,36 +267,36 @@
 enum Step {
     Write(usize, Option<UpstreamState>),
     Read(usize),
-    TakeReading(usize),
-    Ask(usize, usize),
-    TakeAnswer(usize),
-    Tell(usize),
+    ApplyRead(usize),
+    QueryPeer(usize, usize),
+    MergeAnswer(usize),
+    SendGossip(usize),
     Deliver(usize),
-    Lose(usize),
-    Cut(usize),
-    LoseHistory(usize),
+    Drop(usize),
+    LoseStore(usize),
+    RequireFullRead(usize),
     Restart(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let who = 0..INSTANCES;
-    let standing = prop_oneof![
+    let instance = 0..INSTANCES;
+    let state = prop_oneof![
         4 => Just(Some(UpstreamState::Ready)),
         1 => Just(Some(UpstreamState::Leaving)),
         1 => Just(None),
     ];
     let step = prop_oneof![
-        6 => (0..UPSTREAMS, standing).prop_map(|(upstream, standing)| Step::Write(upstream, standing)),
-        4 => who.clone().prop_map(Step::Read),
-        4 => who.clone().prop_map(Step::TakeReading),
-        2 => (who.clone(), who.clone()).prop_map(|(who, other)| Step::Ask(who, other)),
-        2 => who.clone().prop_map(Step::TakeAnswer),
-        3 => who.clone().prop_map(Step::Tell),
+        6 => (0..UPSTREAMS, state).prop_map(|(upstream, state)| Step::Write(upstream, state)),
+        4 => instance.clone().prop_map(Step::Read),
+        4 => instance.clone().prop_map(Step::ApplyRead),
+        2 => (instance.clone(), instance.clone()).prop_map(|(instance, other)| Step::QueryPeer(instance, other)),
+        2 => instance.clone().prop_map(Step::MergeAnswer),
+        3 => instance.clone().prop_map(Step::SendGossip),
         9 => (0..64_usize).prop_map(Step::Deliver),
-        3 => (0..64_usize).prop_map(Step::Lose),
-        1 => who.clone().prop_map(Step::Cut),
-        1 => who.clone().prop_map(Step::LoseHistory),
-        1 => who.prop_map(Step::Restart),
+        3 => (0..64_usize).prop_map(Step::Drop),
+        1 => instance.clone().prop_map(Step::LoseStore),
+        1 => instance.clone().prop_map(Step::RequireFullRead),
+        1 => instance.prop_map(Step::Restart),
     ];
     prop::collection::vec(step, 1..200)
 }
@@ -298,66 +309,69 @@
         ..ProptestConfig::default()
     })]
 
-    /// Reads and questions are answered at one moment and taken in at a later one, datagrams come late or never,
-    /// instances are cut off, lose their place or start anew. An older answer must not bring back an upstream that
-    /// left, and none may be passed over: both would get it requests for as long as it answers.
+    /// Reads and queries are answered at one moment and applied at a later one, datagrams are
+    /// delayed or lost, and instances lose the store, need a full read or restart. An older answer
+    /// must not bring back an upstream that left, and no change may be skipped: either would send
+    /// requests to that upstream for as long as it responds.
     #[test]
-    fn an_instance_holds_what_the_list_said_at_its_place(steps in steps()) {
-        let mut world = World::new();
+    fn an_instance_holds_the_list_at_its_offset(steps in steps()) {
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.step(step);
-            let wrong = world.wrong();
-            prop_assert!(wrong.is_none(), "after {step:?}: {}", wrong.unwrap_or_default());
+            simulation.step(step);
+            let inconsistency = simulation.inconsistency();
+            prop_assert!(inconsistency.is_none(), "after {step:?}: {}", inconsistency.unwrap_or_default());
         }
     }
 }
 
-/// An instance whose place was dropped by the store asks one that is further behind than it was itself.
+/// Guards against going back in the list: an instance that needs a full read queries a peer that is
+/// further behind than itself.
 #[test]
-fn one_that_lost_its_place_does_not_go_back() {
-    let mut world = World::new();
+fn an_instance_that_needs_a_full_read_does_not_go_back() {
+    let mut simulation = Simulation::new();
     let steps = [
         Step::Write(0, Some(UpstreamState::Ready)),
         Step::Read(0),
-        Step::TakeReading(0),
+        Step::ApplyRead(0),
         Step::Read(1),
-        Step::TakeReading(1),
+        Step::ApplyRead(1),
         Step::Write(0, Some(UpstreamState::Ready)),
         Step::Write(0, None),
         Step::Read(0),
-        Step::TakeReading(0),
-        Step::LoseHistory(0),
-        Step::Ask(0, 1),
-        Step::TakeAnswer(0),
+        Step::ApplyRead(0),
+        Step::RequireFullRead(0),
+        Step::QueryPeer(0, 1),
+        Step::MergeAnswer(0),
     ];
     for step in &steps {
-        world.step(step);
+        simulation.step(step);
     }
-    assert_eq!(world.all[0].upstreams.borrow().len(), 0);
+    assert_eq!(simulation.instances[0].upstreams.borrow().len(), 0);
 }
 
-/// An instance that has read an empty list, or whose first reading is on its way, asks one whose place was dropped. What
-/// that one holds still has a place: without it the answer would be taken for what the list said at another one.
+/// Guards against an answer without an offset, which would be taken for the list at another offset.
+/// An instance that has read an empty list, and one whose first read is under way, query a peer
+/// that needs a full read; the entries that the peer holds still belong to an offset.
 #[test]
-fn one_that_lost_its_place_still_tells_where_it_stood() {
-    let mut world = World::new();
+fn an_instance_that_needs_a_full_read_still_reports_its_offset() {
+    let mut simulation = Simulation::new();
     let steps = [
         Step::Read(0),
-        Step::TakeReading(0),
+        Step::ApplyRead(0),
         Step::Write(0, Some(UpstreamState::Ready)),
         Step::Read(2),
         Step::Write(0, Some(UpstreamState::Leaving)),
         Step::Read(1),
-        Step::TakeReading(1),
-        Step::LoseHistory(1),
-        Step::Ask(0, 1),
-        Step::TakeAnswer(0),
-        Step::Ask(2, 1),
-        Step::TakeAnswer(2),
-        Step::TakeReading(2),
+        Step::ApplyRead(1),
+        Step::RequireFullRead(1),
+        Step::QueryPeer(0, 1),
+        Step::MergeAnswer(0),
+        Step::QueryPeer(2, 1),
+        Step::MergeAnswer(2),
+        Step::ApplyRead(2),
     ];
     for step in &steps {
-        world.step(step);
-        assert_eq!(world.wrong(), None, "{step:?}");
+        simulation.step(step);
+        assert_eq!(simulation.inconsistency(), None, "{step:?}");
     }
 }
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Instances that tell each other what they know.
+//! State that instances exchange: snapshots for a peer that starts, outstanding load and changes of
+//! the list.
 
 mod common;
 
@@ -16,11 +17,10 @@
 use tokio::sync::watch;
 use view::{GossipMessage, GossipedChange, InstanceKey, ListChange, MessageKind};
 
-/// Callers of an instance that starts while the store is away are served: it asks one that has
-/// been running, and takes over its configuration and upstreams. Before, it refused them all
-/// until the store was back.
+/// Guards against an instance that starts during a store outage and refuses all callers until the
+/// store is back: it queries a peer and takes over its configuration and upstreams.
 #[actix_rt::test]
-async fn an_instance_that_starts_without_the_store_asks_another() {
+async fn an_instance_that_starts_without_the_store_queries_a_peer() {
     let desk = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let old = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     old.relay
@@ -37,9 +37,9 @@
         phases,
     ));
 
-    let mut told = settings();
-    told.seeds = vec![peer];
-    let new = TestInstance::unconfigured(told);
+    let mut own = settings();
+    own.seeds = vec![peer];
+    let new = TestInstance::unconfigured(own);
     let (status, _) = new.fetch(request(Method::GET, "/reads/x", "1")).await;
     assert_eq!(status, 503);
     query_peer(&new.relay).await;
@@ -49,15 +49,15 @@
 }
 
 fn relay(name: &str) -> Rc<Relay> {
-    let mut told = settings();
-    name.clone_into(&mut told.name);
-    Relay::new(told, Rc::new(TestDialect), Clock::default())
+    let mut own = settings();
+    name.clone_into(&mut own.name);
+    Relay::new(own, Rc::new(TestDialect), Clock::default())
 }
 
-/// Two instances send to one engine. What one has outstanding there counts in the other's view,
-/// until it says that it has nothing any more.
+/// Two instances send to one engine. What one of them has outstanding there counts in the other's
+/// view until gossip says that it is done.
 #[actix_rt::test]
-async fn the_load_of_others_is_seen() {
+async fn the_load_from_peers_is_counted() {
     let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let (one, two) = (relay("a"), relay("b"));
     let sockets = [
@@ -89,7 +89,7 @@
         Rc::clone(&sockets[0]),
     ));
     actix_rt::spawn(gossip::receive(Rc::clone(&two), Rc::clone(&sockets[1])));
-    let seen = |relay: &Relay| {
+    let queued_tokens = |relay: &Relay| {
         let upstreams = relay.upstreams.borrow();
         let now_ms = relay.now_ms();
         upstreams
@@ -104,13 +104,13 @@
         ..Work::default()
     };
     let guard = InFlight::begin(&upstream, one.now_ms(), work);
-    assert!(wait_until(|| (seen(&two) - 5_000.0).abs() < 1.0).await);
+    assert!(wait_until(|| (queued_tokens(&two) - 5_000.0).abs() < 1.0).await);
     drop(guard);
-    assert!(wait_until(|| seen(&two) < 1.0).await);
+    assert!(wait_until(|| queued_tokens(&two) < 1.0).await);
 }
 
-/// One read of this instance fails while its list of upstreams is up to date; the instance that it
-/// asks has an older list, without the upstream that has just joined. It must stay in use.
+/// Guards against dropping an upstream that has just joined. A read fails while this instance's
+/// list is up to date, and the peer that it queries has an older list without that upstream.
 #[actix_rt::test]
 async fn an_older_list_does_not_replace_a_newer_one() {
     let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
@@ -124,28 +124,28 @@
         .list_position
         .borrow_mut()
         .record_read(since_boot_ms(), 1, Some(1));
-    let mut told = relay.snapshot();
-    told.upstreams.clear();
-    told.list_age_ms = Some(1_000);
-    relay::snapshot::merge(&relay, &told, "127.0.0.1:1".parse().unwrap());
+    let mut older = relay.snapshot();
+    older.upstreams.clear();
+    older.list_age_ms = Some(1_000);
+    relay::snapshot::merge(&relay, &older, "127.0.0.1:1".parse().unwrap());
     assert_eq!(relay.upstreams.borrow().len(), 1);
 }
 
-fn told(sender: &str, change: ListChange, doubt_ms: u32) -> GossipMessage {
-    let news = GossipedChange {
+fn gossip_of_change(sender: &str, change: ListChange, unconfirmed_ms: u32) -> GossipMessage {
+    let gossiped = GossipedChange {
         previous_offset: 1,
         offset: 2,
         change,
-        unconfirmed_ms: doubt_ms,
+        unconfirmed_ms,
     };
     GossipMessage {
-        list_changes: vec![news],
+        list_changes: vec![gossiped],
         ..GossipMessage::new(InstanceKey::of(sender), MessageKind::Sum)
     }
 }
 
-/// A relay that has read a list with one engine.
-fn knowing_one() -> (StubUpstream, Rc<Relay>) {
+/// An instance that has read a list with one engine.
+fn relay_with_engine() -> (StubUpstream, Rc<Relay>) {
     let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let relay = relay("a");
     relay.apply_change(
@@ -164,38 +164,48 @@
     relay.upstreams.borrow().ready("llm", now_ms).count()
 }
 
-/// This instance is cut off from the store while another one reads there that an upstream has gone. It was
-/// told so by one that reaches the store, where nothing lapsed, and sends nothing there any more; by its
-/// own doubt it would go on for seconds.
+/// Guards against using a removed upstream for seconds in an instance that can't reach the store. A
+/// peer that does reach it gossips the removal as certain, so the entry isn't kept as unconfirmed
+/// here.
 #[actix_rt::test]
-async fn what_a_reader_saw_go_is_gone_for_one_that_is_cut_off() {
-    let (_engine, relay) = knowing_one();
+async fn a_removal_read_by_a_peer_counts_without_the_store() {
+    let (_engine, relay) = relay_with_engine();
     let now_ms = relay.now_ms();
     relay.upstreams.borrow_mut().store_unreachable(now_ms);
     let gone = ListChange::Gone("one".to_owned());
-    relay.receive_gossip(&told("b", gone, 0), "127.0.0.1:1".parse().unwrap());
+    relay.receive_gossip(
+        &gossip_of_change("b", gone, 0),
+        "127.0.0.1:1".parse().unwrap(),
+    );
     assert_eq!(ready(&relay), 0);
 }
 
-/// The store was away for all, and entries lapsed with it. Who hears of it from the reader doubts as well,
-/// and keeps the upstream for a while; else nobody would be left to serve.
+/// Guards against dropping every upstream after an outage of the store for all instances. The
+/// reader gossips a removal as unconfirmed, so the entry may only have lapsed and stays in use for
+/// a while.
 #[actix_rt::test]
-async fn what_may_have_lapsed_for_all_is_kept() {
-    let (_engine, relay) = knowing_one();
+async fn an_entry_that_may_have_lapsed_for_all_is_kept() {
+    let (_engine, relay) = relay_with_engine();
     let now_ms = relay.now_ms();
     relay.upstreams.borrow_mut().store_unreachable(now_ms);
     let gone = ListChange::Gone("one".to_owned());
-    relay.receive_gossip(&told("b", gone, 2_000), "127.0.0.1:1".parse().unwrap());
+    relay.receive_gossip(
+        &gossip_of_change("b", gone, 2_000),
+        "127.0.0.1:1".parse().unwrap(),
+    );
     assert_eq!(ready(&relay), 1);
 }
 
-/// The store turned one instance away for some seconds and served the others. On its return that one is the
-/// first to read that an upstream has gone, and doubts it. The others know that nothing lapsed meanwhile, and
-/// send nothing there from now on; with the reader's doubt they would go on past the bound.
+/// Guards against using a removed upstream past the bound because one instance lost the store for
+/// some seconds. It is the first to read the removal and holds it as unconfirmed; its peers reached
+/// the store all along, know that nothing lapsed, and drop the upstream at once.
 #[actix_rt::test]
-async fn the_doubt_of_one_that_was_turned_away_is_not_shared() {
-    let (_engine, relay) = knowing_one();
+async fn a_removal_is_certain_where_the_store_was_reachable() {
+    let (_engine, relay) = relay_with_engine();
     let gone = ListChange::Gone("one".to_owned());
-    relay.receive_gossip(&told("b", gone, 2_200), "127.0.0.1:1".parse().unwrap());
+    relay.receive_gossip(
+        &gossip_of_change("b", gone, 2_200),
+        "127.0.0.1:1".parse().unwrap(),
+    );
     assert_eq!(ready(&relay), 0);
 }
--- a/crates/relay/tests/unconfirmed_entries.rs
+++ b/crates/relay/tests/unconfirmed_entries.rs
@@ -1,4 +1,4 @@
-//! Upstreams whose entries go while instances that are cut off from the store ask each other.
+//! Upstreams whose entries are removed while instances that can't reach the store query each other.
 
 mod common;
 
@@ -12,17 +12,17 @@
 use tick::{Clock, since_boot_ms};
 use view::{GossipMessage, GossipedChange, InstanceKey, ListChange, MessageKind};
 
-/// Doubt of the reader that tells of an entry that went, in ms.
-const DOUBT_MS: u32 = 150;
+/// How long the reader that gossips the removal leaves the entry unconfirmed, in ms.
+const UNCONFIRMED_MS: u32 = 150;
 
 fn peer() -> SocketAddr {
     "127.0.0.1:1".parse().unwrap()
 }
 
 fn relay(name: &str) -> Rc<Relay> {
-    let mut told = settings();
-    name.clone_into(&mut told.name);
-    Relay::new(told, Rc::new(TestDialect), Clock::default())
+    let mut own = settings();
+    name.clone_into(&mut own.name);
+    Relay::new(own, Rc::new(TestDialect), Clock::default())
 }
 
 fn entry(seq: u64) -> UpstreamEntry {
@@ -40,8 +40,8 @@
     }
 }
 
-/// A relay that has read a list with one engine, whose entry stands at offset 0.
-fn knowing_one(name: &str) -> Rc<Relay> {
+/// An instance that has read a list with one engine, whose entry is at offset 0.
+fn relay_with_engine(name: &str) -> Rc<Relay> {
     let relay = relay(name);
     relay.apply_change(ListChange::Put(entry(1)), Origin::Read);
     relay
@@ -51,39 +51,41 @@
     relay
 }
 
-/// The engine's entry goes; its reader could not reach the store shortly before, and neither could `relay`.
-fn lapses(relay: &Relay) {
+/// The engine's entry is removed; neither its reader nor `relay` could reach the store shortly
+/// before, so the entry may have lapsed.
+fn entry_lapses(relay: &Relay) {
     relay
         .upstreams
         .borrow_mut()
         .store_unreachable(relay.now_ms());
-    hears_that_it_went(relay, DOUBT_MS);
+    receive_removal(relay, UNCONFIRMED_MS);
 }
 
-fn hears_that_it_went(relay: &Relay, doubt_ms: u32) {
-    let news = GossipedChange {
+fn receive_removal(relay: &Relay, unconfirmed_ms: u32) {
+    let change = GossipedChange {
         previous_offset: 1,
         offset: 2,
         change: ListChange::Gone("one".to_owned()),
-        unconfirmed_ms: doubt_ms,
+        unconfirmed_ms,
     };
-    let told = GossipMessage {
-        list_changes: vec![news],
+    let message = GossipMessage {
+        list_changes: vec![change],
         ..GossipMessage::new(InstanceKey::of("reader"), MessageKind::Sum)
     };
-    relay.receive_gossip(&told, peer());
+    relay.receive_gossip(&message, peer());
 }
 
-/// One asks the other, uses the engine as long as that one doubts, and no longer.
-async fn asks_and_doubts(asking: &Relay, asked: &Relay) {
-    relay::snapshot::merge(asking, &asked.snapshot(), peer());
-    assert_eq!(ready(asking), 1, "it may have lapsed with the store");
-    doubt_ends().await;
-    assert_eq!(ready(asking), 0);
+/// `querying` takes over the answer of `queried`, uses the engine while its entry is unconfirmed
+/// there, and no longer.
+async fn assert_used_while_unconfirmed(querying: &Relay, queried: &Relay) {
+    relay::snapshot::merge(querying, &queried.snapshot(), peer());
+    assert_eq!(ready(querying), 1, "it may have lapsed with the store");
+    unconfirmed_time_ends().await;
+    assert_eq!(ready(querying), 0);
 }
 
-async fn doubt_ends() {
-    actix_rt::time::sleep(Duration::from_millis(u64::from(DOUBT_MS) + 30)).await;
+async fn unconfirmed_time_ends() {
+    actix_rt::time::sleep(Duration::from_millis(u64::from(UNCONFIRMED_MS) + 30)).await;
 }
 
 fn ready(relay: &Relay) -> usize {
@@ -91,67 +93,62 @@
     relay.upstreams.borrow().ready("llm", now_ms).count()
 }
 
-/// Callers' questions reach an engine three seconds after it left. Two instances were cut off together, and an
-/// engine's entry goes in that time: both doubt for a while that it has left. Then one asks the other, which
-/// still names the engine, and takes that for an entry that is back. Nothing is left then that would end the doubt.
-///
-/// What settled it, at one of three instances that were cut off until 6.30 s (the entry went at 6.22 s):
-///
-/// ```text
-/// 6.347  upstream's entry lapsed with the store  origin=Read  list_next=21  standing=Ready
-/// 6.654  asked another instance  upstreams=22
-/// 9.023  prompt read  (by that engine; no line in between says that it left)
-/// ```
+/// Guards against an answer that confirms an entry which its sender holds as unconfirmed. Two
+/// instances lose the store together, and an engine's entry is removed meanwhile. One queries the
+/// other, which still names the engine; taken for an entry that is back, it would stay in use for
+/// good, and callers' requests would reach an engine that left seconds ago.
 #[actix_rt::test]
-async fn an_answer_of_one_that_doubts_does_not_end_the_doubt() {
-    let (asking, asked) = (knowing_one("a"), knowing_one("b"));
-    lapses(&asking);
-    lapses(&asked);
-    asks_and_doubts(&asking, &asked).await;
+async fn an_unconfirmed_entry_in_an_answer_confirms_nothing() {
+    let (querying, queried) = (relay_with_engine("a"), relay_with_engine("b"));
+    entry_lapses(&querying);
+    entry_lapses(&queried);
+    assert_used_while_unconfirmed(&querying, &queried).await;
 }
 
-/// An instance starts, or missed a change, and takes the whole list of one that doubts an entry. It has no
-/// record left to read that says that the engine went, and must end the doubt when the other one does.
+/// Guards against losing the unconfirmed state with a whole list. An instance that starts, or
+/// missed a change, takes over the list of a peer; it has no removal left to read, so the entry
+/// must end when the peer's does.
 #[actix_rt::test]
-async fn a_doubt_is_handed_on_with_the_list() {
-    let (asking, asked) = (relay("a"), knowing_one("b"));
-    lapses(&asked);
-    asks_and_doubts(&asking, &asked).await;
+async fn an_unconfirmed_entry_stays_so_in_a_list_of_a_peer() {
+    let (querying, queried) = (relay("a"), relay_with_engine("b"));
+    entry_lapses(&queried);
+    assert_used_while_unconfirmed(&querying, &queried).await;
 }
 
-/// The doubt is over, and nobody has read the store since at the instance that is asked: others read for it. It
-/// sends the engine nothing any more, and must not name it to those that ask.
+/// Guards against naming an entry whose unconfirmed time is over. The instance that is queried
+/// hasn't read the store since, as others read for it; it no longer uses the engine and must not
+/// name it.
 #[actix_rt::test]
-async fn an_entry_that_lapsed_is_not_handed_on() {
-    let (asking, asked) = (relay("a"), knowing_one("b"));
-    lapses(&asked);
-    doubt_ends().await;
-    assert_eq!(ready(&asked), 0);
-    relay::snapshot::merge(&asking, &asked.snapshot(), peer());
-    assert_eq!(ready(&asking), 0);
+async fn a_lapsed_entry_is_not_named_to_peers() {
+    let (querying, queried) = (relay("a"), relay_with_engine("b"));
+    entry_lapses(&queried);
+    unconfirmed_time_ends().await;
+    assert_eq!(ready(&queried), 0);
+    relay::snapshot::merge(&querying, &queried.snapshot(), peer());
+    assert_eq!(ready(&querying), 0);
 }
 
-/// A call of an instance fails, and it asks another one, which has not yet taken in that an engine went. Its answer
-/// comes after this one has, and names the engine with a later entry than this one was ever told of. Taken
-/// for one that is back, the engine would get questions for as long as it answers.
+/// Guards against an older answer that brings a removed engine back. The peer hasn't applied the
+/// removal yet, and its answer arrives after this instance has, with a later entry than this one
+/// ever got. Taken for an engine that is back, it would get requests for as long as it responds.
 #[actix_rt::test]
-async fn an_older_answer_does_not_bring_back_what_went() {
-    let (asking, asked) = (knowing_one("a"), knowing_one("b"));
-    asked.apply_change(ListChange::Put(entry(7)), Origin::Read);
-    let answer = asked.snapshot();
-    hears_that_it_went(&asking, 0);
-    relay::snapshot::merge(&asking, &answer, peer());
-    assert_eq!(ready(&asking), 0);
+async fn an_older_answer_does_not_bring_back_a_removed_entry() {
+    let (querying, queried) = (relay_with_engine("a"), relay_with_engine("b"));
+    queried.apply_change(ListChange::Put(entry(7)), Origin::Read);
+    let answer = queried.snapshot();
+    receive_removal(&querying, 0);
+    relay::snapshot::merge(&querying, &answer, peer());
+    assert_eq!(ready(&querying), 0);
 }
 
-/// The same, while this instance doubts whether the entry has only lapsed with the store: an answer from before says
-/// nothing of that, and must not end the doubt.
+/// The same while the entry is unconfirmed here: an answer from before the removal confirms
+/// nothing.
 #[actix_rt::test]
-async fn an_older_answer_does_not_end_a_doubt() {
-    let (asking, asked) = (knowing_one("a"), knowing_one("b"));
-    let answer = asked.snapshot();
-    lapses(&asking);
-    relay::snapshot::merge(&asking, &answer, peer());
-    doubt_ends().await;
-    assert_eq!(ready(&asking), 0);
+async fn an_older_answer_does_not_confirm_an_entry() {
+    let (querying, queried) = (relay_with_engine("a"), relay_with_engine("b"));
+    let answer = queried.snapshot();
+    entry_lapses(&querying);
+    relay::snapshot::merge(&querying, &answer, peer());
+    unconfirmed_time_ends().await;
+    assert_eq!(ready(&querying), 0);
 }
