--- a/crates/relay/tests/rate_limits.rs
+++ b/crates/relay/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take from all instances together.
+//! Upstreams that announce how many requests a second they accept from all instances together.
 
 mod common;
 
@@ -7,35 +7,37 @@
 use http_body_util::Full;
 use relay::upstream::{RateLimit, Stage, UpstreamEntry};
 
-/// So few requests a second that no test lasts until the next one.
-const HARDLY_ANY: &str = "x-limit: 0.001\r\n";
+/// A limit so low that no second request is due within a test.
+const VERY_LOW_LIMIT: &str = "x-limit: 0.001\r\n";
 
-/// Requests of a test.
+/// Requests that a test sends to each instance.
 const REQUESTS: usize = 40;
 
-/// Those that may have reached a limited upstream: the one that learned of it.
-const LEARNED_BY: usize = 1;
+/// Requests that may reach a limited upstream: the one whose response announces the limit.
+const REQUESTS_TO_LEARN: usize = 1;
 
 const EVENTS: &str = "id: 1\ndata: 1\n\n";
 
-/// Whether a prompt is to be read apart.
-fn is_read(received: &ReceivedRequest) -> bool {
+fn is_prefill(received: &ReceivedRequest) -> bool {
     received.header("x-step") == Some("prefill")
 }
 
-fn answers(headers: &'static str) -> StubUpstream {
+fn upstream_with_headers(headers: &'static str) -> StubUpstream {
     StubUpstream::start(move |received| {
-        let body = if is_read(received) { "kv-1" } else { EVENTS };
+        let body = if is_prefill(received) { "kv-1" } else { EVENTS };
         received.response("200 OK", headers, body)
     })
 }
 
-/// Two upstreams of a service, of which the first is nearer and limited.
+/// Two upstreams of a service, of which the nearer one is limited.
 fn limited_and_free(
     service: &str,
     stage: Stage,
 ) -> (StubUpstream, StubUpstream, Vec<UpstreamEntry>) {
-    let (limited, free) = (answers(HARDLY_ANY), answers(""));
+    let (limited, free) = (
+        upstream_with_headers(VERY_LOW_LIMIT),
+        upstream_with_headers(""),
+    );
     let near = limited.entry("limited", service, stage);
     let far = UpstreamEntry {
         zone: "there".to_owned(),
@@ -44,90 +46,99 @@
     (limited, free, vec![near, far])
 }
 
-fn read(id: usize) -> Request<Full<bytes::Bytes>> {
+fn read_request(id: usize) -> Request<Full<bytes::Bytes>> {
     request(Method::GET, "/reads/x", &id.to_string())
 }
 
-fn generation(id: usize, tokens: usize) -> Request<Full<bytes::Bytes>> {
+fn generation_request(id: usize, tokens: usize) -> Request<Full<bytes::Bytes>> {
     let mut req = request(Method::POST, "/once/x", &id.to_string());
     let prompt = HeaderValue::from_str(&format!("{id}:{tokens}")).expect("a valid value");
     req.headers_mut().insert("x-prompt", prompt);
     req
 }
 
-/// Asks one after the other, and gives how many were served.
-async fn ask_all(
+/// Sends the requests one after the other and returns how many were served.
+async fn send_all(
     instance: &TestInstance,
-    req: impl Fn(usize) -> Request<Full<bytes::Bytes>>,
+    make_request: impl Fn(usize) -> Request<Full<bytes::Bytes>>,
 ) -> usize {
     let mut served = 0;
     for id in 0..REQUESTS {
-        let (status, _) = instance.fetch(req(id)).await;
+        let (status, _) = instance.fetch(make_request(id)).await;
         assert!([200, 503].contains(&status), "{status}");
         served += usize::from(status == 200);
     }
     served
 }
 
-/// Guards against calls beyond what a service takes that names a limit.
+/// Guards against calls to a service beyond the limit that it announced.
 #[actix_rt::test]
-async fn a_service_that_names_a_limit_gets_no_more_calls() {
+async fn a_limited_service_gets_no_more_calls() {
     let (limited, free, entries) = limited_and_free("desk", Stage::Whole);
     let instance = TestInstance::start(entries);
-    assert_eq!(ask_all(&instance, read).await, REQUESTS);
-    assert_eq!(limited.count(), LEARNED_BY);
-    assert_eq!(free.count(), REQUESTS - LEARNED_BY);
+    assert_eq!(send_all(&instance, read_request).await, REQUESTS);
+    assert_eq!(limited.count(), REQUESTS_TO_LEARN);
+    assert_eq!(free.count(), REQUESTS - REQUESTS_TO_LEARN);
 }
 
-/// Guards against prompts that are read at an engine beyond the limit that it names.
+/// Guards against prefill at an engine beyond the limit that it announced.
 #[actix_rt::test]
-async fn an_engine_that_names_a_limit_reads_no_more_prompts() {
+async fn a_limited_engine_gets_no_more_prefills() {
     let (limited, free, mut entries) = limited_and_free("llm", Stage::Prefill);
-    let maker = answers("");
-    entries.push(maker.entry("maker", "llm", Stage::Decode));
+    let decode_engine = upstream_with_headers("");
+    entries.push(decode_engine.entry("decode", "llm", Stage::Decode));
     let instance = TestInstance::start(entries);
     assert_eq!(
-        ask_all(&instance, |id| generation(id, 17_000)).await,
+        send_all(&instance, |id| generation_request(id, 17_000)).await,
         REQUESTS
     );
-    let read_there = limited
+    let prefills_at_limited = limited
         .received
         .borrow()
         .iter()
-        .filter(|received| is_read(received))
+        .filter(|received| is_prefill(received))
         .count();
-    assert_eq!(read_there, LEARNED_BY);
-    assert!(free.count() > 0, "prompts are still read apart");
+    assert_eq!(prefills_at_limited, REQUESTS_TO_LEARN);
+    assert!(free.count() > 0, "prefill still goes to a separate engine");
 }
 
-/// Guards against a limit that each instance finds out and keeps for itself.
+/// Guards against a limit that only the instance respects to which it was announced.
 #[actix_rt::test]
-async fn a_limit_that_one_instance_was_told_binds_the_others() {
+async fn a_limit_announced_to_one_instance_binds_its_peers() {
     let (limited, _free, entries) = limited_and_free("llm", Stage::Decode);
     let one = TestInstance::start(entries.clone());
-    assert_eq!(ask_all(&one, |id| generation(id, 50)).await, REQUESTS);
+    assert_eq!(
+        send_all(&one, |id| generation_request(id, 50)).await,
+        REQUESTS
+    );
     let before = limited.count();
     let other = TestInstance::start(entries);
     deliver_gossip(&one.relay, &other.relay);
-    assert_eq!(ask_all(&other, |id| generation(id, 50)).await, REQUESTS);
-    assert_eq!((before, limited.count()), (LEARNED_BY, LEARNED_BY));
+    assert_eq!(
+        send_all(&other, |id| generation_request(id, 50)).await,
+        REQUESTS
+    );
+    assert_eq!(
+        (before, limited.count()),
+        (REQUESTS_TO_LEARN, REQUESTS_TO_LEARN)
+    );
 }
 
-/// Guards against callers who wait where all upstreams of a service have as much as they take.
+/// Guards against callers that wait while all upstreams of a service are at their limits.
 #[actix_rt::test]
-async fn what_no_upstream_takes_is_refused_at_once_and_unrun() {
-    let limited = answers(HARDLY_ANY);
+async fn a_request_that_no_upstream_accepts_is_refused_at_once() {
+    let limited = upstream_with_headers(VERY_LOW_LIMIT);
     let instance = TestInstance::start(vec![limited.entry("limited", "desk", Stage::Whole)]);
-    assert_eq!(instance.fetch(read(0)).await.0, 200);
-    let refused = instance.send(read(1)).await.expect("an answer");
+    assert_eq!(instance.fetch(read_request(0)).await.0, 200);
+    let refused = instance.send(read_request(1)).await.expect("an answer");
     assert_eq!(refused.status(), 503);
     assert!(refused.headers().contains_key("retry-after"));
-    assert_eq!(limited.count(), LEARNED_BY);
+    assert_eq!(limited.count(), REQUESTS_TO_LEARN);
 }
 
-/// Guards against a request that goes to a limited upstream a second time, after another one failed it.
+/// Guards against a retry that goes to a limited upstream after another one failed the request.
 #[actix_rt::test]
-async fn a_repeat_goes_to_no_limited_upstream() {
+async fn a_retry_goes_to_no_limited_upstream() {
     let (limited, _, entries) = limited_and_free("desk", Stage::Whole);
     let fails =
         StubUpstream::start(|received| received.response("500 Internal Server Error", "", ""));
@@ -137,15 +148,16 @@
     };
     let instance = TestInstance::start(vec![entries[0].clone(), failing]);
     for id in 0..REQUESTS {
-        instance.fetch(read(id)).await;
+        instance.fetch(read_request(id)).await;
     }
     assert!(fails.count() > 0);
-    assert_eq!(limited.count(), LEARNED_BY);
+    assert_eq!(limited.count(), REQUESTS_TO_LEARN);
 }
 
-/// Guards against a limit that is taken for lifted, since an answer that was begun before it was named comes late.
+/// Guards against lifting a limit because of a response that began before the limit was announced
+/// and arrives late.
 #[test]
-fn an_answer_without_a_limit_lifts_one_that_was_not_named_just_now() {
+fn a_response_without_a_limit_lifts_one_that_is_not_recent() {
     let mut limit = RateLimit::default();
     assert!(limit.observe(1_000, 50_000, Some(4.0)).is_changed);
     assert!(!limit.observe(1_400, 50_400, None).is_changed);
@@ -154,16 +166,16 @@
     assert_eq!(limit.per_s(2_600), None);
 }
 
-/// Guards against a limit that comes back by an older word of another instance, and against one that stays for good as
-/// nobody sends there any more.
+/// Guards against a limit that older gossip restores, and against one that is kept for good because
+/// no requests are sent there any more.
 #[test]
-fn the_latest_word_on_a_limit_counts_and_is_forgotten_in_time() {
+fn the_latest_limit_counts_and_expires() {
     let mut limit = RateLimit::default();
     assert!(limit.apply_from_peer(1_000, 50_000, Some(4.0)));
     assert!(limit.apply_from_peer(1_100, 50_200, None));
     assert!(!limit.apply_from_peer(1_200, 50_100, Some(4.0)));
     assert_eq!(limit.per_s(1_200), None);
-    // Its own eyes go before a time of day that is ahead of its own.
+    // The instance's own observation overrides gossip whose sender's clock is ahead.
     let own = limit.observe(1_300, 40_000, Some(3.0));
     assert_eq!(own.gossip_as_of_ms, Some(50_201));
     assert_eq!(limit.per_s(1_300), Some(3.0));
--- a/crates/relay/tests/retry.rs
+++ b/crates/relay/tests/retry.rs
@@ -1,34 +1,35 @@
-//! What follows a send without an answer, for every combination of what is known.
+//! The decision after a send without an answer, for every combination of its inputs.
 
 use relay::answer::Reason;
 use relay::retry::{RetryContext, RetryDecision, SendFailure, decide};
 
-/// An upstream dies under many requests at once. Whatever was known of a request, 503 goes only
-/// to one of which no send may have run, and only an idempotent one is sent again after a send
+/// Guards against two broken promises when an upstream fails under many requests: 503 goes only to
+/// a request of which no send may have run, and only an idempotent request is retried after a send
 /// that may have run.
 #[test]
 fn every_combination_keeps_both_promises() {
-    for outcome in [SendFailure::Unsent, SendFailure::NotRun, SendFailure::Lost] {
+    for failure in [SendFailure::Unsent, SendFailure::NotRun, SendFailure::Lost] {
         for case in 0..40_u32 {
-            let (is_repeatable, earlier, may) = (case & 1 > 0, case & 2 > 0, case & 4 > 0);
+            let (is_repeatable, may_have_run_before, retry_allowed) =
+                (case & 1 > 0, case & 2 > 0, case & 4 > 0);
             let unreached = case / 8;
-            let may_have_run = earlier || outcome == SendFailure::Lost;
-            let facts = RetryContext {
+            let may_have_run = may_have_run_before || failure == SendFailure::Lost;
+            let context = RetryContext {
                 is_repeatable,
                 may_have_run,
                 unreached,
             };
-            match decide(outcome, &facts, || may) {
-                RetryDecision::Retry if outcome == SendFailure::Lost => {
-                    assert!(is_repeatable && may);
+            match decide(failure, &context, || retry_allowed) {
+                RetryDecision::Retry if failure == SendFailure::Lost => {
+                    assert!(is_repeatable && retry_allowed);
                 }
-                RetryDecision::Retry if outcome == SendFailure::NotRun => assert!(may),
+                RetryDecision::Retry if failure == SendFailure::NotRun => assert!(retry_allowed),
                 RetryDecision::Retry => assert!(unreached < 3),
-                RetryDecision::Refuse(refused) if refused.reason.status() == 503 => {
-                    assert!(!may_have_run, "{outcome:?} {facts:?}");
-                    assert!(refused.retry_after_ms.is_some());
+                RetryDecision::Refuse(refusal) if refusal.reason.status() == 503 => {
+                    assert!(!may_have_run, "{failure:?} {context:?}");
+                    assert!(refusal.retry_after_ms.is_some());
                 }
-                RetryDecision::Refuse(refused) => assert_eq!(refused.reason, Reason::Lost),
+                RetryDecision::Refuse(refusal) => assert_eq!(refusal.reason, Reason::Lost),
             }
         }
     }
