--- a/crates/relay/tests/poison_requests.rs
+++ b/crates/relay/tests/poison_requests.rs
@@ -1,7 +1,7 @@
-//! A request under which every upstream ends that begins to run it.
+//! Poison requests: requests under which every upstream crashes that begins to run them.
 //!
-//! It comes again and again, each time under another attempt's id and at whichever instance its caller
-//! reaches. What is asked stays the same.
+//! The caller sends such a request again and again, under a new attempt id each time and to any
+//! instance; what the request asks for stays the same.
 
 mod common;
 
@@ -23,24 +23,24 @@
 /// Body of the request that no upstream survives.
 const POISON: &str = "poison";
 
-/// Upstreams that may end under one request before none runs it any more.
-const MOST_ENDED: usize = 3;
+/// The most upstreams that may crash under one request.
+const MAX_CRASHES: usize = 3;
 
-fn poison(path: &str, attempt: usize) -> Request<Full<Bytes>> {
+fn poison_request(path: &str, attempt: usize) -> Request<Full<Bytes>> {
     let mut req = request(Method::POST, path, &attempt.to_string());
     *req.body_mut() = Full::from(POISON);
     req
 }
 
-fn poisoned_question(attempt: usize) -> Request<Full<Bytes>> {
-    let mut req = poison("/grades/1", attempt);
+fn poison_generation(attempt: usize) -> Request<Full<Bytes>> {
+    let mut req = poison_request("/grades/1", attempt);
     let prompt = HeaderValue::from_static("7:50,8:40");
     req.headers_mut().insert("x-prompt", prompt);
     req
 }
 
-/// Answers all but the one request, in whose answer it ends.
-fn fragile(received: &ReceivedRequest) -> Vec<Action> {
+/// Serves all requests but the poison request, in whose response the process ends.
+fn crash_on_poison(received: &ReceivedRequest) -> Vec<Action> {
     let events = "id: 1\ndata: 1\n\n";
     let head = "content-type: text/event-stream\r\n";
     if received.body == POISON {
@@ -52,7 +52,9 @@
 }
 
 fn fleet(size: usize) -> Vec<StubUpstream> {
-    (0..size).map(|_| StubUpstream::start(fragile)).collect()
+    (0..size)
+        .map(|_| StubUpstream::start(crash_on_poison))
+        .collect()
 }
 
 fn entries(
@@ -60,117 +62,131 @@
     service: &str,
     stage: Stage,
 ) -> Vec<relay::upstream::UpstreamEntry> {
-    let entry = |(at, each): (usize, &StubUpstream)| each.entry(&format!("u{at}"), service, stage);
+    let entry =
+        |(index, stub): (usize, &StubUpstream)| stub.entry(&format!("u{index}"), service, stage);
     fleet.iter().enumerate().map(entry).collect()
 }
 
-/// Waits until it is found out of each upstream whose connection ended whether it has ended.
-async fn looked(instance: &TestInstance) {
-    let is_over = || {
+/// Waits until the health checks of upstreams whose connections broke are done.
+async fn health_checks_done(instance: &TestInstance) {
+    let all_done = || {
         let upstreams = instance.relay.upstreams.borrow();
         upstreams.iter().all(|each| !each.is_health_check_running())
     };
-    assert!(wait_until(is_over).await);
+    assert!(wait_until(all_done).await);
 }
 
-fn crashed(fleet: &[StubUpstream]) -> usize {
-    fleet.iter().filter(|each| each.has_crashed()).count()
+fn crash_count(fleet: &[StubUpstream]) -> usize {
+    fleet.iter().filter(|stub| stub.has_crashed()).count()
 }
 
-/// A caller's question ends the engine that begins to answer it. It is sent on to another one, which ends
-/// too; the caller comes back with the same question under a new attempt, and again. Taken for what it was
-/// each time, an engine that failed a question, it went through the whole fleet: at each of eleven ends of
-/// an engine there was one question of 912 prompt tokens, `"message":"stream broke off","last_event":0`, 60
-/// to 190 ms after it had begun. Other questions must find engines that live.
+/// Guards against a request that takes down the whole fleet. An engine crashes as it begins to
+/// respond; the request is retried at another one, which crashes too, and the caller sends the same
+/// request under new attempt ids. Held against the engine each time and never against the request,
+/// it would reach them all. Other requests must still be served.
 #[actix_rt::test]
-async fn a_question_that_ends_engines_does_not_end_the_fleet() {
+async fn a_poison_generation_does_not_take_down_the_fleet() {
     let fleet = fleet(8);
     let instance = TestInstance::start(entries(&fleet, "llm", Stage::Decode));
     for attempt in 0..8 {
-        instance.fetch(poisoned_question(attempt)).await;
+        instance.fetch(poison_generation(attempt)).await;
     }
-    assert!(crashed(&fleet) <= MOST_ENDED, "{} ended", crashed(&fleet));
-    let mut other = request(Method::POST, "/grades/2", "other");
+    assert!(
+        crash_count(&fleet) <= MAX_CRASHES,
+        "{} crashed",
+        crash_count(&fleet)
+    );
+    let mut harmless = request(Method::POST, "/grades/2", "other");
     let prompt = HeaderValue::from_static("7:50,8:40");
-    other.headers_mut().insert("x-prompt", prompt);
-    assert_eq!(instance.fetch(other).await.0, 200);
+    harmless.headers_mut().insert("x-prompt", prompt);
+    assert_eq!(instance.fetch(harmless).await.0, 200);
 }
 
-/// The same for a read, which is no stream: no answer comes, and the read is sent on, since it may run twice.
+/// The same for a safe request without a stream: no response comes, and it is retried since it may
+/// run twice.
 #[actix_rt::test]
-async fn a_read_that_ends_services_does_not_end_all() {
+async fn a_poison_read_does_not_take_down_the_service() {
     let fleet = fleet(8);
     let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
     for attempt in 0..8 {
-        instance.fetch(poison("/reads/1", attempt)).await;
+        instance.fetch(poison_request("/reads/1", attempt)).await;
     }
-    assert!(crashed(&fleet) <= MOST_ENDED, "{} ended", crashed(&fleet));
+    assert!(
+        crash_count(&fleet) <= MAX_CRASHES,
+        "{} crashed",
+        crash_count(&fleet)
+    );
 }
 
-/// The caller comes back at another instance each time, where nobody has seen the request. The instances tell
-/// each other what they have outstanding, and nothing of what became of it: each one would begin anew.
+/// The same where the caller reaches another instance each time. Unless gossip carries what became
+/// of a request, each instance would begin to count anew.
 #[actix_rt::test]
-async fn what_ended_under_a_question_elsewhere_is_known() {
+async fn crashes_under_a_request_are_gossiped() {
     let fleet = fleet(12);
     let instances: Vec<Rc<TestInstance>> = (0..4)
         .map(|_| Rc::new(TestInstance::start(entries(&fleet, "llm", Stage::Decode))))
         .collect();
     for (attempt, instance) in instances.iter().enumerate() {
-        instance.fetch(poisoned_question(attempt)).await;
+        instance.fetch(poison_generation(attempt)).await;
         for other in &instances {
             if !Rc::ptr_eq(instance, other) {
                 deliver_gossip(&instance.relay, &other.relay);
             }
         }
     }
-    assert!(crashed(&fleet) <= MOST_ENDED, "{} ended", crashed(&fleet));
+    assert!(
+        crash_count(&fleet) <= MAX_CRASHES,
+        "{} crashed",
+        crash_count(&fleet)
+    );
 }
 
-/// A claim runs once at the most, so it is sent to one upstream an attempt. Its caller comes back by itself, and
-/// is told by then that the claim was not run, which is true of that attempt.
+/// An unsafe request runs once at the most, so an attempt is sent to one upstream. When its caller
+/// sends it again after two crashes it is refused as not run, which is true of that attempt.
 #[actix_rt::test]
-async fn a_claim_that_ends_services_is_refused_as_unrun() {
+async fn a_poison_claim_is_refused_as_not_run() {
     let fleet = fleet(8);
     let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
     let mut statuses = Vec::new();
     for attempt in 0..5 {
-        statuses.push(instance.fetch(poison("/claims/1", attempt)).await.0);
-        looked(&instance).await;
+        statuses.push(instance.fetch(poison_request("/claims/1", attempt)).await.0);
+        health_checks_done(&instance).await;
     }
-    assert_eq!(crashed(&fleet), 2);
+    assert_eq!(crash_count(&fleet), 2);
     assert_eq!(statuses, [502, 502, 503, 503, 503]);
 }
 
-/// An engine ends while it reads the prompt, before any output is asked of another one. The prompt is then sent
-/// whole to an engine for output, which ends too. Both count, whatever they were doing.
+/// Guards against counting only crashes during decode. A prefill engine crashes; the prompt is then
+/// sent to a decode engine, which prefills it and crashes too. Both count.
 #[actix_rt::test]
-async fn a_prompt_that_ends_its_readers_is_known() {
-    let readers: Vec<StubUpstream> = (0..6)
+async fn crashes_during_prefill_count() {
+    let prefill_engines: Vec<StubUpstream> = (0..6)
         .map(|_| StubUpstream::start(|_| vec![Action::Crash]))
         .collect();
-    let makers = fleet(6);
-    let mut all = entries(&readers, "llm", Stage::Prefill);
-    let named =
-        |(at, each): (usize, &StubUpstream)| each.entry(&format!("m{at}"), "llm", Stage::Decode);
-    all.extend(makers.iter().enumerate().map(named));
+    let decode_engines = fleet(6);
+    let mut all = entries(&prefill_engines, "llm", Stage::Prefill);
+    let decode_entry = |(index, stub): (usize, &StubUpstream)| {
+        stub.entry(&format!("m{index}"), "llm", Stage::Decode)
+    };
+    all.extend(decode_engines.iter().enumerate().map(decode_entry));
     let instance = TestInstance::start(all);
     for attempt in 0..6 {
-        let mut req = poisoned_question(attempt);
+        let mut req = poison_generation(attempt);
         let prompt = HeaderValue::from_static("7:13000,8:4000");
         req.headers_mut().insert("x-prompt", prompt);
         instance.fetch(req).await;
     }
-    let ended = crashed(&readers) + crashed(&makers);
-    assert!(ended <= MOST_ENDED, "{ended} ended");
+    let crashes = crash_count(&prefill_engines) + crash_count(&decode_engines);
+    assert!(crashes <= MAX_CRASHES, "{crashes} crashed");
 }
 
-/// An engine ends with four questions in hand, one of which is to blame. The others are gone on with elsewhere
-/// and answered; having met one end they are refused nowhere.
+/// Guards against refusing other requests after an engine crashed under a poison request: they are
+/// served elsewhere, since a single crash is no reason to refuse a request.
 #[actix_rt::test]
-async fn those_that_were_there_are_answered() {
+async fn other_requests_of_a_crashed_engine_are_served() {
     let fleet = fleet(3);
     let instance = TestInstance::start(entries(&fleet, "llm", Stage::Decode));
-    instance.fetch(poisoned_question(0)).await;
+    instance.fetch(poison_generation(0)).await;
     for attempt in 1..5 {
         let mut req = request(Method::POST, "/grades/3", &attempt.to_string());
         let prompt = HeaderValue::from_static("7:50,8:40");
@@ -180,64 +196,64 @@
     }
 }
 
-/// An instance starts, or comes back from a partition, when the fleet knows already. It asks another one what it
-/// knows, for its configuration, and refuses the request without having lost an engine.
+/// An instance that starts, or comes back from a partition, learns the known poison requests with
+/// the snapshot of a peer and refuses them without losing an engine.
 #[actix_rt::test]
-async fn one_that_starts_is_told() {
+async fn a_starting_instance_learns_poison_requests_from_a_peer() {
     let fleet = fleet(8);
     let all = entries(&fleet, "llm", Stage::Decode);
     let old = TestInstance::start(all.clone());
     for attempt in 0..4 {
-        old.fetch(poisoned_question(attempt)).await;
-        looked(&old).await;
+        old.fetch(poison_generation(attempt)).await;
+        health_checks_done(&old).await;
     }
-    let ended = crashed(&fleet);
+    let crashes = crash_count(&fleet);
     let new = TestInstance::start(all);
     let peer = "127.0.0.1:1".parse().expect("an address");
     relay::snapshot::merge(&new.relay, &old.relay.snapshot(), peer);
-    assert_eq!(new.fetch(poisoned_question(9)).await.0, 503);
-    assert_eq!(crashed(&fleet), ended);
+    assert_eq!(new.fetch(poison_generation(9)).await.0, 503);
+    assert_eq!(crash_count(&fleet), crashes);
 }
 
-/// Connections are reset under one read, again and again, by upstreams that live and answer all others: they fail
-/// a part of their answers, and this read met several. That is no fault of its own, and it is served in the end.
+/// Guards against taking a broken connection for a crash. Healthy upstreams break the connection under
+/// a safe request several times; it isn't poison, and is served in the end.
 #[actix_rt::test]
-async fn a_reset_connection_is_not_an_end() {
-    let left = Rc::new(Cell::new(9));
-    let resets = || {
-        let left = Rc::clone(&left);
+async fn a_reset_connection_is_not_a_crash() {
+    let resets_left = Rc::new(Cell::new(9));
+    let resetting_upstream = || {
+        let resets_left = Rc::clone(&resets_left);
         StubUpstream::start(move |received| {
-            if left.get() == 0 {
+            if resets_left.get() == 0 {
                 return received.response("200 OK", "", "ok");
             }
-            left.set(left.get() - 1);
+            resets_left.set(resets_left.get() - 1);
             vec![Action::Close]
         })
     };
-    let fleet: Vec<StubUpstream> = (0..5).map(|_| resets()).collect();
+    let fleet: Vec<StubUpstream> = (0..5).map(|_| resetting_upstream()).collect();
     let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
     let mut statuses = Vec::new();
     for attempt in 0..6 {
-        statuses.push(instance.fetch(poison("/reads/1", attempt)).await.0);
-        looked(&instance).await;
+        statuses.push(instance.fetch(poison_request("/reads/1", attempt)).await.0);
+        health_checks_done(&instance).await;
     }
     assert_eq!(statuses, [502, 502, 502, 502, 200, 200]);
 }
 
-/// A service has one upstream, which ends under a claim and is back at the same address before anybody has looked.
-/// The list names the new incarnation, under the old id or a new one; each of them that ended counts.
+/// Guards against missing a crash because the upstream restarts at the same address before its
+/// health check. The list names the new incarnation, and each one that ended counts.
 #[actix_rt::test]
-async fn one_that_is_back_at_once_has_ended_all_the_same() {
+async fn an_upstream_that_restarts_at_once_counts_as_crashed() {
     let desk = StubUpstream::start(|_| vec![Action::Close]);
-    let entry = |nth: u64| relay::upstream::UpstreamEntry {
-        started_ms: nth,
+    let entry = |started_ms: u64| relay::upstream::UpstreamEntry {
+        started_ms,
         ..desk.entry("desk", "desk", Stage::Whole)
     };
     let instance = TestInstance::start(vec![entry(0)]);
     let mut statuses = Vec::new();
     for attempt in 0..4 {
-        statuses.push(instance.fetch(poison("/claims/1", attempt)).await.0);
-        looked(&instance).await;
+        statuses.push(instance.fetch(poison_request("/claims/1", attempt)).await.0);
+        health_checks_done(&instance).await;
         instance.relay.apply_change(
             ListChange::Put(entry(1 + attempt as u64)),
             relay::Origin::Read,
@@ -246,57 +262,57 @@
     assert_eq!(statuses, [502, 502, 503, 503]);
 }
 
-/// The prompt of a question is read by one engine. Meanwhile this instance hears from the others that engines end
-/// under the question, and the engine for output, which would be the third, is not asked.
+/// Guards against a decode of a request that gossip names as poison during its prefill: it would
+/// crash a third engine.
 #[actix_rt::test]
-async fn a_question_found_out_while_it_was_read_gets_no_output() {
-    let reader = StubUpstream::start(|received| {
+async fn a_request_found_poisonous_during_prefill_gets_no_decode() {
+    let prefill_engine = StubUpstream::start(|received| {
         let mut actions = vec![Action::Wait(300)];
         actions.extend(received.response("200 OK", "", "kv-1"));
         actions
     });
-    let makers = fleet(2);
-    let mut all = entries(&makers, "llm", Stage::Decode);
-    all.push(reader.entry("reader", "llm", Stage::Prefill));
+    let decode_engines = fleet(2);
+    let mut all = entries(&decode_engines, "llm", Stage::Decode);
+    all.push(prefill_engine.entry("prefill", "llm", Stage::Prefill));
     let instance = Rc::new(TestInstance::start(all));
-    let mut req = poisoned_question(0);
+    let mut req = poison_generation(0);
     let prompt = HeaderValue::from_static("7:13000,8:4000");
     req.headers_mut().insert("x-prompt", prompt);
     let answer = actix_rt::spawn({
         let instance = Rc::clone(&instance);
         async move { instance.fetch(req).await.0 }
     });
-    assert!(wait_until(|| reader.count() == 1).await);
+    assert!(wait_until(|| prefill_engine.count() == 1).await);
     let key = RequestKey::of("host.test", "POST", "/grades/1", POISON.as_bytes());
     instance.relay.learn_poison_requests(&[key]);
     assert_eq!(answer.await.expect("an answer"), 503);
-    assert_eq!(crashed(&makers), 0);
+    assert_eq!(crash_count(&decode_engines), 0);
 }
 
-/// A route lets one attempt go to six upstreams. Under a read and a question the second one ends too, and a third
-/// is there at once; it must not be asked before it is known whether the second has ended.
+/// Guards against a third upstream that gets a request before the health check of the second is
+/// done, where a route allows six attempts.
 #[actix_rt::test]
-async fn one_attempt_ends_two_upstreams_at_the_most() {
+async fn one_attempt_crashes_two_upstreams_at_the_most() {
     for (path, service, stage) in [
         ("/reads/1", "desk", Stage::Whole),
         ("/grades/1", "llm", Stage::Decode),
     ] {
         let fleet = fleet(8);
         let instance = TestInstance::start(entries(&fleet, service, stage));
-        let usual = config(2);
-        let routes = usual.all_routes().cloned().map(|route| Route {
+        let default = config(2);
+        let routes = default.all_routes().cloned().map(|route| Route {
             max_attempts: 6,
             ..route
         });
-        let services = usual.services().clone();
-        let patient = Config::new(2, routes.collect(), services, Limits::default());
-        assert!(instance.relay.configure(patient));
-        let mut req = poison(path, 0);
+        let services = default.services().clone();
+        let six_attempts = Config::new(2, routes.collect(), services, Limits::default());
+        assert!(instance.relay.configure(six_attempts));
+        let mut req = poison_request(path, 0);
         if stage == Stage::Decode {
-            req = poisoned_question(0);
+            req = poison_generation(0);
         }
         instance.fetch(req).await;
-        looked(&instance).await;
-        assert_eq!(crashed(&fleet), 2, "{path}");
+        health_checks_done(&instance).await;
+        assert_eq!(crash_count(&fleet), 2, "{path}");
     }
 }
