--- a/crates/relay/tests/access.rs
+++ b/crates/relay/tests/access.rs
@@ -1,4 +1,5 @@
-//! Whose key lets in, what upstreams learn of it, and what becomes of keys that go.
+//! Which keys are accepted, what upstreams learn of the caller, and what happens when keys are
+//! removed.
 
 mod common;
 
@@ -14,8 +15,8 @@
 /// Headers that a caller adds.
 type Headers = &'static [(&'static str, &'static str)];
 
-/// A prompt long enough to be read apart.
-const LONG: &str = "7:13000,8:4000";
+/// A prompt long enough for prefill at a separate engine.
+const LONG_PROMPT: &str = "7:13000,8:4000";
 
 fn workspace(name: &str, keys: &[&str], priority: Option<u8>) -> Workspace {
     Workspace {
@@ -25,24 +26,24 @@
     }
 }
 
-/// The usual routes and a public one, for two workspaces.
-fn keyed(version: u64, workspaces: Vec<Workspace>) -> Config {
-    let usual = config(version);
-    let mut routes: Vec<Route> = usual.all_routes().cloned().collect();
+/// The usual routes and a public one, for these workspaces.
+fn config_with_workspaces(version: u64, workspaces: Vec<Workspace>) -> Config {
+    let default = config(version);
+    let mut routes: Vec<Route> = default.all_routes().cloned().collect();
     let mut public = common::route("/open/", RouteKind::Safe, "desk");
     public.is_public = true;
     routes.push(public);
-    let services = usual.services().clone();
+    let services = default.services().clone();
     Config::new(version, routes, services, Limits::default()).with_access(Access::keyed(workspaces))
 }
 
-fn two(version: u64) -> Config {
+fn two_workspaces(version: u64) -> Config {
     let one = workspace("one", &["key-one", "second-one"], None);
     let other = workspace("other", &["key-other"], Some(0));
-    keyed(version, vec![one, other])
+    config_with_workspaces(version, vec![one, other])
 }
 
-fn with(
+fn with_headers(
     mut req: Request<http_body_util::Full<bytes::Bytes>>,
     headers: &[(&'static str, &'static str)],
 ) -> Request<http_body_util::Full<bytes::Bytes>> {
@@ -59,11 +60,12 @@
 
 fn start_instance(desk: &StubUpstream) -> TestInstance {
     let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
-    instance.relay.configure(two(2));
+    instance.relay.configure(two_workspaces(2));
     instance
 }
 
-/// Guards against a caller's key at an upstream, and a workspace that the caller names itself.
+/// Guards against a caller's key that reaches an upstream, and against a workspace name set by the
+/// caller.
 #[actix_rt::test]
 async fn an_upstream_learns_the_workspace_and_never_the_key() {
     let desk = desk();
@@ -73,7 +75,7 @@
         ("x-workspace", "other"),
         ("connection", "x-workspace, x-key"),
     ];
-    let req = with(request(Method::POST, "/claims/x", "1"), &forged);
+    let req = with_headers(request(Method::POST, "/claims/x", "1"), &forged);
     assert_eq!(instance.fetch(req).await.0, 200);
     let received = desk.received.borrow();
     assert_eq!(received[0].header("x-workspace"), Some("one"));
@@ -85,9 +87,9 @@
     assert_eq!(received[0].headers.matches("x-workspace").count(), 1);
 }
 
-/// Guards against callers who are let in without a key that somebody has.
+/// Guards against accepting callers without exactly one valid key.
 #[actix_rt::test]
-async fn who_has_no_valid_key_is_refused_and_nothing_runs() {
+async fn without_a_valid_key_requests_are_refused_and_not_run() {
     let desk = desk();
     let instance = start_instance(&desk);
     let presented: [&[(&str, &str)]; 6] = [
@@ -96,7 +98,7 @@
         &[("x-key", "KEY-ONE")],
         &[("x-key", "key-one,key-other")],
         &[("x-key", "key-\u{e9}")],
-        // The same key twice is refused as well: it is not told apart from two.
+        // The same key twice is refused like two different keys.
         &[("x-key", "key-one"), ("x-key", "key-one")],
     ];
     for headers in presented {
@@ -110,33 +112,34 @@
     assert_eq!(desk.count(), 0);
 }
 
-/// Guards against a public route that asks for a key, or through which a caller names a workspace.
+/// Guards against a public route that requires a key, or through which a caller sets a workspace
+/// name.
 #[actix_rt::test]
-async fn a_public_route_needs_no_key_and_passes_no_name_on() {
+async fn a_public_route_needs_no_key_and_passes_no_workspace_on() {
     let desk = desk();
     let instance = start_instance(&desk);
-    let all: [(Headers, Option<&str>); 4] = [
+    let cases: [(Headers, Option<&str>); 4] = [
         (&[], None),
         (&[("x-workspace", "other")], None),
         (&[("x-key", "nobody's"), ("x-workspace", "one")], None),
         (&[("x-key", "key-other")], Some("other")),
     ];
-    for (at, (headers, named)) in all.into_iter().enumerate() {
-        let req = with(request(Method::GET, "/open/x", "1"), headers);
+    for (index, (headers, workspace)) in cases.into_iter().enumerate() {
+        let req = with_headers(request(Method::GET, "/open/x", "1"), headers);
         assert_eq!(instance.fetch(req).await.0, 200, "{headers:?}");
-        let received = &desk.received.borrow()[at];
-        assert_eq!(received.header("x-workspace"), named, "{headers:?}");
+        let received = &desk.received.borrow()[index];
+        assert_eq!(received.header("x-workspace"), workspace, "{headers:?}");
         assert!(received.header("x-key").is_none());
     }
 }
 
-/// Guards against a way to an upstream on which the key goes along: a prompt read apart, its output, a read that is sent
-/// again, a stream that goes on elsewhere.
+/// Guards against a request path on which the key is passed on: prefill at a separate engine, its
+/// decode, a retried read and a resumed stream.
 #[actix_rt::test]
-async fn the_key_ends_here_on_every_way() {
-    let reader = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
+async fn no_request_path_passes_the_key_on() {
+    let prefill = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
     let event = |id: u32| format!("id: {id}\ndata: {id}\n\n");
-    let makes = move |received: &ReceivedRequest| {
+    let truncate = move |received: &ReceivedRequest| {
         if received.header("last-event-id").is_some() {
             return received.response("200 OK", "", &event(2));
         }
@@ -146,33 +149,33 @@
             Action::Close,
         ]
     };
-    let (near, far) = (StubUpstream::start(makes), StubUpstream::start(makes));
+    let (near, far) = (StubUpstream::start(truncate), StubUpstream::start(truncate));
     let fails = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
     let works = desk();
     let instance = TestInstance::start(vec![
-        reader.entry("reader", "llm", Stage::Prefill),
+        prefill.entry("prefill", "llm", Stage::Prefill),
         near.entry("near", "llm", Stage::Decode),
         far.entry("far", "llm", Stage::Decode),
         fails.entry("fails", "desk", Stage::Whole),
         works.entry("works", "desk", Stage::Whole),
     ]);
-    instance.relay.configure(two(2));
+    instance.relay.configure(two_workspaces(2));
     let key = ("x-key", "second-one");
-    let req = with(
+    let req = with_headers(
         request(Method::POST, "/grades/x", "1"),
-        &[key, ("x-prompt", LONG)],
+        &[key, ("x-prompt", LONG_PROMPT)],
     );
     assert_eq!(instance.fetch(req).await, (200, Some(event(1) + &event(2))));
     for number in 0..6 {
-        let req = with(
+        let req = with_headers(
             request(Method::GET, "/reads/x", &number.to_string()),
             &[key],
         );
         assert_eq!(instance.fetch(req).await.0, 200);
     }
-    assert!(fails.count() > 0 && reader.count() == 1);
+    assert!(fails.count() > 0 && prefill.count() == 1);
     assert_eq!(near.count() + far.count(), 2);
-    for upstream in [&reader, &near, &far, &fails, &works] {
+    for upstream in [&prefill, &near, &far, &fails, &works] {
         for received in upstream.received.borrow().iter() {
             assert_eq!(
                 received.header("x-workspace"),
@@ -189,57 +192,68 @@
     }
 }
 
-/// Guards against a refusal that says a key is wrong where nobody can know.
+/// Guards against refusing a key as invalid before any configuration is known.
 #[actix_rt::test]
-async fn without_a_configuration_no_key_is_called_wrong() {
+async fn without_a_configuration_no_key_is_refused_as_invalid() {
     let instance = TestInstance::unconfigured(common::settings());
-    let req = with(
+    let req = with_headers(
         request(Method::POST, "/claims/x", "1"),
         &[("x-key", "key-one")],
     );
     assert_eq!(instance.fetch(req).await.0, 503);
 }
 
-/// Guards against a key that goes on letting in after it was taken away, the last of its workspace included, and against
-/// an older list that brings it back.
+/// Guards against accepting a key after it was removed, also the last one of its workspace, and
+/// against an older configuration that restores it.
 #[actix_rt::test]
-async fn a_key_that_is_taken_away_stops_and_does_not_come_back() {
+async fn a_removed_key_is_refused_and_does_not_come_back() {
     let desk = desk();
     let instance = start_instance(&desk);
-    let ask = async |key: &'static str| {
-        let req = with(request(Method::GET, "/reads/x", "1"), &[("x-key", key)]);
+    let fetch_status = async |key: &'static str| {
+        let req = with_headers(request(Method::GET, "/reads/x", "1"), &[("x-key", key)]);
         instance.fetch(req).await.0
     };
-    assert_eq!(ask("key-one").await, 200);
-    instance.relay.configure(keyed(
+    assert_eq!(fetch_status("key-one").await, 200);
+    instance.relay.configure(config_with_workspaces(
         3,
         vec![
             workspace("one", &[], None),
             workspace("new", &["key-new"], None),
         ],
     ));
-    assert_eq!((ask("key-one").await, ask("key-new").await), (401, 200));
-    instance.relay.configure(two(2));
-    assert_eq!((ask("key-one").await, ask("key-other").await), (401, 401));
-    instance.relay.configure(keyed(4, Vec::new()));
-    assert_eq!(ask("key-new").await, 401);
+    assert_eq!(
+        (fetch_status("key-one").await, fetch_status("key-new").await),
+        (401, 200)
+    );
+    instance.relay.configure(two_workspaces(2));
+    assert_eq!(
+        (
+            fetch_status("key-one").await,
+            fetch_status("key-other").await
+        ),
+        (401, 401)
+    );
+    instance
+        .relay
+        .configure(config_with_workspaces(4, Vec::new()));
+    assert_eq!(fetch_status("key-new").await, 401);
 }
 
-/// Guards against keys in what an instance tells others, shows in its metrics or says to callers.
+/// Guards against keys in an instance's snapshot, metrics, configuration output and responses.
 #[actix_rt::test]
-async fn no_key_stands_in_what_an_instance_tells() {
+async fn no_key_appears_in_output() {
     let desk = desk();
     let instance = start_instance(&desk);
-    let mut said = String::new();
+    let mut response_heads = String::new();
     for key in ["key-one", "key-unknown"] {
-        let req = with(request(Method::POST, "/claims/x", "1"), &[("x-key", key)]);
+        let req = with_headers(request(Method::POST, "/claims/x", "1"), &[("x-key", key)]);
         let response = instance.send(req).await.unwrap();
-        write!(said, "{:?}", response.headers()).unwrap();
+        write!(response_heads, "{:?}", response.headers()).unwrap();
     }
     let state = serde_json::to_string(&instance.relay.snapshot()).unwrap();
     let metrics = String::from_utf8(instance.relay.metrics_text()).unwrap();
     let config = format!("{:?}", instance.relay.config());
-    for text in [&state, &metrics, &said, &config] {
+    for text in [&state, &metrics, &response_heads, &config] {
         assert!(
             !text.contains("key-one") && !text.contains("key-unknown"),
             "{text}"
@@ -247,33 +261,34 @@
     }
 }
 
-/// Guards against an instance that takes its configuration from another one and then lets everybody in.
+/// Guards against an instance that takes its configuration from a peer without the access list and
+/// then accepts every caller.
 #[actix_rt::test]
-async fn who_may_ask_goes_along_with_a_configuration_that_is_told() {
+async fn a_configuration_from_a_peer_carries_the_access_list() {
     let desk = desk();
     let instance = start_instance(&desk);
-    let told = serde_json::to_value(instance.relay.snapshot()).unwrap();
-    let state: Snapshot = serde_json::from_value(told.clone()).unwrap();
+    let snapshot = serde_json::to_value(instance.relay.snapshot()).unwrap();
+    let parsed: Snapshot = serde_json::from_value(snapshot.clone()).unwrap();
     let new = TestInstance::unconfigured(common::settings());
-    relay::snapshot::merge(&new.relay, &state, desk.address);
+    relay::snapshot::merge(&new.relay, &parsed, desk.address);
     let req = request(Method::POST, "/claims/x", "1");
     assert_eq!(new.fetch(req).await.0, 401);
-    // One of a version that knows of no keys is not believed.
-    let mut older = told;
+    // A snapshot of a version without access lists is rejected.
+    let mut older = snapshot;
     older["config"].as_object_mut().unwrap().remove("access");
     assert!(serde_json::from_value::<Snapshot>(older).is_err());
 }
 
-/// Guards against a workspace whose own priority is passed over for that of the route.
+/// Guards against the route's priority replacing that of a workspace.
 #[actix_rt::test]
-async fn the_priority_of_a_workspace_goes_before_the_routes() {
+async fn the_priority_of_a_workspace_overrides_that_of_the_route() {
     let engine =
         StubUpstream::start(|received| received.response("200 OK", "", "id: 1\ndata: 1\n\n"));
     let instance = TestInstance::start(vec![engine.entry("one", "llm", Stage::Decode)]);
-    instance.relay.configure(two(2));
+    instance.relay.configure(two_workspaces(2));
     for key in ["key-one", "key-other"] {
         let headers = [("x-key", key), ("x-prompt", "7:50,8:40")];
-        let req = with(request(Method::POST, "/grades/x", "1"), &headers);
+        let req = with_headers(request(Method::POST, "/grades/x", "1"), &headers);
         assert_eq!(instance.fetch(req).await.0, 200);
     }
     let received = engine.received.borrow();
--- a/crates/relay/tests/metrics.rs
+++ b/crates/relay/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the metrics tell of requests and of the age of what is believed.
+//! Metrics of requests, and of the age of the configuration, the list and the load of peers.
 
 mod common;
 
@@ -19,10 +19,10 @@
         .collect()
 }
 
-/// An engineer sees a route's failures beside its answers: one read is answered in time, one comes
-/// late, one finds no upstream and is refused. A success alone would hide the second.
+/// Guards against metrics that show only successes: one read is answered in time, one is late and
+/// one is refused without an upstream, and each is counted for its route.
 #[actix_rt::test]
-async fn answers_in_time_stand_beside_answers_and_refusals() {
+async fn timely_and_late_answers_and_refusals_are_counted() {
     let desk = StubUpstream::start(|received| {
         let mut actions = Vec::new();
         if received.request_line.contains("late") {
@@ -74,14 +74,15 @@
     );
 }
 
-/// How old each belief is can be read, and one that was never had does not look fresh.
+/// The ages of the configuration, the list and the load are exported; what was never received
+/// doesn't look fresh.
 #[actix_rt::test]
-async fn the_age_of_beliefs_is_told() {
+async fn the_age_of_received_state_is_exported() {
     let instance = TestInstance::start(Vec::new());
     let names = ["config_age_ms", "list_age_ms", "load_age_ms"];
     let ages = || names.map(|name| age_ms(&instance, name));
     assert!(ages().iter().all(|age_ms| *age_ms > 1e15), "{:?}", ages());
-    let other = Member {
+    let peer = Member {
         name: "b".to_owned(),
         address: "127.0.0.1:2".parse().unwrap(),
         gossip_address: None,
@@ -95,7 +96,7 @@
         .relay
         .members
         .borrow_mut()
-        .record_heartbeat(now_ms, other);
+        .record_heartbeat(now_ms, peer);
     let key = InstanceKey::of("b");
     instance
         .relay
@@ -120,9 +121,10 @@
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
-/// Lines that were left out are counted, so that a missing line is not taken for nothing done.
+/// Dropped log lines are counted, so that a missing line isn't taken for something that didn't
+/// happen.
 #[actix_rt::test]
-async fn lines_left_out_are_counted() {
+async fn dropped_log_lines_are_counted() {
     let instance = TestInstance::start(Vec::new());
     for _ in 0..260 {
         instance.relay.failure_log_limit.take(1);
--- a/crates/relay/tests/services.rs
+++ b/crates/relay/tests/services.rs
@@ -1,4 +1,5 @@
-//! Plain services: what runs once, what is sent again, what is refused and what is passed on.
+//! Plain services: what runs once, what is retried, what is refused and which headers are passed
+//! on.
 
 mod common;
 
@@ -13,10 +14,10 @@
     }
 }
 
-/// The caller sees 502, which promises nothing. Its claim was sent, the upstream ran it and the
-/// answer was lost; sending it again could claim twice.
+/// Guards against running an unsafe request twice. The upstream ran it and the answer was lost, so
+/// the caller gets 502, which doesn't promise that it was not run.
 #[actix_rt::test]
-async fn a_claim_whose_answer_was_lost_is_not_sent_again() {
+async fn a_claim_whose_answer_was_lost_is_not_retried() {
     let desk = StubUpstream::start(|_| vec![Action::Close]);
     let other = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let instance = TestInstance::start(vec![
@@ -30,10 +31,10 @@
     assert_eq!((desk.count(), other.count()), (1, 0));
 }
 
-/// The caller sees 503 with a time to come back. The upstream is full and says that it did not
-/// run the claim, so the refusal is true.
+/// The upstream is full and says that it did not run the claim, so the caller gets 503 with a
+/// retry-after.
 #[actix_rt::test]
-async fn a_claim_that_was_rejected_unrun_is_refused_as_unrun() {
+async fn a_claim_that_an_upstream_rejects_is_refused_as_not_run() {
     let desk =
         StubUpstream::start(|received| received.response("503 Full", "x-not-run: 1\r\n", ""));
     let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
@@ -46,9 +47,9 @@
     assert!(!response.headers().contains_key("x-signature"));
 }
 
-/// The caller sees 200. The first upstream fails an idempotent request, the second serves it.
+/// An idempotent request that fails at the first upstream is served by the second.
 #[actix_rt::test]
-async fn a_failed_read_is_sent_to_another_upstream() {
+async fn a_failed_read_is_retried_at_another_upstream() {
     let desk = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
     let other = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let instance = TestInstance::start(vec![
@@ -59,10 +60,10 @@
     assert_eq!(answer, (200, Some("ok".to_owned())));
 }
 
-/// The caller sees the whole answer. The first upstream's breaks off before its end; it is not
-/// passed on as if it were whole, and the read is sent to the other.
+/// Guards against passing on a truncated answer as complete: the read is retried at another
+/// upstream.
 #[actix_rt::test]
-async fn a_truncated_read_is_sent_to_another_upstream() {
+async fn a_truncated_read_is_retried_at_another_upstream() {
     let desk = StubUpstream::start(|received| {
         let whole = received.response_text("200 OK", "", "a long body");
         vec![
@@ -79,10 +80,11 @@
     assert_eq!(answer, (200, Some("a long body".to_owned())));
 }
 
-/// Each caller sees its own answer or an error, never the other's. The upstream answers the first
-/// request twice; the second answer comes where that of the next request is due.
+/// Guards against giving a caller the answer to another request. The upstream answers each request
+/// twice, and the second answer comes where the one to the next request is due; each caller gets
+/// its own answer or an error.
 #[actix_rt::test]
-async fn an_extra_answer_reaches_nobody() {
+async fn an_extra_answer_reaches_no_caller() {
     let desk = StubUpstream::start(|received| {
         let text =
             received.response_text("200 OK", "", received.header("x-attempt").unwrap_or("-"));
@@ -102,8 +104,8 @@
     }
 }
 
-/// The caller sees 502: an answer without the upstream's signature is nobody's answer, whatever its
-/// status says.
+/// Guards against passing on an answer without the upstream's signature, whatever its status: the
+/// caller gets 502.
 #[actix_rt::test]
 async fn a_success_without_signature_is_not_passed_on() {
     let desk = StubUpstream::start(|_| {
@@ -117,10 +119,10 @@
     assert_eq!(status, 502);
 }
 
-/// The upstream sees the request as its caller sent it, but for what concerns one connection and
-/// what only the system sets. A caller that names its own id in `Connection` cannot hide it.
+/// The upstream gets the request as the caller sent it, except for hop-by-hop headers and those
+/// that only the system sets. A caller that names `x-attempt` in `Connection` can't remove it.
 #[actix_rt::test]
-async fn headers_pass_as_they_should() {
+async fn only_end_to_end_headers_are_passed_on() {
     let desk = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     let mut req = request(Method::POST, "/claims/x?y=%2f", "1");
@@ -151,10 +153,10 @@
     );
 }
 
-/// The caller sees 504 when its time is over, and the upstream sees the connection closed, so
-/// that it does not work on for nobody.
+/// Guards against an upstream that goes on working past the deadline: the caller gets 504, and the
+/// upstream's connection is closed.
 #[actix_rt::test]
-async fn a_request_out_of_time_is_ended() {
+async fn a_request_past_its_deadline_is_ended() {
     let desk = StubUpstream::start(|_| vec![Action::Wait(5_000)]);
     let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     let mut req = request(Method::POST, "/claims/x", "1");
@@ -165,33 +167,33 @@
     assert!(wait_until(|| *desk.closed_by_relay.borrow() == 1).await);
 }
 
-/// The caller sees 200. The address belongs to another incarnation by now, which rejects the
-/// request without running it; a read goes to the next upstream at once, and the old incarnation
-/// is not tried again.
+/// Guards against requests to an address that another incarnation has taken over. It rejects the
+/// first read without running it; the read goes to the next upstream at once, and the old entry
+/// gets no more requests.
 #[actix_rt::test]
-async fn a_reused_address_is_found_out() {
-    let stranger =
+async fn a_reused_address_is_detected() {
+    let reused =
         StubUpstream::start(|received| received.response("421 Other", "x-instance: other\r\n", ""));
     let desk = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let instance = TestInstance::start(vec![
-        stranger.entry("gone", "desk", Stage::Whole),
+        reused.entry("gone", "desk", Stage::Whole),
         elsewhere(desk.entry("two", "desk", Stage::Whole)),
     ]);
     for id in ["1", "2"] {
         let (status, _) = instance.fetch(request(Method::GET, "/reads/x", id)).await;
         assert_eq!(status, 200);
     }
-    assert_eq!(stranger.count(), 1);
+    assert_eq!(reused.count(), 1);
 }
 
-/// Callers see 200 soon. One upstream's machine has gone dark: it takes connections and answers
-/// nothing. After the first requests have waited for it, others are not sent there.
+/// Guards against requests that wait for an upstream which accepts connections and never responds:
+/// after the first request has waited there, the others go elsewhere.
 #[actix_rt::test]
-async fn a_silent_upstream_is_left_alone() {
-    let dark = StubUpstream::start(|_| vec![Action::Wait(60_000)]);
+async fn a_silent_upstream_is_avoided() {
+    let silent = StubUpstream::start(|_| vec![Action::Wait(60_000)]);
     let desk = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
     let instance = TestInstance::start(vec![
-        dark.entry("dark", "desk", Stage::Whole),
+        silent.entry("silent", "desk", Stage::Whole),
         elsewhere(desk.entry("two", "desk", Stage::Whole)),
     ]);
     let mut first = request(Method::POST, "/claims/x", "1");
@@ -205,22 +207,23 @@
             .await;
         assert_eq!(status, 200);
     }
-    assert_eq!(dark.count(), 1);
+    assert_eq!(silent.count(), 1);
 }
 
-/// The caller sees 404 for a path that no route has, and 503 while no configuration is known:
-/// the path may well have a route.
+/// The caller gets 404 for a path without a route. Only a configuration can tell that: an instance
+/// without one refuses with 503, which the tests in `access.rs` and `peers.rs` check.
 #[actix_rt::test]
-async fn an_unknown_path_is_not_there_only_if_a_configuration_says_so() {
+async fn a_path_without_a_route_is_not_found() {
     let instance = TestInstance::start(vec![]);
     let (status, _) = instance.fetch(request(Method::GET, "/none/x", "1")).await;
     assert_eq!(status, 404);
 }
 
-/// The caller sees 502. A rejection without the claim's id came on its connection: it may be a
-/// late one of an earlier request, and the claim may run after all, so 503 would not be true.
+/// Guards against taking a late rejection of an earlier request for that of this claim, which may
+/// run after all. A rejection without the claim's id gives 502 and not 503, which would promise
+/// that it was not run.
 #[actix_rt::test]
-async fn a_rejection_of_another_request_promises_nothing() {
+async fn a_rejection_of_another_request_is_not_trusted() {
     let desk = StubUpstream::start(|_| {
         let text = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
         vec![Action::Write(text.to_owned())]
@@ -232,21 +235,20 @@
     assert_eq!(status, 502);
 }
 
-/// The caller sees 502, not 503. Its read was sent to the only upstream, which may have run it
-/// before the connection closed; no other upstream is there for a second try, and "not run" would
-/// not be true.
+/// Guards against refusing a read as not run after the only upstream may have run it: the caller
+/// gets 502 and not 503.
 #[actix_rt::test]
-async fn a_read_that_may_have_run_is_not_refused_as_unrun() {
+async fn a_read_that_may_have_run_is_not_refused_as_not_run() {
     let desk = StubUpstream::start(|_| vec![Action::Close]);
     let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     let (status, _) = instance.fetch(request(Method::GET, "/reads/x", "1")).await;
     assert_eq!((status, desk.count()), (502, 1));
 }
 
-/// The caller sees the upstream's own failure. The read ran and failed, and there is no other
-/// upstream to try; the answer that was made must not give way to a refusal of ours.
+/// Guards against replacing an upstream's own failure by a refusal. The read ran and failed, and
+/// there is no other upstream to try.
 #[actix_rt::test]
-async fn a_failure_is_passed_on_where_nobody_else_can_be_tried() {
+async fn a_failure_is_passed_on_where_no_other_upstream_can_be_tried() {
     let desk = StubUpstream::start(|received| received.response("500 Oops", "", "oops"));
     let instance = TestInstance::start(vec![desk.entry("one", "desk", Stage::Whole)]);
     let answer = instance.fetch(request(Method::GET, "/reads/x", "1")).await;
--- a/crates/relay/tests/usage.rs
+++ b/crates/relay/tests/usage.rs
@@ -1,4 +1,4 @@
-//! What counts as a request that ran, and for whom.
+//! Which requests count as usage, and for which workspace.
 
 mod common;
 
@@ -47,15 +47,20 @@
     instance
 }
 
-fn req(method: Method, path: &str, workspace: &'static str, id: &str) -> Request<Full<Bytes>> {
+fn keyed_request(
+    method: Method,
+    path: &str,
+    workspace: &'static str,
+    id: &str,
+) -> Request<Full<Bytes>> {
     let mut req = request(method, path, id);
     let key = HeaderValue::from_static(workspace);
     req.headers_mut().insert("x-key", key);
     req
 }
 
-/// What another instance is told of what ran, by workspace.
-async fn counted(instance: &TestInstance) -> BTreeMap<&'static str, u32> {
+/// The usage that this instance gossips to a peer, by workspace.
+async fn gossiped_usage(instance: &TestInstance) -> BTreeMap<&'static str, u32> {
     let relay = &instance.relay;
     relay
         .members
@@ -64,8 +69,8 @@
     relay.heartbeat_stored(relay.heartbeat());
     let mut counts = BTreeMap::new();
     for _ in 0..20 {
-        let told = relay.due_gossip();
-        let tallies = told.iter().flat_map(|(_, told)| &told.tallies);
+        let messages = relay.due_gossip();
+        let tallies = messages.iter().flat_map(|(_, message)| &message.tallies);
         for (key, count) in tallies.flat_map(|tally| &tally.counts) {
             let mut names = ["one", "other"].into_iter();
             let name = names.find(|name| WorkspaceKey::of(name) == *key);
@@ -86,32 +91,36 @@
         works.entry("works", "desk", Stage::Whole),
     ]);
     for (number, workspace) in ["one", "one", "other"].into_iter().enumerate() {
-        let req = req(Method::GET, "/reads/x", workspace, &number.to_string());
+        let req = keyed_request(Method::GET, "/reads/x", workspace, &number.to_string());
         assert_eq!(instance.fetch(req).await.0, 200);
     }
     assert!(fails.count() > 0);
-    assert_eq!(counted(&instance).await, [("one", 2), ("other", 1)].into());
+    assert_eq!(
+        gossiped_usage(&instance).await,
+        [("one", 2), ("other", 1)].into()
+    );
 }
 
-/// Guards against usage of what never ran: refused for its key, rejected by the upstream, or for nobody.
+/// Guards against usage of requests that never ran: refused for their key or rejected by the
+/// upstream.
 #[actix_rt::test]
-async fn what_did_not_run_counts_for_nobody() {
+async fn requests_that_did_not_run_are_not_counted() {
     let full =
         StubUpstream::start(|received| received.response("503 Full", "x-not-run: 1\r\n", ""));
     let instance = start_instance(vec![full.entry("full", "desk", Stage::Whole)]);
     for (workspace, status) in [("one", 503), ("nobody", 401)] {
-        let req = req(Method::POST, "/claims/x", workspace, "1");
+        let req = keyed_request(Method::POST, "/claims/x", workspace, "1");
         assert_eq!(instance.fetch(req).await.0, status);
     }
-    assert_eq!(counted(&instance).await, BTreeMap::new());
+    assert_eq!(gossiped_usage(&instance).await, BTreeMap::new());
 }
 
-/// Guards against a claim that ran and is billed to nobody, since its answer was lost.
+/// Guards against a claim that ran and isn't billed because its answer was lost.
 #[actix_rt::test]
 async fn a_claim_whose_answer_was_lost_counts() {
     let desk = StubUpstream::start(|_| vec![Action::Close]);
     let instance = start_instance(vec![desk.entry("one", "desk", Stage::Whole)]);
-    let req = req(Method::POST, "/claims/x", "other", "1");
+    let req = keyed_request(Method::POST, "/claims/x", "other", "1");
     assert_eq!(instance.fetch(req).await.0, 502);
-    assert_eq!(counted(&instance).await, [("other", 1)].into());
+    assert_eq!(gossiped_usage(&instance).await, [("other", 1)].into());
 }
