--- a/crates/relay/tests/logging.rs
+++ b/crates/relay/tests/logging.rs
@@ -1,15 +1,15 @@
-//! Logs are bounded and hold nobody up.
+//! Log output is bounded and never blocks.
 
 use std::io::Write;
 use std::sync::mpsc::channel;
 
 use relay::logging::{LogQueue, LogRateLimit};
 
-/// Whoever reads standard output has stopped. Lines are written on without waiting, as many as
-/// fit are kept, and the first after it says how many were left out.
+/// Guards against blocking on standard output when its reader has stopped. As many lines as fit are
+/// kept, and a line with the number of dropped ones precedes them.
 #[test]
-fn a_reader_that_stops_holds_nobody_up() {
-    let (mut queue, drain) = LogQueue::new(4);
+fn a_reader_that_stops_blocks_no_writer() {
+    let (mut queue, writer) = LogQueue::new(4);
     for line in 0..40 {
         queue.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
@@ -17,7 +17,7 @@
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         let mut out = Vec::new();
-        drain.run(&mut out);
+        writer.run(&mut out);
         sender.send(String::from_utf8(out).unwrap())
     });
     let text = receiver.recv().unwrap();
@@ -26,11 +26,11 @@
     assert!(kept[0].contains("\"lines\":"), "{text}");
 }
 
-/// Ten times the load: of 5,000 lines a second no more than the budget are written, and each
-/// second begins anew.
+/// Guards against exceeding the limit of log lines: of 5,000 lines a second at most 60 are written,
+/// and each second starts anew.
 #[test]
-fn ten_times_the_load_writes_no_more_than_the_budget() {
-    let budget = LogRateLimit::new("served", 60);
-    let written = (0..50_000_u64).filter(|line| budget.take(line / 5)).count();
+fn no_more_lines_than_the_limit_are_written() {
+    let limit = LogRateLimit::new("served", 60);
+    let written = (0..50_000_u64).filter(|line| limit.take(line / 5)).count();
     assert_eq!(written, 600);
 }
--- a/crates/relay/tests/sse.rs
+++ b/crates/relay/tests/sse.rs
@@ -1,10 +1,10 @@
-//! Streams cut at the ends of their events, however the bytes come.
+//! Splits a stream at the ends of its events, however its bytes are divided into chunks.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use relay::sse::{Event, EventSplitter};
 
-/// Gives the whole events, and whether bytes of another are left.
+/// Returns the complete events, and whether bytes of a further one remain.
 fn split(chunks: &[&[u8]]) -> (Vec<Event>, bool) {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
@@ -23,9 +23,9 @@
         ..ProptestConfig::with_cases(1_000)
     })]
 
-    /// The network cuts a stream anywhere. The same events come out, byte for byte.
+    /// The same events come out, byte for byte, wherever the network divides the stream.
     #[test]
-    fn events_do_not_depend_on_how_bytes_come(
+    fn events_do_not_depend_on_chunk_boundaries(
         ids in prop::collection::vec(0_u64..1_000, 1..20),
         cuts in prop::collection::vec(1_usize..40, 1..60),
         crlf: bool,
@@ -42,17 +42,17 @@
             rest = left;
         }
         chunks.push(rest);
-        let (events, has_rest) = split(&chunks);
-        let seen: Vec<u64> = events.iter().filter_map(|event| event.id).collect();
-        prop_assert_eq!(seen, ids);
+        let (events, has_partial) = split(&chunks);
+        let split_ids: Vec<u64> = events.iter().filter_map(|event| event.id).collect();
+        prop_assert_eq!(split_ids, ids);
         let bytes: Vec<u8> = events.into_iter().flat_map(|event| event.bytes).collect();
         prop_assert_eq!(bytes, whole.into_bytes());
-        prop_assert!(!has_rest);
+        prop_assert!(!has_partial);
     }
 
-    /// Whatever an upstream sends, nothing is lost or made up.
+    /// Whatever an upstream sends, the events are an unchanged prefix of its bytes.
     #[test]
-    fn any_bytes_are_kept(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 0..20)) {
+    fn events_are_a_prefix_of_the_stream(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 0..20)) {
         let chunks: Vec<&[u8]> = chunks.iter().map(Vec::as_slice).collect();
         let (events, _) = split(&chunks);
         let bytes: Vec<u8> = events.into_iter().flat_map(|event| event.bytes).collect();
@@ -60,10 +60,10 @@
     }
 }
 
-/// An upstream stops in the middle of an event: what came of it is not given out.
+/// An upstream stops in the middle of an event; the partial event is not returned.
 #[test]
-fn an_unfinished_event_is_held_back() {
-    let (events, has_rest) = split(&[b"id: 1\n\nid: 2\nda"]);
+fn a_partial_event_is_not_returned() {
+    let (events, has_partial) = split(&[b"id: 1\n\nid: 2\nda"]);
     assert_eq!(events.len(), 1);
-    assert!(has_rest);
+    assert!(has_partial);
 }
