--- /dev/null
+++ b/crates/relay/tests/poison_requests.rs
@@ -0,0 +1,318 @@
+//! Poison requests: requests under which every upstream crashes that begins to run them.
+//!
+//! The caller sends such a request again and again, under a new attempt id each time and to any
+//! instance; what the request asks for stays the same.
+
+mod common;
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use common::{
+    Action, ReceivedRequest, StubUpstream, TestInstance, config, deliver_gossip, request,
+    wait_until,
+};
+use http::{HeaderValue, Method, Request};
+use http_body_util::Full;
+use relay::config::{Config, Limits, Route};
+use relay::upstream::Stage;
+use relay::upstreams::ListChange;
+use view::RequestKey;
+
+/// Body of the request that no upstream survives.
+const POISON: &str = "poison";
+
+/// The most upstreams that may crash under one request.
+const MAX_CRASHES: usize = 3;
+
+fn poison_request(path: &str, attempt: usize) -> Request<Full<Bytes>> {
+    let mut req = request(Method::POST, path, &attempt.to_string());
+    *req.body_mut() = Full::from(POISON);
+    req
+}
+
+fn poison_generation(attempt: usize) -> Request<Full<Bytes>> {
+    let mut req = poison_request("/grades/1", attempt);
+    let prompt = HeaderValue::from_static("7:50,8:40");
+    req.headers_mut().insert("x-prompt", prompt);
+    req
+}
+
+/// Serves all requests but the poison request, in whose response the process ends.
+fn crash_on_poison(received: &ReceivedRequest) -> Vec<Action> {
+    let events = "id: 1\ndata: 1\n\n";
+    let head = "content-type: text/event-stream\r\n";
+    if received.body == POISON {
+        let whole = received.response_text("200 OK", head, events);
+        let cut = whole.len() - events.len();
+        return vec![Action::Write(whole[..cut].to_owned()), Action::Crash];
+    }
+    received.response("200 OK", head, events)
+}
+
+fn fleet(size: usize) -> Vec<StubUpstream> {
+    (0..size)
+        .map(|_| StubUpstream::start(crash_on_poison))
+        .collect()
+}
+
+fn entries(
+    fleet: &[StubUpstream],
+    service: &str,
+    stage: Stage,
+) -> Vec<relay::upstream::UpstreamEntry> {
+    let entry =
+        |(index, stub): (usize, &StubUpstream)| stub.entry(&format!("u{index}"), service, stage);
+    fleet.iter().enumerate().map(entry).collect()
+}
+
+/// Waits until the health checks of upstreams whose connections broke are done.
+async fn health_checks_done(instance: &TestInstance) {
+    let all_done = || {
+        let upstreams = instance.relay.upstreams.borrow();
+        upstreams.iter().all(|each| !each.is_health_check_running())
+    };
+    assert!(wait_until(all_done).await);
+}
+
+fn crash_count(fleet: &[StubUpstream]) -> usize {
+    fleet.iter().filter(|stub| stub.has_crashed()).count()
+}
+
+/// Guards against a request that takes down the whole fleet. An engine crashes as it begins to
+/// respond; the request is retried at another one, which crashes too, and the caller sends the same
+/// request under new attempt ids. Held against the engine each time and never against the request,
+/// it would reach them all. Other requests must still be served.
+#[actix_rt::test]
+async fn a_poison_generation_does_not_take_down_the_fleet() {
+    let fleet = fleet(8);
+    let instance = TestInstance::start(entries(&fleet, "llm", Stage::Decode));
+    for attempt in 0..8 {
+        instance.fetch(poison_generation(attempt)).await;
+    }
+    assert!(
+        crash_count(&fleet) <= MAX_CRASHES,
+        "{} crashed",
+        crash_count(&fleet)
+    );
+    let mut harmless = request(Method::POST, "/grades/2", "other");
+    let prompt = HeaderValue::from_static("7:50,8:40");
+    harmless.headers_mut().insert("x-prompt", prompt);
+    assert_eq!(instance.fetch(harmless).await.0, 200);
+}
+
+/// The same for a safe request without a stream: no response comes, and it is retried since it may
+/// run twice.
+#[actix_rt::test]
+async fn a_poison_read_does_not_take_down_the_service() {
+    let fleet = fleet(8);
+    let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
+    for attempt in 0..8 {
+        instance.fetch(poison_request("/reads/1", attempt)).await;
+    }
+    assert!(
+        crash_count(&fleet) <= MAX_CRASHES,
+        "{} crashed",
+        crash_count(&fleet)
+    );
+}
+
+/// The same where the caller reaches another instance each time. Unless gossip carries what became
+/// of a request, each instance would begin to count anew.
+#[actix_rt::test]
+async fn crashes_under_a_request_are_gossiped() {
+    let fleet = fleet(12);
+    let instances: Vec<Rc<TestInstance>> = (0..4)
+        .map(|_| Rc::new(TestInstance::start(entries(&fleet, "llm", Stage::Decode))))
+        .collect();
+    for (attempt, instance) in instances.iter().enumerate() {
+        instance.fetch(poison_generation(attempt)).await;
+        for other in &instances {
+            if !Rc::ptr_eq(instance, other) {
+                deliver_gossip(&instance.relay, &other.relay);
+            }
+        }
+    }
+    assert!(
+        crash_count(&fleet) <= MAX_CRASHES,
+        "{} crashed",
+        crash_count(&fleet)
+    );
+}
+
+/// An unsafe request runs once at the most, so an attempt is sent to one upstream. When its caller
+/// sends it again after two crashes it is refused as not run, which is true of that attempt.
+#[actix_rt::test]
+async fn a_poison_claim_is_refused_as_not_run() {
+    let fleet = fleet(8);
+    let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
+    let mut statuses = Vec::new();
+    for attempt in 0..5 {
+        statuses.push(instance.fetch(poison_request("/claims/1", attempt)).await.0);
+        health_checks_done(&instance).await;
+    }
+    assert_eq!(crash_count(&fleet), 2);
+    assert_eq!(statuses, [502, 502, 503, 503, 503]);
+}
+
+/// Guards against counting only crashes during decode. A prefill engine crashes; the prompt is then
+/// sent to a decode engine, which prefills it and crashes too. Both count.
+#[actix_rt::test]
+async fn crashes_during_prefill_count() {
+    let prefill_engines: Vec<StubUpstream> = (0..6)
+        .map(|_| StubUpstream::start(|_| vec![Action::Crash]))
+        .collect();
+    let decode_engines = fleet(6);
+    let mut all = entries(&prefill_engines, "llm", Stage::Prefill);
+    let decode_entry = |(index, stub): (usize, &StubUpstream)| {
+        stub.entry(&format!("m{index}"), "llm", Stage::Decode)
+    };
+    all.extend(decode_engines.iter().enumerate().map(decode_entry));
+    let instance = TestInstance::start(all);
+    for attempt in 0..6 {
+        let mut req = poison_generation(attempt);
+        let prompt = HeaderValue::from_static("7:13000,8:4000");
+        req.headers_mut().insert("x-prompt", prompt);
+        instance.fetch(req).await;
+    }
+    let crashes = crash_count(&prefill_engines) + crash_count(&decode_engines);
+    assert!(crashes <= MAX_CRASHES, "{crashes} crashed");
+}
+
+/// Guards against refusing other requests after an engine crashed under a poison request: they are
+/// served elsewhere, since a single crash is no reason to refuse a request.
+#[actix_rt::test]
+async fn other_requests_of_a_crashed_engine_are_served() {
+    let fleet = fleet(3);
+    let instance = TestInstance::start(entries(&fleet, "llm", Stage::Decode));
+    instance.fetch(poison_generation(0)).await;
+    for attempt in 1..5 {
+        let mut req = request(Method::POST, "/grades/3", &attempt.to_string());
+        let prompt = HeaderValue::from_static("7:50,8:40");
+        req.headers_mut().insert("x-prompt", prompt);
+        let (status, body) = instance.fetch(req).await;
+        assert_eq!((status, body.is_some()), (200, true));
+    }
+}
+
+/// An instance that starts, or comes back from a partition, learns the known poison requests with
+/// the snapshot of a peer and refuses them without losing an engine.
+#[actix_rt::test]
+async fn a_starting_instance_learns_poison_requests_from_a_peer() {
+    let fleet = fleet(8);
+    let all = entries(&fleet, "llm", Stage::Decode);
+    let old = TestInstance::start(all.clone());
+    for attempt in 0..4 {
+        old.fetch(poison_generation(attempt)).await;
+        health_checks_done(&old).await;
+    }
+    let crashes = crash_count(&fleet);
+    let new = TestInstance::start(all);
+    let peer = "127.0.0.1:1".parse().expect("an address");
+    relay::snapshot::merge(&new.relay, &old.relay.snapshot(), peer);
+    assert_eq!(new.fetch(poison_generation(9)).await.0, 503);
+    assert_eq!(crash_count(&fleet), crashes);
+}
+
+/// Guards against taking a broken connection for a crash. Healthy upstreams break the connection under
+/// a safe request several times; it isn't poison, and is served in the end.
+#[actix_rt::test]
+async fn a_reset_connection_is_not_a_crash() {
+    let resets_left = Rc::new(Cell::new(9));
+    let resetting_upstream = || {
+        let resets_left = Rc::clone(&resets_left);
+        StubUpstream::start(move |received| {
+            if resets_left.get() == 0 {
+                return received.response("200 OK", "", "ok");
+            }
+            resets_left.set(resets_left.get() - 1);
+            vec![Action::Close]
+        })
+    };
+    let fleet: Vec<StubUpstream> = (0..5).map(|_| resetting_upstream()).collect();
+    let instance = TestInstance::start(entries(&fleet, "desk", Stage::Whole));
+    let mut statuses = Vec::new();
+    for attempt in 0..6 {
+        statuses.push(instance.fetch(poison_request("/reads/1", attempt)).await.0);
+        health_checks_done(&instance).await;
+    }
+    assert_eq!(statuses, [502, 502, 502, 502, 200, 200]);
+}
+
+/// Guards against missing a crash because the upstream restarts at the same address before its
+/// health check. The list names the new incarnation, and each one that ended counts.
+#[actix_rt::test]
+async fn an_upstream_that_restarts_at_once_counts_as_crashed() {
+    let desk = StubUpstream::start(|_| vec![Action::Close]);
+    let entry = |started_ms: u64| relay::upstream::UpstreamEntry {
+        started_ms,
+        ..desk.entry("desk", "desk", Stage::Whole)
+    };
+    let instance = TestInstance::start(vec![entry(0)]);
+    let mut statuses = Vec::new();
+    for attempt in 0..4 {
+        statuses.push(instance.fetch(poison_request("/claims/1", attempt)).await.0);
+        health_checks_done(&instance).await;
+        instance.relay.apply_change(
+            ListChange::Put(entry(1 + attempt as u64)),
+            relay::Origin::Read,
+        );
+    }
+    assert_eq!(statuses, [502, 502, 503, 503]);
+}
+
+/// Guards against a decode of a request that gossip names as poison during its prefill: it would
+/// crash a third engine.
+#[actix_rt::test]
+async fn a_request_found_poisonous_during_prefill_gets_no_decode() {
+    let prefill_engine = StubUpstream::start(|received| {
+        let mut actions = vec![Action::Wait(300)];
+        actions.extend(received.response("200 OK", "", "kv-1"));
+        actions
+    });
+    let decode_engines = fleet(2);
+    let mut all = entries(&decode_engines, "llm", Stage::Decode);
+    all.push(prefill_engine.entry("prefill", "llm", Stage::Prefill));
+    let instance = Rc::new(TestInstance::start(all));
+    let mut req = poison_generation(0);
+    let prompt = HeaderValue::from_static("7:13000,8:4000");
+    req.headers_mut().insert("x-prompt", prompt);
+    let answer = actix_rt::spawn({
+        let instance = Rc::clone(&instance);
+        async move { instance.fetch(req).await.0 }
+    });
+    assert!(wait_until(|| prefill_engine.count() == 1).await);
+    let key = RequestKey::of("host.test", "POST", "/grades/1", POISON.as_bytes());
+    instance.relay.learn_poison_requests(&[key]);
+    assert_eq!(answer.await.expect("an answer"), 503);
+    assert_eq!(crash_count(&decode_engines), 0);
+}
+
+/// Guards against a third upstream that gets a request before the health check of the second is
+/// done, where a route allows six attempts.
+#[actix_rt::test]
+async fn one_attempt_crashes_two_upstreams_at_the_most() {
+    for (path, service, stage) in [
+        ("/reads/1", "desk", Stage::Whole),
+        ("/grades/1", "llm", Stage::Decode),
+    ] {
+        let fleet = fleet(8);
+        let instance = TestInstance::start(entries(&fleet, service, stage));
+        let default = config(2);
+        let routes = default.all_routes().cloned().map(|route| Route {
+            max_attempts: 6,
+            ..route
+        });
+        let services = default.services().clone();
+        let six_attempts = Config::new(2, routes.collect(), services, Limits::default());
+        assert!(instance.relay.configure(six_attempts));
+        let mut req = poison_request(path, 0);
+        if stage == Stage::Decode {
+            req = poison_generation(0);
+        }
+        instance.fetch(req).await;
+        health_checks_done(&instance).await;
+        assert_eq!(crash_count(&fleet), 2, "{path}");
+    }
+}
