--- a/crates/entry/src/beats.rs
+++ b/crates/entry/src/beats.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use feed::Entry;
-use once::{BodyDigest, Key};
+use feed::RawRecord;
+use once::{BodyDigest, IdempotencyKey};
 use plan::Outstanding;
-use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, Condition, Load};
+use wire::{Answer, Call, CallStatus, ClaimVerdict, Condition, EngineLoad, Heartbeat};
 
 use crate::app::App;
 
@@ -24,7 +24,7 @@
     while let Some(tick) = ticks.next().await {
         if tick.now_ms > last_ms + PAUSE_BEATS * period_ms {
             log::warn!(step = "beat", paused_ms = tick.now_ms - last_ms; "this process was paused");
-            app.members.borrow_mut().resumed(tick.now_ms);
+            app.members.borrow_mut().record_pause(tick.now_ms);
         }
         last_ms = tick.now_ms;
         expect(&app, tick.now_ms);
@@ -32,7 +32,9 @@
         app.witness.borrow_mut().expire(tick.now_ms);
         let targets = {
             let mut rng = app.rng.borrow_mut();
-            app.members.borrow().targets(&app.settings.zone, &mut *rng)
+            app.members
+                .borrow()
+                .heartbeat_targets(&app.settings.zone, &mut *rng)
         };
         for target in targets {
             actix_rt::spawn(exchange(app.clone(), target));
@@ -75,32 +77,32 @@
     let limit_ms = app.settings.membership.suspect_ms;
     match app.peers.exchange(&peer, &mine, limit_ms).await {
         Ok(theirs) => hear(&app, theirs),
-        Err(error) => log::debug!(step = error.step, peer = error.peer.as_str(); "{error}"),
+        Err(error) => log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}"),
     }
 }
 
-fn beat(app: &App) -> Beat {
+fn beat(app: &App) -> Heartbeat {
     let now_ms = app.now_ms();
     let tells = (now_ms / app.settings.membership.beat_ms).is_multiple_of(LOAD_BEATS);
     let sent = tells.then(|| loads(app, now_ms));
     let rate = app.forecast.borrow();
     let (prompt_rate, output_rate) = (rate.prompt_rate(), rate.output_rate());
-    Beat {
+    Heartbeat {
         instance: app.identity.instance.clone(),
         incarnation: app.identity.incarnation,
         zone: app.settings.zone.clone(),
         condition: app.condition.get(),
         applied_offset: app.cursor.borrow().state().next_offset(),
-        epoch: app.epochs.at(now_ms),
+        epoch: app.epochs.epoch_at(now_ms),
         caller_address: app.caller_address.clone(),
-        sent,
+        sent_load: sent,
         bundle_version: app.bundle().map_or(0, |bundle| bundle.bundle().version),
         prompt_rate,
         output_rate,
     }
 }
 
-fn loads(app: &App, now_ms: u64) -> Vec<Load> {
+fn loads(app: &App, now_ms: u64) -> Vec<EngineLoad> {
     let fleet = app.fleet.borrow();
     let busy = fleet
         .iter()
@@ -108,9 +110,9 @@
     busy.map(|engine| load(now_ms, engine)).collect()
 }
 
-fn load(now_ms: u64, engine: &plan::Engine) -> Load {
+fn load(now_ms: u64, engine: &plan::Engine) -> EngineLoad {
     let own = engine.own_load();
-    Load {
+    EngineLoad {
         engine: engine.name.clone(),
         at_ms: now_ms,
         prompt_tokens: own.prompt.map(|tokens| tokens as u64).to_vec(),
@@ -120,9 +122,9 @@
     }
 }
 
-fn hear(app: &App, beat: Beat) {
+fn hear(app: &App, beat: Heartbeat) {
     let now_ms = app.now_ms();
-    if let Some(loads) = &beat.sent {
+    if let Some(loads) = &beat.sent_load {
         let mut fleet = app.fleet.borrow_mut();
         // An engine that is not told of any more has nothing of that peer's left.
         for engine in fleet.iter_mut() {
@@ -135,10 +137,10 @@
             }
         }
     }
-    app.members.borrow_mut().heard(now_ms, beat);
+    app.members.borrow_mut().record_heartbeat(now_ms, beat);
 }
 
-fn outstanding(load: &Load) -> Outstanding {
+fn outstanding(load: &EngineLoad) -> Outstanding {
     let mut outstanding = Outstanding {
         running: load.running as f64,
         output: load.output_tokens as f64,
@@ -157,21 +159,21 @@
 pub(crate) struct Peers(pub(crate) Rc<App>);
 
 impl peer::Handler for Peers {
-    fn exchange(&self, theirs: Beat) -> Beat {
+    fn exchange(&self, theirs: Heartbeat) -> Heartbeat {
         hear(&self.0, theirs);
         beat(&self.0)
     }
 
-    fn records(&self, from: u64) -> (Vec<Entry>, u64, Option<Vec<u8>>) {
+    fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>) {
         let cursor = self.0.cursor.borrow();
         let next = cursor.state().next_offset();
-        match cursor.tail(from) {
+        match cursor.records_from(from) {
             Some(entries) => (entries, next, None),
             None => (Vec::new(), next, Some(cursor.state().snapshot().encode())),
         }
     }
 
-    fn claim(&self, key: &Key, digest: BodyDigest) -> ClaimVerdict {
+    fn claim(&self, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict {
         if self.0.condition.get() == Condition::Starting {
             return ClaimVerdict::Foreign;
         }
@@ -179,12 +181,12 @@
         self.0.witness.borrow_mut().claim(now_ms, key, digest)
     }
 
-    fn fence(&self, key: &Key, digest: BodyDigest) -> CallStatus {
+    fn fence(&self, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus {
         let now_ms = self.0.now_ms();
         self.0.witness.borrow_mut().fence(now_ms, key, digest)
     }
 
-    fn finish(&self, key: &Key, answer: Answer) {
+    fn finish(&self, key: &IdempotencyKey, answer: Answer) {
         self.0.witness.borrow_mut().finish(key, answer);
     }
 
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -1,8 +1,8 @@
 //! `GET /v1/lookup`: which instances a caller should use.
 
-use once::{Key, KeyPlace};
+use once::{IdempotencyKey, InstanceEpoch};
 use serde::{Deserialize, Serialize};
-use wire::{Beat, Condition};
+use wire::{Condition, Heartbeat};
 
 use crate::app::App;
 
@@ -69,9 +69,9 @@
     let now_ms = app.now_ms();
     let members = app.members.borrow();
     let ready = members.ready(now_ms, &app.settings.zone);
-    let usable = |beat: &&&Beat| members.address(&beat.instance, beat.incarnation).is_some();
-    let usable: Vec<&&Beat> = ready.iter().filter(usable).collect();
-    let far: Vec<&&Beat> = usable
+    let usable = |beat: &&&Heartbeat| members.address(&beat.instance, beat.incarnation).is_some();
+    let usable: Vec<&&Heartbeat> = ready.iter().filter(usable).collect();
+    let far: Vec<&&Heartbeat> = usable
         .iter()
         .copied()
         .filter(|beat| beat.zone != app.settings.zone)
@@ -79,21 +79,21 @@
     let pool = if far.is_empty() { &usable } else { &far };
     let pick = rand::Rng::random_range(&mut *app.rng.borrow_mut(), 0..pool.len().max(1));
     let witness = pool.get(pick)?;
-    let home = KeyPlace {
+    let home = InstanceEpoch {
         instance: app.identity.instance.clone(),
         incarnation: app.identity.incarnation,
-        epoch: app.epochs.at(now_ms),
+        epoch: app.epochs.epoch_at(now_ms),
     };
-    let witness = KeyPlace {
+    let witness = InstanceEpoch {
         instance: witness.instance.clone(),
         incarnation: witness.incarnation,
         epoch: witness.epoch,
     };
-    Some(Key::prefix(&home, &witness))
+    Some(IdempotencyKey::prefix(&home, &witness))
 }
 
-impl From<&Beat> for Instance {
-    fn from(beat: &Beat) -> Self {
+impl From<&Heartbeat> for Instance {
+    fn from(beat: &Heartbeat) -> Self {
         Self {
             instance: beat.instance.clone(),
             address: beat.caller_address.clone(),
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -6,25 +6,25 @@
 
 use actix_rt::task::JoinHandle;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
-use feed::Entry;
-use once::{BodyDigest, Key};
+use feed::RawRecord;
+use once::{BodyDigest, IdempotencyKey};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::compat::TokioAsyncReadCompatExt;
-use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, peer_capnp};
+use wire::{Answer, Call, CallStatus, ClaimVerdict, Heartbeat, peer_capnp};
 
 /// What an instance does for others; the edge between messages and the process's state.
 #[allow(async_fn_in_trait, reason = "every caller runs on one thread")]
 pub trait Handler: 'static {
     /// Takes in a heartbeat and gives its own.
-    fn exchange(&self, beat: Beat) -> Beat;
+    fn exchange(&self, beat: Heartbeat) -> Heartbeat;
     /// Records read back from the log from an offset on, with the next offset, or a snapshot.
-    fn records(&self, from: u64) -> (Vec<Entry>, u64, Option<Vec<u8>>);
+    fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>);
     /// A home asks its witness.
-    fn claim(&self, key: &Key, digest: BodyDigest) -> ClaimVerdict;
+    fn claim(&self, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict;
     /// An instance that cannot reach a home asks its witness.
-    fn fence(&self, key: &Key, digest: BodyDigest) -> CallStatus;
+    fn fence(&self, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus;
     /// A home gives its witness an answer.
-    fn finish(&self, key: &Key, answer: Answer);
+    fn finish(&self, key: &IdempotencyKey, answer: Answer);
     /// An instance hands a call to its home.
     async fn forward(&self, call: Call) -> CallStatus;
 }
@@ -94,7 +94,7 @@
     capnp::Error::failed(error.to_string())
 }
 
-fn key(text: capnp::Result<capnp::text::Reader>) -> capnp::Result<Key> {
+fn key(text: capnp::Result<capnp::text::Reader>) -> capnp::Result<IdempotencyKey> {
     text?
         .to_str()?
         .parse()
@@ -107,7 +107,8 @@
         params: peer_capnp::peer::ExchangeParams,
         mut results: peer_capnp::peer::ExchangeResults,
     ) -> capnp::Result<()> {
-        let beat = Beat::try_from(params.get()?.get_beat()?).map_err(|error| refuse(&error))?;
+        let beat =
+            Heartbeat::try_from(params.get()?.get_beat()?).map_err(|error| refuse(&error))?;
         let mine = self.handler.exchange(beat);
         mine.fill(results.get().init_beat());
         Ok(())
@@ -140,7 +141,7 @@
         mut results: peer_capnp::peer::ClaimResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let digest = wire::digest("claim.bodyDigest", params.get_body_digest()?);
+        let digest = wire::parse_digest("claim.bodyDigest", params.get_body_digest()?);
         let digest = digest.map_err(|error| refuse(&error))?;
         let verdict = self.handler.claim(&key(params.get_key())?, digest);
         results.get().set_verdict(verdict.into());
@@ -153,7 +154,7 @@
         mut results: peer_capnp::peer::FenceResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let digest = wire::digest("fence.bodyDigest", params.get_body_digest()?);
+        let digest = wire::parse_digest("fence.bodyDigest", params.get_body_digest()?);
         let digest = digest.map_err(|error| refuse(&error))?;
         let status = self.handler.fence(&key(params.get_key())?, digest);
         status.fill(results.get().init_status());
--- a/crates/perf/src/slopes.rs
+++ b/crates/perf/src/slopes.rs
@@ -10,12 +10,12 @@
 use conf::BundleIndex;
 use feed::State;
 use keys::KeyHash;
-use once::{Epochs, Home, Key, KeyPlace, Witness};
-use peer::{Known, Members};
+use once::{EpochCounter, Home, IdempotencyKey, InstanceEpoch, Witness};
+use peer::{PeerInfo, PeerTable};
 use plan::{Engine, EngineProfile, Fleet, Outstanding, Request, Router};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use wire::{Beat, Body, Condition, LeaseClaimed, LeaseRef, Load, Origin, Record};
+use wire::{Body, Condition, EngineLoad, Heartbeat, LeaseClaimed, LeaseRef, Origin, Record};
 
 /// Runs of each measurement, of which the fastest counts: the others were disturbed.
 const RUNS: usize = 5;
@@ -214,8 +214,8 @@
     })
 }
 
-fn beat(loads: usize) -> Beat {
-    let load = |number: usize| Load {
+fn beat(loads: usize) -> Heartbeat {
+    let load = |number: usize| EngineLoad {
         engine: format!("engine-{number:04}"),
         at_ms: 1_000_000,
         prompt_tokens: vec![100, 2_000, 40_000],
@@ -223,7 +223,7 @@
         waiting: vec![1, 2, 3],
         running: 20,
     };
-    Beat {
+    Heartbeat {
         instance: "entry-0123".to_owned(),
         incarnation: u64::MAX,
         zone: "region-1/zone-16".to_owned(),
@@ -231,7 +231,7 @@
         applied_offset: 1_000_000,
         epoch: 1_000,
         caller_address: "10.100.100.100:8080".to_owned(),
-        sent: Some((0..loads).map(load).collect()),
+        sent_load: Some((0..loads).map(load).collect()),
         bundle_version: 1_000,
         prompt_rate: 100.0,
         output_rate: 10.0,
@@ -245,7 +245,7 @@
 fn beat_us(loads: usize) -> f64 {
     let beat = beat(loads);
     time_us(500, |_| {
-        let _ = black_box(Beat::decode(&beat.encode()));
+        let _ = black_box(Heartbeat::decode(&beat.encode()));
     })
 }
 
@@ -259,24 +259,24 @@
 }
 
 fn lookup_us(instances: usize) -> f64 {
-    let settings = peer::Settings {
+    let settings = peer::MembershipSettings {
         suspect_ms: 1_000,
         fan_out: 3,
     };
-    let mut members = Members::new(settings);
+    let mut members = PeerTable::new(settings);
     for number in 0..instances {
         let name = format!("entry-{number:04}");
-        let known = Known {
+        let known = PeerInfo {
             instance: name.clone(),
             peer_address: "10.0.0.1:1".to_owned(),
             zone: format!("zone-{}", number % 16),
-            heard: None,
+            last_heartbeat: None,
             leaving: false,
         };
-        members.listed(0, std::iter::once(known));
-        members.heard(
+        members.apply_list(0, std::iter::once(known));
+        members.record_heartbeat(
             1,
-            Beat {
+            Heartbeat {
                 instance: name,
                 ..beat(0)
             },
@@ -324,7 +324,7 @@
     let place = number as usize % leases;
     let renewed = LeaseRef {
         group: group(place),
-        fence: place as u64 + 1,
+        fencing_token: place as u64 + 1,
     };
     record(leases as u64 + number + 1, Body::LeaseRenewed(renewed))
 }
@@ -397,10 +397,10 @@
 }
 
 fn once_us(held: usize) -> f64 {
-    let epochs = Epochs::new(0);
+    let epochs = EpochCounter::new(0);
     let mut home = Home::new("home", 1, epochs);
     let mut witness = Witness::new("witness", 2, epochs);
-    let place = |instance: &str, incarnation| KeyPlace {
+    let place = |instance: &str, incarnation| InstanceEpoch {
         instance: instance.to_owned(),
         incarnation,
         epoch: 1,
@@ -408,14 +408,14 @@
     let mut number = 0_u64;
     let mut call = |_: usize| {
         number += 1;
-        let key = Key {
+        let key = IdempotencyKey {
             home: place("home", 1),
             witness: place("witness", 2),
             suffix: number.to_string(),
         };
         home.admit(1, &key, [0; 32]);
         let verdict = witness.claim(1, &key, [0; 32]);
-        black_box(home.granted(&key, Some(verdict)));
+        black_box(home.record_verdict(&key, Some(verdict)));
     };
     (0..held).for_each(&mut call);
     time_us(200, call)
