--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -1,50 +1,50 @@
-//! Who holds the lease over one group of engines.
+//! Election of the lease holder for one group of engines.
 
 use wire::LeaseState;
 
-/// Renewals begin after this share of the ttl, so that two may be lost before the lease lapses.
-const RENEW_SHARE: u64 = 3;
+/// A lease is renewed after `ttl / RENEWAL_DIVISOR`, so two renewals may fail before it expires.
+const RENEWAL_DIVISOR: u64 = 3;
 
-/// An instance in one life.
+/// One incarnation of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// Instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Number drawn at its start.
+    /// Random number drawn when the process starts.
     pub incarnation: u64,
 }
 
-/// Times that all instances of a deployment share.
+/// Lease timing, the same for all instances of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTimes {
-    /// Time for which a renewal holds, counted from before it was sent.
+    /// Validity of a claim or renewal, counted from before it was sent.
     pub ttl_ms: u64,
-    /// Time that a successor waits beyond the ttl, counted from when it read the renewal.
+    /// Time that a candidate waits in addition to the TTL, counted from when it read the last record.
     pub margin_ms: u64,
 }
 
-/// The right to give orders to a group, until a moment of the holder's own clock.
+/// Permission to send orders to a group until a time on the holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Authority {
-    /// Offset of the claim.
+    /// Log offset of the claim, used as the fencing token.
     pub fence: u64,
-    /// The holder's own monotonic time at which the right ends.
+    /// Time on the holder's monotonic clock at which the permission ends.
     pub expires_ms: u64,
 }
 
-/// What to append now.
+/// Record to append to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing.
+    /// No record.
     Wait,
-    /// A claim that names the newest record of the lease.
+    /// A claim that supersedes the newest record of the lease.
     Claim {
-        /// Offset of that record; 0 if there is none.
+        /// Offset of the newest record; 0 if there is none.
         supersedes: u64,
     },
     /// A renewal.
     Renew {
-        /// Offset of the claim that is renewed.
+        /// Log offset of the claim to renew.
         fence: u64,
     },
 }
@@ -62,29 +62,29 @@
     read_ms: u64,
     ttl_ms: u64,
     released: bool,
-    my_fence: Option<u64>,
+    own_fence: Option<u64>,
 }
 
-/// Claims, renews and gives up the lease over one group.
+/// Claims, renews and releases the lease over one group.
 ///
-/// Two rules make two holders at once impossible, whatever is paused, cut or lost. The holder
-/// counts the ttl from before it queued the very record that it has since read back. A successor
-/// counts ttl and margin from after it read the newest record, and its claim names that record,
-/// so it fails if the holder renewed in the meantime. As a record is read after it is sent, the
-/// successor's wait ends after the holder's time.
+/// Two rules exclude two holders at the same time, even with paused processes, partitions and lost
+/// messages. The holder counts the TTL from before it queued a record that it has since read back. A
+/// candidate counts TTL and margin from after it read the newest record, and its claim names that
+/// record, so the claim fails if the holder has renewed since. A record is read after it is sent, so
+/// the candidate's wait ends after the holder's lease.
 #[derive(Debug)]
 pub struct Elector {
     identity: Identity,
     group: String,
     times: LeaseTimes,
     newest: Newest,
-    mine: Option<Authority>,
+    held_authority: Option<Authority>,
     sent: Option<Sent>,
-    leaving: bool,
+    has_resigned: bool,
 }
 
 impl Elector {
-    /// An elector that has read nothing yet.
+    /// Creates an elector that has not read the log.
     pub fn new(identity: Identity, group: &str, times: LeaseTimes, now_ms: u64) -> Self {
         Self {
             identity,
@@ -95,20 +95,20 @@
                 read_ms: now_ms,
                 ttl_ms: 0,
                 released: true,
-                my_fence: None,
+                own_fence: None,
             },
-            mine: None,
+            held_authority: None,
             sent: None,
-            leaving: false,
+            has_resigned: false,
         }
     }
 
-    /// Group of engines.
+    /// Name of the group of engines.
     pub fn group(&self) -> &str {
         &self.group
     }
 
-    /// Takes in the lease as folded from the log, after it was read at `now_ms`.
+    /// Updates the lease from the state of the log, as read at `now_ms`.
     pub fn observe(&mut self, now_ms: u64, lease: Option<&LeaseState>) {
         let Some(lease) = lease.filter(|lease| lease.renewed != self.newest.offset) else {
             return;
@@ -121,50 +121,50 @@
             read_ms: now_ms,
             ttl_ms: lease.ttl_ms,
             released: lease.released,
-            my_fence: held.then_some(lease.fence),
+            own_fence: held.then_some(lease.fence),
         };
         if !held {
-            self.mine = None;
+            self.held_authority = None;
             self.sent = None;
             return;
         }
-        // Only the send of this very record may be counted from. An earlier record that was
-        // given up and landed late was perhaps read by a successor long ago; counting it from a
-        // later send would let both act at once.
+        // The TTL must be counted from the send of this record. An earlier record that was retried
+        // and appended late may have been read by a candidate long ago; counting it from a later
+        // send would let both act at the same time.
         let Some(sent) = self.sent.filter(|sent| sent.sequence == lease.sequence) else {
             return;
         };
         self.sent = None;
-        self.mine = Some(Authority {
+        self.held_authority = Some(Authority {
             fence: lease.fence,
             expires_ms: sent.at_ms + self.times.ttl_ms,
         });
     }
 
-    /// What to append, for an instance whose turn is `rank` (0 first) among those that are live.
+    /// Returns the record to append, for an instance with the given `rank` among the live ones.
     ///
-    /// Ranks only spread the claims out, so that all instances do not claim at once. They rest
-    /// on views that may differ; the log decides. After the append is queued, `record_sent` must be
-    /// told its sequence number.
+    /// Ranks stagger the claims, with rank 0 first. Instances may disagree on them; the log decides.
+    /// After the record is queued, `record_sent` must be called with its sequence number.
     pub fn poll(&mut self, now_ms: u64, rank: u64) -> LeaseAction {
-        if self.leaving || self.is_awaiting(now_ms) {
+        if self.has_resigned || self.is_append_pending(now_ms) {
             return LeaseAction::Wait;
         }
-        match self.newest.my_fence {
+        match self.newest.own_fence {
             Some(fence) => self.poll_holder(now_ms, fence),
             None => self.poll_candidate(now_ms, rank),
         }
     }
 
-    fn is_awaiting(&self, now_ms: u64) -> bool {
+    fn is_append_pending(&self, now_ms: u64) -> bool {
         self.sent
             .is_some_and(|sent| now_ms < sent.at_ms + self.times.ttl_ms)
     }
 
-    /// A holder that lapsed may still renew: had another claimed, the newest record were theirs.
+    /// A holder whose lease has expired may still renew: the newest record shows that nobody else has
+    /// claimed it.
     fn poll_holder(&self, now_ms: u64, fence: u64) -> LeaseAction {
-        let renew_at_ms = self.mine.map_or(0, |mine| {
-            mine.expires_ms - self.times.ttl_ms + self.times.ttl_ms / RENEW_SHARE
+        let renew_at_ms = self.held_authority.map_or(0, |held_authority| {
+            held_authority.expires_ms - self.times.ttl_ms + self.times.ttl_ms / RENEWAL_DIVISOR
         });
         if now_ms < renew_at_ms {
             return LeaseAction::Wait;
@@ -174,12 +174,12 @@
 
     fn poll_candidate(&self, now_ms: u64, rank: u64) -> LeaseAction {
         let stagger_ms = rank.saturating_mul(self.times.margin_ms / 2);
-        let lapse_ms = if self.newest.released {
+        let expiry_ms = if self.newest.released {
             0
         } else {
             self.newest.ttl_ms.max(self.times.ttl_ms) + self.times.margin_ms
         };
-        if now_ms < self.newest.read_ms + lapse_ms + stagger_ms {
+        if now_ms < self.newest.read_ms + expiry_ms + stagger_ms {
             return LeaseAction::Wait;
         }
         LeaseAction::Claim {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The action of the last poll was queued at `now_ms` under this sequence number.
+    /// Records that the last polled action was queued at `now_ms` under this sequence number.
     pub fn record_sent(&mut self, now_ms: u64, sequence: u64) {
         self.sent = Some(Sent {
             sequence,
@@ -195,16 +195,19 @@
         });
     }
 
-    /// The right to give orders at `now_ms`, if this instance has it.
+    /// Returns the permission to send orders if this instance holds the lease at `now_ms`.
     pub fn authority(&self, now_ms: u64) -> Option<Authority> {
-        self.mine.filter(|mine| now_ms < mine.expires_ms)
+        self.held_authority
+            .filter(|held_authority| now_ms < held_authority.expires_ms)
     }
 
-    /// Stops claiming and renewing; gives the fence to release if the lease is held.
+    /// Stops claiming and renewing. Returns the fencing token to release if the lease is held.
     pub fn resign(&mut self, now_ms: u64) -> Option<u64> {
-        self.leaving = true;
-        let held = self.authority(now_ms).map(|mine| mine.fence);
-        self.mine = None;
+        self.has_resigned = true;
+        let held = self
+            .authority(now_ms)
+            .map(|held_authority| held_authority.fence);
+        self.held_authority = None;
         held
     }
 }
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -1,9 +1,9 @@
-//! A connection that is cut when the lease lapses, even if the process is paused then.
+//! Cuts a connection when the lease expires, even if the process is paused at that time.
 //!
-//! Some engines ignore fencing tokens. For them, checking the lease before the write is not
-//! enough: the process may be stopped between the check and the write, and its first act on
-//! waking would be to put a stale order on the wire. A POSIX timer aimed at the ordering thread
-//! closes that gap. See docs/design/orders.md for what it does and does not prevent.
+//! Some engines ignore fencing tokens. For them it is not enough to check the lease before a write:
+//! the process may be suspended between the check and the write, and would send a stale order when it
+//! resumes. A POSIX timer that signals the sending thread closes this gap. See docs/design/orders.md
+//! for what it does and does not prevent.
 
 use std::io;
 use std::os::fd::{AsRawFd, RawFd};
@@ -14,55 +14,56 @@
 use socket2::SockRef;
 use tick::Clock;
 
-/// No socket is guarded.
+/// Value of the guarded descriptor when there is none.
 const NO_SOCKET: RawFd = -1;
 
-/// Time after which the kernel drops bytes that a partition holds back. A process that is paused
-/// beyond its lease cannot drop them itself, so a successor's margin must exceed this time.
+/// Time after which the kernel drops unacknowledged bytes. A process that is paused past the end of
+/// its lease cannot drop them itself, so the lease margin must exceed this time.
 pub const TCP_USER_TIMEOUT_MS: u64 = 400;
 
 thread_local! {
-    /// The socket that the handler cuts. One order is on the wire at a time in a thread, so one
-    /// slot is enough; the handler may touch only this and call only `connect`. A constant
-    /// without a destructor needs no set-up that a signal could interrupt.
-    static GUARDED: AtomicI32 = const { AtomicI32::new(NO_SOCKET) };
+    /// Descriptor of the socket that the signal handler cuts. A thread sends one order at a time, so
+    /// one descriptor is enough. The handler may only read this value and call `connect`. The
+    /// initializer is constant and the value has no destructor, so a signal cannot interrupt a lazy
+    /// initialization.
+    static GUARDED_SOCKET: AtomicI32 = const { AtomicI32::new(NO_SOCKET) };
 }
 
-/// A POSIX timer whose signal goes to the thread that made it.
+/// A POSIX timer that signals the thread that created it.
 ///
-/// Failure: a holder is paused past its lease with an order half written. Symptom: on waking it
-/// sends an order that conflicts with its successor's. The kernel delivers a pending signal to a
-/// thread before that thread runs again in user space, and the timer expired during the pause, so
-/// the handler cuts the connection before the next write can happen.
+/// Prevents a holder that is paused past its lease with a half-written order from sending the rest,
+/// which could conflict with its successor's order. The timer expires during the pause, and the kernel
+/// delivers a pending signal before the thread runs in user space again, so the handler cuts the
+/// connection before the next write.
 #[derive(Debug)]
 pub struct ConnectionGuard {
     timer: libc::timer_t,
     clock: Clock,
-    /// `CLOCK_MONOTONIC` when `clock` said `base_ms`. A pause between the two readings makes the
-    /// timer fire early, never late.
+    /// `CLOCK_MONOTONIC` at the time `base_ms` of `clock`. It is read first, so a pause between the
+    /// two readings makes the timer fire early, never late.
     base: Duration,
     base_ms: u64,
-    /// The timer signals the thread that made it, so a guard stays on that thread.
+    /// Makes the guard `!Send`: the timer signals the thread that created it.
     thread: std::marker::PhantomData<*const ()>,
 }
 
-/// Dissolves the connection: unlike `shutdown`, a connect to no address also drops the bytes
-/// that wait in the kernel.
-extern "C" fn cut_guarded(_signal: libc::c_int) {
-    let socket = GUARDED.with(|guarded| guarded.load(Ordering::SeqCst));
+/// Signal handler that disconnects the guarded socket. Unlike `shutdown`, `connect` with `AF_UNSPEC`
+/// also drops the bytes queued in the kernel.
+extern "C" fn disconnect_guarded(_signal: libc::c_int) {
+    let socket = GUARDED_SOCKET.with(|guarded| guarded.load(Ordering::SeqCst));
     if socket == NO_SOCKET {
         return;
     }
-    let nowhere = libc::sockaddr {
+    let unspecified = libc::sockaddr {
         sa_family: libc::AF_UNSPEC as libc::sa_family_t,
         sa_data: [0; 14],
     };
-    // SAFETY: `connect` is async-signal-safe, takes any descriptor number, and reads an address
-    // that lives on this stack for the length given.
+    // SAFETY: `connect` is async-signal-safe, accepts any descriptor number, and reads `socklen`
+    // bytes of an address on this stack.
     unsafe {
         libc::connect(
             socket,
-            &raw const nowhere,
+            &raw const unspecified,
             size_of::<libc::sockaddr>() as libc::socklen_t,
         )
     };
@@ -73,22 +74,22 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the call fills the struct it is given.
+    // SAFETY: `now` is valid for writes.
     unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &raw mut now) };
     Duration::new(now.tv_sec.cast_unsigned(), now.tv_nsec as u32)
 }
 
 impl ConnectionGuard {
-    /// Makes the timer for the calling thread, which alone may write orders.
+    /// Creates the timer for the calling thread, the only one that may send orders.
     pub fn new(clock: Clock) -> io::Result<Self> {
         let base = monotonic();
         let base_ms = clock.now_ms();
         let signal = libc::SIGRTMIN();
-        // SAFETY: the handler only loads an atomic and calls `connect`, both async-signal-safe;
-        // zeroed `sigaction` and `sigevent` are valid values of these C structs.
+        // SAFETY: the handler only loads an atomic and calls `connect`, which are both
+        // async-signal-safe; `sigaction` and `sigevent` are C structs that may be zeroed.
         unsafe {
             let mut action: libc::sigaction = std::mem::zeroed();
-            action.sa_sigaction = cut_guarded as *const () as libc::sighandler_t;
+            action.sa_sigaction = disconnect_guarded as *const () as libc::sighandler_t;
             action.sa_flags = libc::SA_RESTART;
             if libc::sigaction(signal, &raw const action, std::ptr::null_mut()) != 0 {
                 return Err(io::Error::last_os_error());
@@ -111,9 +112,9 @@
         }
     }
 
-    /// Guards a fresh connection until a moment of the clock; fails if that has passed.
+    /// Arms the guard for a new connection: the connection is cut at `expires_ms`.
     ///
-    /// Nothing may have been written to the connection yet.
+    /// Nothing may have been written to the connection. Fails if `expires_ms` has passed.
     pub fn arm(self: &Rc<Self>, socket: &impl AsRawFd, expires_ms: u64) -> io::Result<ArmedGuard> {
         let raw = socket.as_raw_fd();
         // SAFETY: the descriptor is open for as long as `socket` is borrowed.
@@ -121,25 +122,25 @@
         let options = SockRef::from(&borrowed);
         options.set_linger(Some(Duration::ZERO))?;
         options.set_tcp_user_timeout(Some(Duration::from_millis(TCP_USER_TIMEOUT_MS)))?;
-        GUARDED.with(|guarded| guarded.store(raw, Ordering::SeqCst));
+        GUARDED_SOCKET.with(|guarded| guarded.store(raw, Ordering::SeqCst));
         let armed = ArmedGuard {
             guard: self.clone(),
         };
         self.set_expiry(expires_ms)?;
-        // A timer set to a moment that has passed fires at once, but perhaps only after this
-        // thread's next write.
+        // A timer set to a time in the past fires at once, but possibly only after this thread's
+        // next write.
         if self.clock.now_ms() >= expires_ms {
             return Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "the lease has lapsed",
+                "the lease has expired",
             ));
         }
         Ok(armed)
     }
 
     fn set_expiry(&self, expires_ms: u64) -> io::Result<()> {
-        let left = Duration::from_millis(expires_ms.saturating_sub(self.base_ms));
-        self.set(self.base + left)
+        let remaining = Duration::from_millis(expires_ms.saturating_sub(self.base_ms));
+        self.set(self.base + remaining)
     }
 
     fn set(&self, at: Duration) -> io::Result<()> {
@@ -154,7 +155,7 @@
                 tv_nsec: libc::c_long::from(at.subsec_nanos()),
             },
         };
-        // SAFETY: the timer lives as long as `self`, and the spec is read during the call only.
+        // SAFETY: the timer lives as long as `self`, and `spec` is only read during the call.
         let set = unsafe {
             libc::timer_settime(
                 self.timer,
@@ -172,12 +173,12 @@
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        // SAFETY: the timer was made by `new` and is deleted once.
+        // SAFETY: `new` created the timer, and it is deleted only here.
         unsafe { libc::timer_delete(self.timer) };
     }
 }
 
-/// Keeps the timer aimed at a connection; must be dropped before the connection is.
+/// Keeps the guard armed for a connection. Must be dropped before the connection is closed.
 #[derive(Debug)]
 pub struct ArmedGuard {
     guard: Rc<ConnectionGuard>,
@@ -185,9 +186,9 @@
 
 impl Drop for ArmedGuard {
     fn drop(&mut self) {
-        // The slot is cleared before the descriptor is closed, so that a late signal cannot cut
-        // another connection that got the same number.
-        GUARDED.with(|guarded| guarded.store(NO_SOCKET, Ordering::SeqCst));
+        // Cleared before the descriptor is closed, so that a late signal cannot cut another
+        // connection that got the same number.
+        GUARDED_SOCKET.with(|guarded| guarded.store(NO_SOCKET, Ordering::SeqCst));
         // A zero time disarms the timer.
         let _ = self.guard.set(Duration::ZERO);
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,8 +1,8 @@
-//! Leases over groups of engines, and the orders that a lease holder gives them.
+//! Leases over groups of engines, and the orders that lease holders send to engines.
 //!
-//! Both are state machines without clocks or sockets: the time and what was read from the log
-//! come in, and what to append or send goes out. See docs/design/lease.md and
-//! docs/design/orders.md.
+//! The state machines use no clock and no socket: callers pass in the current time and the records
+//! read from the log, and get back what to append or send. [`ConnectionGuard`] is the exception. See
+//! docs/design/lease.md and docs/design/orders.md.
 
 mod append_lease;
 mod elector;
@@ -14,9 +14,9 @@
 pub use guard::{ArmedGuard, ConnectionGuard, TCP_USER_TIMEOUT_MS};
 pub use order_scheduler::{DesiredState, EngineReport, OrderAction, OrderScheduler, OutgoingOrder};
 
-/// Bound on how much faster one instance's monotonic clock may run than another's.
+/// Largest relative difference in rate between the monotonic clocks of two instances.
 ///
-/// Crystal clocks differ by under 100 parts in a million and a slewed one by 500; one in a
-/// hundred leaves room for both. A margin of twice this share of the ttl keeps a successor whose
-/// clock runs fast from acting before a holder whose clock runs slow has stopped.
+/// Crystal clocks differ by less than 100 ppm and slewing adds up to 500 ppm; 1% covers both. A
+/// margin of at least twice this fraction of the TTL keeps a successor with a fast clock from acting
+/// before a holder with a slow clock has stopped.
 pub const CLOCK_RATE_BOUND: f64 = 0.01;
--- a/crates/lease/src/order_scheduler.rs
+++ b/crates/lease/src/order_scheduler.rs
@@ -1,4 +1,4 @@
-//! Orders to the engines of one group, one at a time for each engine.
+//! Schedules orders to the engines of one group, with at most one open order per engine.
 
 use std::collections::BTreeMap;
 
@@ -6,60 +6,60 @@
 
 use crate::Authority;
 
-/// Time after which an order that is not done is sent again.
+/// Interval at which an unfinished order is sent again.
 const RESEND_MS: u64 = 1_000;
 
-/// An order whose engine is gone is given up after this time, so that the engine can get another
-/// when it comes back. Longer than any role change or load that engines report.
-const GIVE_UP_MS: u64 = 120_000;
+/// Time after which an unfinished order is abandoned, so that an engine that was unreachable can get
+/// a new order. Longer than the longest role change or model load.
+const ABANDON_AFTER_MS: u64 = 120_000;
 
-/// What an engine last said of itself.
+/// State that an engine last reported.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineReport {
-    /// Role it plays.
+    /// Current role.
     pub role: String,
-    /// `model@version` of all that it has loaded.
+    /// Loaded models, as `model@version`.
     pub loaded: Vec<String>,
-    /// Whether it is carrying out an order.
+    /// Whether an order is being carried out.
     pub changing: bool,
-    /// Highest fencing token it has taken an order with.
+    /// Highest fencing token of the orders that the engine has accepted.
     pub fencing_token: u64,
 }
 
-/// What an engine should be doing.
+/// State that an engine should reach.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredState {
-    /// Engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Kind of order that leads there.
+    /// Kind of order that leads to this state.
     pub kind: OrderKind,
-    /// Role, or `model@version`.
+    /// Role for a role order, otherwise `model@version`.
     pub argument: String,
 }
 
-/// An order to put on the wire.
+/// An order to send to its engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingOrder {
-    /// Engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Offset of the order, which is its fencing token.
+    /// Log offset of the order, used as its fencing token.
     pub fencing_token: u64,
     /// Kind of order.
     pub kind: OrderKind,
-    /// Role, or `model@version`.
+    /// Role for a role order, otherwise `model@version`.
     pub argument: String,
-    /// The sender's own time after which no byte of it may leave.
+    /// Time on the sender's clock after which no byte of the order may be sent.
     pub expires_ms: u64,
 }
 
-/// What to do next.
+/// Next step for an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAction {
-    /// Append the record of an order. It is sent only after it was read back.
+    /// Append the record of an order. The order is sent only once the record was read back.
     Place(OrderPlaced),
-    /// Send an order that was read back, perhaps again.
+    /// Send an order whose record was read back; also used to resend it.
     Send(OutgoingOrder),
-    /// Append the record that an order has ended.
+    /// Append the record that closes an order.
     Settle(OrderSettled),
 }
 
@@ -70,11 +70,11 @@
     last_ms: u64,
 }
 
-/// Decides which order goes out next.
+/// Decides which orders to place, send and settle.
 ///
-/// An order that is open in the log is repeated, whoever placed it, until the engine says that
-/// it is done; only then is another one placed. A successor therefore never gives an engine an
-/// order that differs from what its predecessor may still have on the way.
+/// An order that is open in the log is resent, whichever instance placed it, until the engine reports
+/// it done or it is abandoned. Only then is another order placed for that engine. A new lease holder
+/// therefore never sends an order that conflicts with one that its predecessor may still be sending.
 #[derive(Debug, Default)]
 pub struct OrderScheduler {
     attempts: BTreeMap<String, Attempt>,
@@ -82,36 +82,38 @@
 }
 
 impl OrderScheduler {
-    /// The next moves under an authority.
+    /// Returns the next actions under a valid lease: first for open orders, then for unmet desired states.
     pub fn next_actions<'a>(
         &mut self,
         now_ms: u64,
         authority: Authority,
         group: &str,
-        wishes: &[DesiredState],
+        desired_states: &[DesiredState],
         orders: impl Iterator<Item = &'a OrderState>,
         report: impl Fn(&str) -> Option<EngineReport>,
     ) -> Vec<OrderAction> {
         let orders: BTreeMap<&str, &OrderState> = orders
             .map(|order| (order.placed.engine.as_str(), order))
             .collect();
-        let mut moves = Vec::new();
+        let mut actions = Vec::new();
         for (engine, order) in &orders {
-            let seen = report(engine);
-            moves.extend(self.pursue(now_ms, authority, order, seen.as_ref()));
+            let reported = report(engine);
+            actions.extend(self.advance(now_ms, authority, order, reported.as_ref()));
         }
-        for wish in wishes {
-            if orders.contains_key(wish.engine.as_str()) {
-                self.placed.remove(&wish.engine);
+        for desired in desired_states {
+            if orders.contains_key(desired.engine.as_str()) {
+                self.placed.remove(&desired.engine);
                 continue;
             }
-            let seen = report(&wish.engine);
-            if seen.is_none_or(|seen| seen.changing || is_met(&seen, wish.kind, &wish.argument)) {
+            let reported = report(&desired.engine);
+            if reported.is_none_or(|reported| {
+                reported.changing || is_reached(&reported, desired.kind, &desired.argument)
+            }) {
                 continue;
             }
-            moves.extend(self.place(now_ms, authority, group, wish));
+            actions.extend(self.place(now_ms, authority, group, desired));
         }
-        moves
+        actions
     }
 
     fn place(
@@ -119,28 +121,28 @@
         now_ms: u64,
         authority: Authority,
         group: &str,
-        wish: &DesiredState,
+        desired: &DesiredState,
     ) -> Option<OrderAction> {
-        let waiting = self.placed.get(&wish.engine);
-        if waiting.is_some_and(|at_ms| now_ms < at_ms + RESEND_MS) {
+        let placed_ms = self.placed.get(&desired.engine);
+        if placed_ms.is_some_and(|at_ms| now_ms < at_ms + RESEND_MS) {
             return None;
         }
-        self.placed.insert(wish.engine.clone(), now_ms);
+        self.placed.insert(desired.engine.clone(), now_ms);
         Some(OrderAction::Place(OrderPlaced {
             group: group.to_owned(),
             fence: authority.fence,
-            engine: wish.engine.clone(),
-            kind: wish.kind,
-            argument: wish.argument.clone(),
+            engine: desired.engine.clone(),
+            kind: desired.kind,
+            argument: desired.argument.clone(),
         }))
     }
 
-    fn pursue(
+    fn advance(
         &mut self,
         now_ms: u64,
         authority: Authority,
         order: &OrderState,
-        seen: Option<&EngineReport>,
+        reported: Option<&EngineReport>,
     ) -> Option<OrderAction> {
         let placed = &order.placed;
         let new = Attempt {
@@ -152,24 +154,26 @@
         if attempt.order != order.offset {
             *attempt = new;
         }
-        let done = seen.is_some_and(|seen| {
-            seen.fencing_token >= order.offset
-                && !seen.changing
-                && is_met(seen, placed.kind, &placed.argument)
+        let done = reported.is_some_and(|reported| {
+            reported.fencing_token >= order.offset
+                && !reported.changing
+                && is_reached(reported, placed.kind, &placed.argument)
         });
-        let given_up = now_ms >= attempt.first_ms + GIVE_UP_MS;
+        let abandoned = now_ms >= attempt.first_ms + ABANDON_AFTER_MS;
         if attempt.last_ms != 0 && now_ms < attempt.last_ms + RESEND_MS {
             return None;
         }
         attempt.last_ms = now_ms.max(1);
-        if done || given_up {
+        if done || abandoned {
             return Some(OrderAction::Settle(OrderSettled {
                 engine: placed.engine.clone(),
                 order: order.offset,
                 done,
             }));
         }
-        if seen.is_some_and(|seen| seen.fencing_token >= order.offset && seen.changing) {
+        if reported
+            .is_some_and(|reported| reported.fencing_token >= order.offset && reported.changing)
+        {
             return None;
         }
         Some(OrderAction::Send(OutgoingOrder {
@@ -182,10 +186,10 @@
     }
 }
 
-fn is_met(seen: &EngineReport, kind: OrderKind, argument: &str) -> bool {
+fn is_reached(reported: &EngineReport, kind: OrderKind, argument: &str) -> bool {
     match kind {
-        OrderKind::Role => seen.role == argument,
-        OrderKind::Load => seen.loaded.iter().any(|loaded| loaded == argument),
-        OrderKind::Unload => !seen.loaded.iter().any(|loaded| loaded == argument),
+        OrderKind::Role => reported.role == argument,
+        OrderKind::Load => reported.loaded.iter().any(|loaded| loaded == argument),
+        OrderKind::Unload => !reported.loaded.iter().any(|loaded| loaded == argument),
     }
 }
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -103,7 +103,7 @@
         Self {
             append_lease: RefCell::new(AppendLease::new(
                 rng.random(),
-                AppendLeaseTimes::for_cloud_calls(lease_ms),
+                AppendLeaseTimes::for_api_calls(lease_ms),
             )),
             ledger: RefCell::new(UsageLedger::new(rng.random())),
             reports: RefCell::default(),
