--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -1,4 +1,4 @@
-//! What a home knows: for each key, how far its call has come.
+//! Records of the home instance: the progress of the call of each key.
 
 use std::collections::HashMap;
 
@@ -16,49 +16,49 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct CallRecord {
     epoch: u64,
     digest: BodyDigest,
     progress: Progress,
 }
 
-/// What to do with a call that has arrived.
+/// How to handle a call that has arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It is new: ask the witness, then report the verdict.
+    /// The call is new: ask the witness, then pass its verdict to [`Home::record_verdict`].
     AskWitness,
-    /// It is under way: wait for its end.
+    /// The call is in progress: wait until it ends.
     Attach,
-    /// Nothing is to be done; this is known.
+    /// The call must not be dispatched: answer with this status.
     Known(CallStatus),
 }
 
-/// The home side of one incarnation.
+/// Records of the calls whose home is this incarnation.
 #[derive(Debug)]
 pub struct Home {
     instance: String,
     incarnation: u64,
     epochs: EpochCounter,
-    held: HashMap<String, Held>,
+    records: HashMap<String, CallRecord>,
 }
 
 impl Home {
-    /// A home without records.
+    /// Creates a home without records.
     pub fn new(instance: &str, incarnation: u64, epochs: EpochCounter) -> Self {
         Self {
             instance: instance.to_owned(),
             incarnation,
             epochs,
-            held: HashMap::new(),
+            records: HashMap::new(),
         }
     }
 
-    /// Whether this incarnation is the key's home.
+    /// Whether this incarnation is the home of the key.
     pub fn is_home(&self, key: &IdempotencyKey) -> bool {
         key.home.instance == self.instance && key.home.incarnation == self.incarnation
     }
 
-    /// Takes a call in.
+    /// Admits a call. Repeated calls with the same key are dispatched only once.
     pub fn admit(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> Admission {
         if !self.is_home(key) {
             return Admission::Known(CallStatus::bare(CallState::Foreign));
@@ -66,86 +66,89 @@
         if !self.epochs.accepts(now_ms, key.home.epoch) {
             return Admission::Known(CallStatus::bare(CallState::Expired));
         }
-        if let Some(held) = self.held.get(&key.to_string()) {
-            return held.admission(digest);
+        if let Some(record) = self.records.get(&key.to_string()) {
+            return record.admission(digest);
         }
-        let held = Held {
+        let record = CallRecord {
             epoch: key.home.epoch,
             digest,
             progress: Progress::AskingWitness,
         };
-        self.held.insert(key.to_string(), held);
+        self.records.insert(key.to_string(), record);
         Admission::AskWitness
     }
 
-    /// Takes in the witness's word, or `None` when it did not answer in time; gives whether the
-    /// call may be dispatched now. It says so once for each key.
+    /// Records the witness's verdict, or `None` if it did not answer in time. Returns whether the call
+    /// must be dispatched now, which is true at most once for each key.
     ///
-    /// Without a grant the home closes the key for itself. The witness may have granted it and
-    /// the answer was lost; others are then told `unknown`, which is safe if not sharp.
+    /// Without a grant the home closes the key. If the witness granted it and only the answer was lost,
+    /// other instances get the status `unknown` from the witness, which is safe although the call has
+    /// not run.
     pub fn record_verdict(&mut self, key: &IdempotencyKey, verdict: Option<ClaimVerdict>) -> bool {
-        let Some(held) = self.held.get_mut(&key.to_string()) else {
+        let Some(record) = self.records.get_mut(&key.to_string()) else {
             return false;
         };
-        if !matches!(held.progress, Progress::AskingWitness) {
+        if !matches!(record.progress, Progress::AskingWitness) {
             return false;
         }
-        let go = verdict == Some(ClaimVerdict::Granted);
-        held.progress = if go {
+        let is_granted = verdict == Some(ClaimVerdict::Granted);
+        record.progress = if is_granted {
             Progress::Dispatched
         } else {
             Progress::Closed
         };
-        go
+        is_granted
     }
 
-    /// The upstream's whole answer arrived.
+    /// Records the complete answer of the upstream.
     pub fn record_answer(&mut self, key: &IdempotencyKey, answer: Answer) {
-        self.end(key, Progress::Done(answer));
+        self.set_outcome(key, Progress::Done(answer));
     }
 
-    /// The call was dispatched and its outcome is lost.
+    /// Records that the call was dispatched and its outcome is unknown.
     pub fn record_unknown(&mut self, key: &IdempotencyKey) {
-        self.end(key, Progress::Unknown);
+        self.set_outcome(key, Progress::Unknown);
     }
 
-    /// No byte of the call reached an upstream: it has not run and never will.
+    /// Records that no byte of the call reached an upstream, so it has not run and never will.
     pub fn record_not_sent(&mut self, key: &IdempotencyKey) {
-        self.end(key, Progress::Closed);
+        self.set_outcome(key, Progress::Closed);
     }
 
-    fn end(&mut self, key: &IdempotencyKey, progress: Progress) {
-        let held = self.held.get_mut(&key.to_string());
-        if let Some(held) = held.filter(|held| matches!(held.progress, Progress::Dispatched)) {
-            held.progress = progress;
+    fn set_outcome(&mut self, key: &IdempotencyKey, progress: Progress) {
+        let record = self.records.get_mut(&key.to_string());
+        if let Some(record) =
+            record.filter(|record| matches!(record.progress, Progress::Dispatched))
+        {
+            record.progress = progress;
         }
     }
 
-    /// What is known of a call.
+    /// Status of a call; `Unseen` if there is no record.
     pub fn status(&self, key: &IdempotencyKey) -> CallStatus {
-        let held = self.held.get(&key.to_string());
-        held.map_or(CallStatus::bare(CallState::Unseen), Held::status)
+        let record = self.records.get(&key.to_string());
+        record.map_or(CallStatus::bare(CallState::Unseen), CallRecord::status)
     }
 
-    /// Drops records of keys that are refused from now on.
+    /// Drops the records of keys that are no longer accepted.
     pub fn expire(&mut self, now_ms: u64) {
         let epochs = self.epochs;
-        self.held
-            .retain(|_, held| !epochs.may_drop(now_ms, held.epoch));
+        self.records
+            .retain(|_, record| !epochs.may_drop(now_ms, record.epoch));
     }
 
-    /// Calls that are recorded.
+    /// Number of recorded calls.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.records.len()
     }
 
-    /// Whether no call is recorded.
+    /// Whether there are no recorded calls.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.records.is_empty()
     }
 }
 
-impl Held {
+impl CallRecord {
     fn admission(&self, digest: BodyDigest) -> Admission {
         if self.digest != digest {
             return Admission::Known(CallStatus::bare(CallState::Conflict));
--- a/crates/once/src/key.rs
+++ b/crates/once/src/key.rs
@@ -5,48 +5,48 @@
 
 use derive_more::{Display, Error};
 
-/// Longest key, in bytes.
-const KEY_BYTES: usize = 256;
+/// Maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// Between the parts of a key.
+/// Separates the parts of a key.
 const PART: char = '~';
 
-/// Between the fields of a place.
+/// Separates the fields of an [`InstanceEpoch`].
 const FIELD: char = ':';
 
-/// One incarnation of an instance, in the epoch in which the key was handed out.
+/// An incarnation of an instance and its epoch when the key was issued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct InstanceEpoch {
-    /// Instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Number drawn at its start.
+    /// Random number drawn when the process started.
     pub incarnation: u64,
-    /// Its own epoch then.
+    /// Epoch of this incarnation when the key was issued.
     pub epoch: u64,
 }
 
-/// A key that says who may run the call and who must have noted it first.
+/// A key that names the instance that may dispatch the call and the one that must record it first.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
-    /// The only instance that may dispatch the call.
+    /// The only incarnation that may dispatch the call.
     pub home: InstanceEpoch,
-    /// The instance that must note the key before the home dispatches.
+    /// The incarnation that must record the key before the home dispatches the call.
     pub witness: InstanceEpoch,
-    /// The caller's own part.
+    /// Suffix chosen by the caller.
     pub suffix: String,
 }
 
-/// A text is no key.
+/// The text is not a valid key.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display("Idempotency-Key: {detail}")]
 pub struct KeyError {
-    /// What is wrong with it.
+    /// What is wrong with the text.
     #[error(not(source))]
     pub detail: &'static str,
 }
 
 impl IdempotencyKey {
-    /// The part to hand out to callers, who put their own text behind it.
+    /// Prefix that is issued to callers, who append a suffix of their own.
     pub fn prefix(home: &InstanceEpoch, witness: &InstanceEpoch) -> String {
         format!("{home}{PART}{witness}{PART}")
     }
@@ -74,28 +74,28 @@
     type Err = KeyError;
 
     fn from_str(text: &str) -> Result<Self, KeyError> {
-        if text.len() > KEY_BYTES {
+        if text.len() > MAX_KEY_BYTES {
             return Err(KeyError {
                 detail: "longer than 256 bytes",
             });
         }
-        let missing = KeyError {
+        let bad_prefix = KeyError {
             detail: "must begin with the key_prefix that /v1/lookup gives",
         };
         let mut parts = text.splitn(3, PART);
         let (Some(home), Some(witness), Some(suffix)) = (parts.next(), parts.next(), parts.next())
         else {
-            return Err(missing);
+            return Err(bad_prefix);
         };
-        let own = |byte: u8| byte.is_ascii_graphic();
-        if suffix.is_empty() || !suffix.bytes().all(own) {
+        let is_allowed = |byte: u8| byte.is_ascii_graphic();
+        if suffix.is_empty() || !suffix.bytes().all(is_allowed) {
             return Err(KeyError {
                 detail: "needs the caller's own part, printable ASCII, after the prefix",
             });
         }
         let key = Self {
-            home: place(home).ok_or_else(|| missing.clone())?,
-            witness: place(witness).ok_or(missing)?,
+            home: parse_instance_epoch(home).ok_or_else(|| bad_prefix.clone())?,
+            witness: parse_instance_epoch(witness).ok_or(bad_prefix)?,
             suffix: suffix.to_owned(),
         };
         if key.home.instance == key.witness.instance {
@@ -107,12 +107,12 @@
     }
 }
 
-fn place(text: &str) -> Option<InstanceEpoch> {
+fn parse_instance_epoch(text: &str) -> Option<InstanceEpoch> {
     let mut fields = text.split(FIELD);
-    let place = InstanceEpoch {
+    let parsed = InstanceEpoch {
         instance: fields.next().filter(|name| !name.is_empty())?.to_owned(),
         incarnation: u64::from_str_radix(fields.next()?, 16).ok()?,
         epoch: fields.next()?.parse().ok()?,
     };
-    fields.next().is_none().then_some(place)
+    fields.next().is_none().then_some(parsed)
 }
--- a/crates/once/src/witness.rs
+++ b/crates/once/src/witness.rs
@@ -1,4 +1,4 @@
-//! What a witness knows: for each key, whether the home may dispatch it.
+//! Records of the witness instance: for each key, whether the home may dispatch its call.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::{BodyDigest, EpochCounter, IdempotencyKey};
 
 #[derive(Debug, Clone)]
-enum Note {
+enum Decision {
     Granted {
         digest: BodyDigest,
         answer: Option<Answer>,
@@ -16,32 +16,32 @@
 }
 
 #[derive(Debug, Clone)]
-struct Noted {
+struct KeyRecord {
     epoch: u64,
-    note: Note,
+    decision: Decision,
 }
 
-/// The witness side of one incarnation.
+/// Records of the keys whose witness is this incarnation.
 ///
-/// The first of two questions decides: the home asks to run a key, anyone else asks to close it.
-/// What was decided never changes, so a home that is slow, paused or cut off cannot run a call
-/// of which a caller was told that it has not run.
+/// The first request for a key decides: a claim by the home grants it, a fence by any other instance
+/// closes it. The decision never changes, so a home that is slow, paused or partitioned cannot run a
+/// call that was reported to a caller as not run.
 #[derive(Debug)]
 pub struct Witness {
     instance: String,
     incarnation: u64,
     epochs: EpochCounter,
-    notes: HashMap<String, Noted>,
+    records: HashMap<String, KeyRecord>,
 }
 
 impl Witness {
-    /// A witness without notes.
+    /// Creates a witness without records.
     pub fn new(instance: &str, incarnation: u64, epochs: EpochCounter) -> Self {
         Self {
             instance: instance.to_owned(),
             incarnation,
             epochs,
-            notes: HashMap::new(),
+            records: HashMap::new(),
         }
     }
 
@@ -49,7 +49,7 @@
         key.witness.instance == self.instance && key.witness.incarnation == self.incarnation
     }
 
-    /// The key's home asks whether it may dispatch the call.
+    /// Handles the home's request to dispatch the call.
     pub fn claim(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict {
         if !self.is_witness(key) {
             return ClaimVerdict::Foreign;
@@ -57,71 +57,72 @@
         if !self.epochs.accepts(now_ms, key.witness.epoch) {
             return ClaimVerdict::Expired;
         }
-        let noted = self.notes.entry(key.to_string()).or_insert(Noted {
+        let record = self.records.entry(key.to_string()).or_insert(KeyRecord {
             epoch: key.witness.epoch,
-            note: Note::Granted {
+            decision: Decision::Granted {
                 digest,
                 answer: None,
             },
         });
-        match noted.note {
-            Note::Granted { .. } => ClaimVerdict::Granted,
-            Note::Fenced => ClaimVerdict::Fenced,
+        match record.decision {
+            Decision::Granted { .. } => ClaimVerdict::Granted,
+            Decision::Fenced => ClaimVerdict::Fenced,
         }
     }
 
-    /// An instance that cannot reach the home asks what is known, and closes an unseen key.
+    /// Handles a request of an instance that cannot reach the home: returns the status of the call, and
+    /// closes the key if it is not recorded yet.
     pub fn fence(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus {
         if !self.is_witness(key) {
             return CallStatus::bare(CallState::Foreign);
         }
-        // A key that the witness refuses for its age can get no grant any more, but it may have
-        // had one whose note is dropped.
+        // An expired key cannot be granted any more, but it may have been granted earlier and its
+        // record dropped.
         if !self.epochs.accepts(now_ms, key.witness.epoch) {
             return CallStatus::bare(CallState::Expired);
         }
-        let noted = self.notes.entry(key.to_string()).or_insert(Noted {
+        let record = self.records.entry(key.to_string()).or_insert(KeyRecord {
             epoch: key.witness.epoch,
-            note: Note::Fenced,
+            decision: Decision::Fenced,
         });
-        match &noted.note {
-            Note::Fenced => CallStatus::bare(CallState::Unseen),
-            Note::Granted { digest: first, .. } if *first != digest => {
+        match &record.decision {
+            Decision::Fenced => CallStatus::bare(CallState::Unseen),
+            Decision::Granted { digest: first, .. } if *first != digest => {
                 CallStatus::bare(CallState::Conflict)
             }
-            Note::Granted {
+            Decision::Granted {
                 answer: Some(answer),
                 ..
             } => CallStatus {
                 state: CallState::Done,
                 answer: Some(answer.clone()),
             },
-            Note::Granted { .. } => CallStatus::bare(CallState::Unknown),
+            Decision::Granted { .. } => CallStatus::bare(CallState::Unknown),
         }
     }
 
-    /// The home gives the answer, so that it outlives the home.
-    pub fn finish(&mut self, key: &IdempotencyKey, given: Answer) {
-        let noted = self.notes.get_mut(&key.to_string());
-        if let Some(Note::Granted { answer, .. }) = noted.map(|noted| &mut noted.note) {
-            answer.get_or_insert(given);
+    /// Stores the answer of a granted call, so that it outlives the home.
+    pub fn finish(&mut self, key: &IdempotencyKey, final_answer: Answer) {
+        let record = self.records.get_mut(&key.to_string());
+        if let Some(Decision::Granted { answer, .. }) = record.map(|record| &mut record.decision) {
+            answer.get_or_insert(final_answer);
         }
     }
 
-    /// Drops notes of keys that are refused from now on.
+    /// Drops the records of keys that are no longer accepted.
     pub fn expire(&mut self, now_ms: u64) {
         let epochs = self.epochs;
-        self.notes
-            .retain(|_, noted| !epochs.may_drop(now_ms, noted.epoch));
+        self.records
+            .retain(|_, record| !epochs.may_drop(now_ms, record.epoch));
     }
 
-    /// Keys that are noted.
+    /// Number of recorded keys.
     pub fn len(&self) -> usize {
-        self.notes.len()
+        self.records.len()
     }
 
-    /// Whether no key is noted.
+    /// Whether there are no recorded keys.
     pub fn is_empty(&self) -> bool {
-        self.notes.is_empty()
+        self.records.is_empty()
     }
 }
