--- a/crates/feed/src/audit.rs
+++ b/crates/feed/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who asked for which change, when, and what came of it.
+//! Audit trail: who requested which change, when, and with which outcome.
 
 use std::collections::VecDeque;
 
@@ -6,22 +6,22 @@
 
 use crate::Outcome;
 
-/// Entries kept; at 990 changes a day this is about four days. Older ones have left the state
-/// but stay in whatever archive the platform keeps of its log.
-const ENTRIES: usize = 4096;
+/// Number of entries kept: about four days at 990 changes a day. Older ones are only in the platform's
+/// archive of the log, if it keeps one.
+const MAX_ENTRIES: usize = 4096;
 
-/// The last entries, oldest first.
+/// The most recent audit entries, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Trail {
+pub(crate) struct AuditTrail {
     pub(crate) entries: VecDeque<AuditEntry>,
 }
 
-impl Trail {
-    pub(crate) fn note(&mut self, offset: u64, record: &Record, outcome: &Outcome) {
+impl AuditTrail {
+    pub(crate) fn record(&mut self, offset: u64, record: &Record, outcome: &Outcome) {
         let Some(action) = action(&record.body) else {
             return;
         };
-        if self.entries.len() == ENTRIES {
+        if self.entries.len() == MAX_ENTRIES {
             self.entries.pop_front();
         }
         self.entries.push_back(AuditEntry {
@@ -34,7 +34,8 @@
     }
 }
 
-/// Renewals, settlements and snapshots change nothing that a person asked for.
+/// Describes the change of a record. `None` for renewals, settlements and snapshots, which are not
+/// changes that an operator would look for.
 fn action(body: &Body) -> Option<String> {
     Some(match body {
         Body::BundlePublished(bundle) => {
--- a/crates/feed/src/bundles.rs
+++ b/crates/feed/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Which bundles are accepted and which one is in force.
+//! Accepted bundles, and the one in force.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +9,27 @@
 /// Accepted bundles by version.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Bundles {
-    pub(crate) head: u64,
+    pub(crate) newest_version: u64,
     pub(crate) in_force_version: u64,
     pub(crate) in_force_offset: u64,
     pub(crate) accepted: BTreeMap<u64, BundleState>,
 }
 
 impl Bundles {
-    /// Accepts a bundle written against the newest one.
+    /// Accepts a bundle that is based on the newest one.
     ///
-    /// Two operators who race both name the same base; the first in log order moves the head,
-    /// so the second is refused everywhere alike and is told who won.
+    /// If two operators publish bundles with the same base, the first in log order becomes the newest
+    /// version. The second is refused at every instance, with a message that names the winner.
     pub(crate) fn publish(
         &mut self,
         offset: u64,
         actor: &str,
         bundle: &BundlePublished,
     ) -> Outcome {
-        if bundle.base != self.head || bundle.version != bundle.base + 1 {
-            return Outcome::Refused(self.lost_race(bundle));
+        if bundle.base != self.newest_version || bundle.version != bundle.base + 1 {
+            return Outcome::Refused(self.conflict_detail(bundle));
         }
-        self.head = bundle.version;
+        self.newest_version = bundle.version;
         let state = BundleState {
             published: bundle.clone(),
             offset,
@@ -41,7 +41,7 @@
         Outcome::Accepted
     }
 
-    fn lost_race(&self, bundle: &BundlePublished) -> String {
+    fn conflict_detail(&self, bundle: &BundlePublished) -> String {
         let winner = self.accepted.get(&bundle.version);
         let detail = winner.map_or_else(String::new, |winner| {
             let digest = winner.published.digest.get(..12).unwrap_or_default();
@@ -52,7 +52,7 @@
         });
         format!(
             "base {} is not the newest version {}{detail}",
-            bundle.base, self.head
+            bundle.base, self.newest_version
         )
     }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Puts a signed bundle in force, never an older one than is in force.
+    /// Puts a signed bundle in force. A bundle older than the one in force is refused.
     pub(crate) fn roll(&mut self, offset: u64, bundle: &BundleRef) -> Outcome {
         if bundle.version <= self.in_force_version {
             let version = self.in_force_version;
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -1,29 +1,29 @@
-//! Failures at the log service.
+//! Errors of the log service.
 
 use derive_more::{Display, Error};
 
-/// What is known of an append that failed.
+/// Whether a failed call may have taken effect.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum AppendEffect {
-    /// It took no effect.
+    /// The call took no effect.
     #[display("not done")]
     NotApplied,
-    /// It may have taken effect, or may yet.
+    /// The call may have taken effect, or may still do so.
     #[display("unknown")]
     Unknown,
 }
 
-/// The log service did not do what was asked.
+/// A call to the log service failed.
 #[derive(Debug, Display, Error, Clone)]
 #[display("{operation} at {peer}: {detail} ({effect})")]
 pub struct Error {
-    /// What was being done.
+    /// Operation that failed.
     pub operation: &'static str,
     /// Address of the log service.
     pub peer: String,
     /// What went wrong.
     pub detail: String,
-    /// Whether it may have taken effect.
+    /// Whether the call may have taken effect.
     pub effect: AppendEffect,
 }
 
--- a/crates/feed/src/http.rs
+++ b/crates/feed/src/http.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP.
+//! HTTP client of the log service.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 
 use crate::{AppendEffect, Error, Log, Page, RawRecord, Result};
 
-/// Time that an answer may take beyond the wait that was asked for. A log that is slower is
-/// treated as down, since peers then know more than it tells.
-const ANSWER_MS: u64 = 2_000;
+/// Timeout of an answer, in addition to the requested wait. A slower log is treated as down, since
+/// peers are then likely to be more up to date.
+const TIMEOUT_MS: u64 = 2_000;
 
-/// Largest page, in bytes.
-const PAGE_BYTES: usize = 64 << 20;
+/// Maximum size of a page, in bytes.
+const MAX_PAGE_BYTES: usize = 64 << 20;
 
 #[derive(Serialize)]
 struct AppendRequest {
@@ -39,7 +39,7 @@
     data: String,
 }
 
-/// Client of one log service.
+/// Client of a log service.
 #[derive(Clone)]
 pub struct HttpLog {
     address: String,
@@ -47,7 +47,7 @@
 }
 
 impl HttpLog {
-    /// A client for the service at an IP address and port.
+    /// Creates a client for the service at an IP address and port.
     pub fn new(address: &str) -> Self {
         Self {
             address: address.to_owned(),
@@ -82,12 +82,13 @@
         let sent = self
             .client
             .post(format!("http://{}/append", self.address))
-            .timeout(Duration::from_millis(ANSWER_MS))
+            .timeout(Duration::from_millis(TIMEOUT_MS))
             .send_json(&request)
             .await;
-        let mut response = sent.map_err(|error| self.error(operation, effect(&error), error))?;
+        let mut response =
+            sent.map_err(|error| self.error(operation, append_effect(&error), error))?;
         if !response.status().is_success() {
-            // The service answers 503 before it writes; anything else says nothing.
+            // The service answers 503 only before it writes; any other status is inconclusive.
             let effect = match response.status().as_u16() {
                 503 => AppendEffect::NotApplied,
                 _ => AppendEffect::Unknown,
@@ -111,7 +112,7 @@
         let request = self
             .client
             .get(url)
-            .timeout(Duration::from_millis(wait_ms + ANSWER_MS));
+            .timeout(Duration::from_millis(wait_ms + TIMEOUT_MS));
         let mut response = request
             .send()
             .await
@@ -121,7 +122,7 @@
         }
         let answer: ReadAnswer = response
             .json()
-            .limit(PAGE_BYTES)
+            .limit(MAX_PAGE_BYTES)
             .await
             .map_err(|error| failed(error.to_string()))?;
         let entries = answer.records.into_iter().map(|record| {
@@ -141,8 +142,8 @@
     }
 }
 
-/// Only a connection that was never made proves that nothing was written.
-fn effect(error: &awc::error::SendRequestError) -> AppendEffect {
+/// Only a failure to connect proves that nothing was written.
+fn append_effect(error: &awc::error::SendRequestError) -> AppendEffect {
     match error {
         awc::error::SendRequestError::Connect(_) | awc::error::SendRequestError::Url(_) => {
             AppendEffect::NotApplied
--- a/crates/feed/src/leases.rs
+++ b/crates/feed/src/leases.rs
@@ -14,11 +14,11 @@
 }
 
 impl Leases {
-    /// Grants a claim that names the newest record of the lease.
+    /// Grants a claim that supersedes the newest record of the lease.
     ///
-    /// The log has no compare-and-append. Naming the superseded offset does the comparing at
-    /// every reader alike: of two claims, or of a claim and a renewal that race, only the first
-    /// in the log names the newest record.
+    /// The log has no conditional append. Instead, every reader compares the superseded offset: of two
+    /// concurrent claims, or of a concurrent claim and renewal, only the first in the log supersedes
+    /// the newest record.
     pub(crate) fn claim(&mut self, offset: u64, origin: &Origin, claim: &LeaseClaimed) -> Outcome {
         let newest = self
             .leases
@@ -42,7 +42,7 @@
     }
 
     pub(crate) fn renew(&mut self, offset: u64, origin: &Origin, lease: &LeaseRef) -> Outcome {
-        match self.held(origin, &lease.group, lease.fence) {
+        match self.check_holder(origin, &lease.group, lease.fence) {
             Ok(state) => {
                 state.renewed = offset;
                 state.sequence = origin.sequence;
@@ -53,7 +53,7 @@
     }
 
     pub(crate) fn release(&mut self, offset: u64, origin: &Origin, lease: &LeaseRef) -> Outcome {
-        match self.held(origin, &lease.group, lease.fence) {
+        match self.check_holder(origin, &lease.group, lease.fence) {
             Ok(state) => {
                 state.renewed = offset;
                 state.sequence = origin.sequence;
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Accepts an order under the lease in force, one at a time for each engine.
+    /// Accepts an order under the current lease, with at most one open order per engine.
     pub(crate) fn place(&mut self, offset: u64, origin: &Origin, order: &OrderPlaced) -> Outcome {
-        if let Err(outcome) = self.held(origin, &order.group, order.fence) {
+        if let Err(outcome) = self.check_holder(origin, &order.group, order.fence) {
             return outcome;
         }
         let open = self.orders.get(&order.engine).filter(|open| !open.settled);
@@ -92,7 +92,7 @@
         }
         let group = order.placed.group.clone();
         let fence = self.leases.get(&group).map_or(0, |lease| lease.fence);
-        if let Err(outcome) = self.held(origin, &group, fence) {
+        if let Err(outcome) = self.check_holder(origin, &group, fence) {
             return outcome;
         }
         if let Some(order) = self.orders.get_mut(&settled.engine) {
@@ -102,7 +102,7 @@
         Outcome::Accepted
     }
 
-    fn held(
+    fn check_holder(
         &mut self,
         origin: &Origin,
         group: &str,
@@ -111,8 +111,8 @@
         let Some(lease) = self.leases.get_mut(group) else {
             return Err(Outcome::Refused("no lease".to_owned()));
         };
-        let same = lease.holder == origin.writer && lease.incarnation == origin.incarnation;
-        if !same || lease.fence != fence || lease.released {
+        let is_holder = lease.holder == origin.writer && lease.incarnation == origin.incarnation;
+        if !is_holder || lease.fence != fence || lease.released {
             return Err(Outcome::Refused(format!(
                 "the lease is {}'s since {}",
                 lease.holder, lease.fence
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,8 +1,8 @@
-//! State folded from the platform's log, and the edge to the log service.
+//! State machine over the platform's log, and the client of the log service.
 //!
-//! The order of the log is the only arbiter in a deployment: every instance folds the same
-//! records in the same order, so all of them accept and refuse the same ones. Nothing here reads
-//! a clock or draws a random number. See docs/design/log.md.
+//! The order of the log decides all conflicts in a deployment: every instance applies the same records
+//! in the same order, so all of them accept and refuse the same ones. The state machine must therefore
+//! not depend on clocks or random numbers. See docs/design/log.md.
 
 mod audit;
 mod bundles;
@@ -19,32 +19,32 @@
 pub use outbox::Outbox;
 pub use state::{Outcome, State};
 
-/// One record with its place in the log.
+/// An encoded record and its offset in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawRecord {
-    /// Offset that the log gave it.
+    /// Offset in the log.
     pub offset: u64,
-    /// The record as it was appended.
+    /// Encoded record, as appended.
     pub data: Vec<u8>,
 }
 
-/// What a read of the log gives.
+/// Result of a read of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Page {
-    /// Oldest offset that the log still keeps.
+    /// Oldest offset that the log still retains.
     pub oldest_offset: u64,
-    /// Where to read on.
+    /// Offset at which to continue reading.
     pub next_offset: u64,
-    /// Records from the asked offset on.
+    /// Records from the requested offset on.
     pub records: Vec<RawRecord>,
 }
 
 /// The platform's append-only log.
 #[allow(async_fn_in_trait, reason = "every caller runs on one thread")]
 pub trait Log {
-    /// Appends records in order and gives the offset of the first.
+    /// Appends records in order and returns the offset of the first.
     async fn append(&self, records: &[Vec<u8>]) -> Result<u64>;
 
-    /// Reads from an offset on; with nothing there the answer may wait for `wait_ms`.
+    /// Reads records from an offset on, and waits up to `wait_ms` if there are none.
     async fn read(&self, from: u64, wait_ms: u64) -> Result<Page>;
 }
--- a/crates/feed/src/log_reader.rs
+++ b/crates/feed/src/log_reader.rs
@@ -1,4 +1,4 @@
-//! Reads pages of the log into a state, and recovers a reader that fell behind the horizon.
+//! Applies pages of the log to a state, and recovers a reader that is behind the log's retention.
 
 use std::collections::VecDeque;
 
@@ -6,65 +6,65 @@
 
 use crate::{Outcome, Page, RawRecord, State};
 
-/// Bytes of raw records kept to pass on to other instances while the log is down.
-const TAIL_BYTES: usize = 2 << 20;
+/// Maximum bytes of recent records kept to serve to peers while the log is down.
+const MAX_RECENT_BYTES: usize = 2 << 20;
 
-/// What one record did.
+/// A record that was applied, and its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedRecord {
-    /// Offset of the record.
+    /// Offset in the log.
     pub offset: u64,
     /// The record.
     pub record: Record,
-    /// What became of it.
+    /// Outcome of applying it.
     pub outcome: Outcome,
 }
 
-/// A reader of the log with the state it has folded.
+/// A reader of the log and the state that results from the records read.
 #[derive(Debug, Clone, Default)]
 pub struct LogReader {
     state: State,
-    tail: VecDeque<RawRecord>,
-    tail_bytes: usize,
-    searching: Option<u64>,
+    recent: VecDeque<RawRecord>,
+    recent_bytes: usize,
+    snapshot_search_offset: Option<u64>,
 }
 
 impl LogReader {
-    /// The state folded so far.
+    /// State after all records read so far.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Where the next read of the log begins.
+    /// Offset at which the next read of the log starts.
     pub fn read_offset(&self) -> u64 {
-        self.searching.unwrap_or(self.state.next_offset())
+        self.snapshot_search_offset
+            .unwrap_or(self.state.next_offset())
     }
 
-    /// Whether records are missing that the log no longer keeps.
+    /// Whether the log has dropped records that this reader has not read.
     ///
-    /// Until a snapshot is found the state is that of a past moment, so an instance that is
-    /// searching must not become ready.
+    /// Until a snapshot is found the state is outdated, so an instance must not become ready.
     pub fn needs_snapshot(&self) -> bool {
-        self.searching.is_some()
+        self.snapshot_search_offset.is_some()
     }
 
-    /// Takes in one page. Bytes that are no record are skipped: every reader skips the same ones.
+    /// Applies a page. Records that cannot be decoded are skipped, at every reader alike.
     pub fn apply_page(&mut self, page: &Page) -> Vec<AppliedRecord> {
-        if self.searching.is_none()
+        if self.snapshot_search_offset.is_none()
             && page.oldest_offset > self.state.next_offset()
             && page.oldest_offset > 1
         {
-            self.searching = Some(page.oldest_offset);
+            self.snapshot_search_offset = Some(page.oldest_offset);
         }
-        if self.searching.is_some() {
-            self.search(page);
+        if self.snapshot_search_offset.is_some() {
+            self.find_snapshot(page);
             return Vec::new();
         }
-        self.fold(&page.records, page.next_offset)
+        self.apply(&page.records, page.next_offset)
     }
 
-    /// Looks for a snapshot whose following records are all still kept.
-    fn search(&mut self, page: &Page) {
+    /// Searches a page for a snapshot whose later records are all retained.
+    fn find_snapshot(&mut self, page: &Page) {
         let records = page
             .records
             .iter()
@@ -79,26 +79,27 @@
             Some(snapshot) => {
                 self.install_snapshot(*snapshot);
             }
-            None => self.searching = Some(page.next_offset.max(page.oldest_offset)),
+            None => self.snapshot_search_offset = Some(page.next_offset.max(page.oldest_offset)),
         }
     }
 
-    /// Takes a snapshot from the log or from a peer, unless it is older than the state.
+    /// Replaces the state with a snapshot from the log or from a peer, unless it is not newer than the
+    /// state. Returns whether it was installed.
     ///
-    /// The comparison keeps an instance from ever going back to a lower offset, which would put
-    /// an older bundle in force again.
+    /// Going back to a lower offset would put an older bundle in force again.
     pub fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.next_offset <= self.state.next_offset() {
             return false;
         }
         self.state = State::from(snapshot);
-        self.tail.clear();
-        self.tail_bytes = 0;
-        self.searching = None;
+        self.recent.clear();
+        self.recent_bytes = 0;
+        self.snapshot_search_offset = None;
         true
     }
 
-    /// Takes in records that a peer read back from the log, from our own offset on.
+    /// Applies records that a peer has read from the log. Does nothing if `from` is beyond the next
+    /// offset of this reader, since records would be missing.
     pub fn apply_peer_records(
         &mut self,
         from: u64,
@@ -109,23 +110,23 @@
             return Vec::new();
         }
         if next > self.state.next_offset() {
-            self.searching = None;
+            self.snapshot_search_offset = None;
         }
-        self.fold(entries, next)
+        self.apply(entries, next)
     }
 
-    fn fold(&mut self, entries: &[RawRecord], next: u64) -> Vec<AppliedRecord> {
-        let mut steps = Vec::with_capacity(entries.len());
+    fn apply(&mut self, entries: &[RawRecord], next: u64) -> Vec<AppliedRecord> {
+        let mut applied = Vec::with_capacity(entries.len());
         for entry in entries {
             if entry.offset < self.state.next_offset() {
                 continue;
             }
-            self.keep(entry);
+            self.remember(entry);
             match Record::decode(&entry.data) {
                 Ok(record) => {
                     let outcome = self.state.apply(entry.offset, &record);
                     let offset = entry.offset;
-                    steps.push(AppliedRecord {
+                    applied.push(AppliedRecord {
                         offset,
                         record,
                         outcome,
@@ -138,30 +139,30 @@
             }
         }
         self.state.skip_to(next);
-        steps
+        applied
     }
 
-    fn keep(&mut self, entry: &RawRecord) {
-        self.tail_bytes += entry.data.len();
-        self.tail.push_back(entry.clone());
-        while self.tail_bytes > TAIL_BYTES {
-            let Some(oldest) = self.tail.pop_front() else {
+    fn remember(&mut self, entry: &RawRecord) {
+        self.recent_bytes += entry.data.len();
+        self.recent.push_back(entry.clone());
+        while self.recent_bytes > MAX_RECENT_BYTES {
+            let Some(oldest) = self.recent.pop_front() else {
                 break;
             };
-            self.tail_bytes -= oldest.data.len();
+            self.recent_bytes -= oldest.data.len();
         }
     }
 
-    /// Records at or after `from` for a peer, or `None` when some are no longer kept.
+    /// Returns the records at or after `from`, or `None` if some of them are no longer kept.
     pub fn records_from(&self, from: u64) -> Option<Vec<RawRecord>> {
         let oldest = self
-            .tail
+            .recent
             .front()
             .map_or(self.state.next_offset(), |entry| entry.offset);
         if from < oldest {
             return None;
         }
-        let newer = self.tail.iter().filter(|entry| entry.offset >= from);
+        let newer = self.recent.iter().filter(|entry| entry.offset >= from);
         Some(newer.cloned().collect())
     }
 }
--- a/crates/feed/src/outbox.rs
+++ b/crates/feed/src/outbox.rs
@@ -1,11 +1,11 @@
-//! Records of this process on their way into the log.
+//! Records of this process that wait to be appended to the log.
 
 use std::collections::VecDeque;
 
 use wire::{Body, Origin, Record};
 
-/// Most records in one append.
-const BATCH_RECORDS: usize = 256;
+/// Maximum number of records in an append.
+const MAX_BATCH_RECORDS: usize = 256;
 
 #[derive(Debug, Clone)]
 struct Pending {
@@ -15,9 +15,9 @@
 
 /// Numbers and batches the records of one incarnation.
 ///
-/// One batch is on its way at a time, and a batch whose answer was lost is sent again as it was:
-/// readers drop the sequence numbers they have seen, so it takes effect once. Sending the next
-/// batch first would let the older one land behind it and be dropped.
+/// Only one batch is in flight at a time, and a batch whose answer was lost is retried. Readers drop
+/// sequence numbers that they have seen, so each record takes effect once. If the next batch were sent
+/// before the retry, the older records could be appended after newer ones and be dropped.
 #[derive(Debug)]
 pub struct Outbox {
     writer: String,
@@ -28,7 +28,7 @@
 }
 
 impl Outbox {
-    /// An empty outbox for one incarnation of an instance.
+    /// Creates an empty outbox for one incarnation of an instance.
     pub fn new(writer: &str, incarnation: u64) -> Self {
         Self {
             writer: writer.to_owned(),
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Queues a record and gives its sequence number.
+    /// Queues a record and returns its sequence number.
     ///
-    /// A record with `expires_ms` is dropped if it has not been sent by then, such as a renewal
-    /// of a lease that has lapsed.
+    /// A record that has not been sent by `expires_ms` is dropped, such as the renewal of a lease that
+    /// has expired.
     pub fn push(&mut self, actor: &str, wall_ms: u64, body: Body, expires_ms: Option<u64>) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -60,36 +60,36 @@
         sequence
     }
 
-    /// The next batch to append, or `None` when there is none or one is on its way.
+    /// Returns the next batch to append, or `None` if there is none or a batch is in flight.
     pub fn next_batch(&mut self, now_ms: u64) -> Option<Vec<Vec<u8>>> {
         if self.in_flight > 0 {
             return None;
         }
-        let live = |pending: &Pending| pending.expires_ms.is_none_or(|at_ms| at_ms > now_ms);
-        self.pending.retain(live);
-        self.in_flight = self.pending.len().min(BATCH_RECORDS);
+        let is_live = |pending: &Pending| pending.expires_ms.is_none_or(|at_ms| at_ms > now_ms);
+        self.pending.retain(is_live);
+        self.in_flight = self.pending.len().min(MAX_BATCH_RECORDS);
         let batch = self.pending.iter().take(self.in_flight);
         let encoded: Vec<Vec<u8>> = batch.map(|pending| pending.record.encode()).collect();
         (!encoded.is_empty()).then_some(encoded)
     }
 
-    /// The batch is in the log.
+    /// Records that the batch in flight was appended.
     pub fn confirm_batch(&mut self) {
         self.pending.drain(..self.in_flight);
         self.in_flight = 0;
     }
 
-    /// The batch may or may not be in the log; it will be sent again.
+    /// Records that the append failed or its outcome is unknown; the batch is sent again.
     pub fn requeue_batch(&mut self) {
         self.in_flight = 0;
     }
 
-    /// Records that are not known to be in the log.
+    /// Number of records that are not known to be in the log.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether nothing waits to be appended.
+    /// Whether all records are known to be in the log.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -1,61 +1,61 @@
-//! Everything that a deployment has agreed on, folded from its log.
+//! State of a deployment, derived from its log.
 
 use std::collections::BTreeMap;
 
 use derive_more::Display;
 use wire::{AuditEntry, Body, BundleState, Drain, LeaseState, OrderState, Record, Snapshot};
 
-use crate::audit::Trail;
+use crate::audit::AuditTrail;
 use crate::bundles::Bundles;
 use crate::leases::Leases;
 
-/// Records after which silent writers are looked for.
-const SWEEP_EVERY: u64 = 4096;
+/// Interval, in records, at which inactive writers are removed.
+const CLEANUP_INTERVAL: u64 = 4096;
 
-/// Records after which a silent writer is forgotten. An append that is delayed for longer would
-/// be taken for new; a lease record of that age names a superseded offset and a bundle record
-/// an old base, so each is refused all the same.
-const WRITER_HORIZON: u64 = 4 * SWEEP_EVERY;
+/// Number of records after which an inactive writer is removed. A duplicate that is delayed for longer
+/// is not recognized, but is refused all the same: a lease record of that age supersedes an outdated
+/// offset, and a bundle record has an outdated base.
+const WRITER_RETENTION: u64 = 4 * CLEANUP_INTERVAL;
 
-/// What became of a record.
+/// Outcome of applying a record.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect.
+    /// The record took effect.
     #[display("accepted")]
     Accepted,
-    /// It had taken effect before.
+    /// The record was applied before.
     #[display("duplicate")]
     Duplicate,
-    /// It has none, for this reason.
+    /// The record has no effect, for the given reason.
     #[display("refused: {_0}")]
     Refused(String),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct LastSeen {
+struct LastRecord {
     sequence: u64,
     offset: u64,
 }
 
-/// State folded from all records below `next_offset`.
+/// State after all records below `next_offset`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
     next_offset: u64,
     snapshot_offset: u64,
-    writers: BTreeMap<(String, u64), LastSeen>,
+    writers: BTreeMap<(String, u64), LastRecord>,
     bundles: Bundles,
     drains: BTreeMap<String, Drain>,
     leases: Leases,
-    trail: Trail,
+    audit_trail: AuditTrail,
 }
 
 impl State {
-    /// First offset that is not folded in.
+    /// First offset that has not been applied.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Folds one record in; records below `next_offset` change nothing.
+    /// Applies a record. Records below `next_offset` are duplicates and change nothing.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Outcome {
         if offset < self.next_offset {
             return Outcome::Duplicate;
@@ -64,12 +64,12 @@
         if !self.is_new(offset, record) {
             return Outcome::Duplicate;
         }
-        let outcome = self.fold(offset, record);
-        self.trail.note(offset, record, &outcome);
+        let outcome = self.apply_body(offset, record);
+        self.audit_trail.record(offset, record, &outcome);
         outcome
     }
 
-    /// Moves past offsets that hold no record.
+    /// Skips offsets that hold no valid record.
     pub fn skip_to(&mut self, next_offset: u64) {
         self.next_offset = self.next_offset.max(next_offset);
     }
@@ -85,15 +85,15 @@
         {
             return false;
         }
-        self.writers.insert(key, LastSeen { sequence, offset });
-        if offset.is_multiple_of(SWEEP_EVERY) {
-            let oldest = offset.saturating_sub(WRITER_HORIZON);
+        self.writers.insert(key, LastRecord { sequence, offset });
+        if offset.is_multiple_of(CLEANUP_INTERVAL) {
+            let oldest = offset.saturating_sub(WRITER_RETENTION);
             self.writers.retain(|_, last| last.offset >= oldest);
         }
         true
     }
 
-    fn fold(&mut self, offset: u64, record: &Record) -> Outcome {
+    fn apply_body(&mut self, offset: u64, record: &Record) -> Outcome {
         let Record { origin, actor, .. } = record;
         match &record.body {
             Body::BundlePublished(bundle) => self.bundles.publish(offset, actor, bundle),
@@ -135,14 +135,14 @@
         self.bundles.accepted.get(&self.bundles.in_force_version)
     }
 
-    /// Offset of the roll that put the bundle in force.
+    /// Offset of the record that put the bundle in force; 0 if there is none.
     pub fn in_force_offset(&self) -> u64 {
         self.bundles.in_force_offset
     }
 
-    /// Newest accepted version.
+    /// Newest accepted bundle version; 0 if there is none.
     pub fn newest_version(&self) -> u64 {
-        self.bundles.head
+        self.bundles.newest_version
     }
 
     /// Accepted bundles that are in force or newer.
@@ -150,58 +150,58 @@
         self.bundles.accepted.values()
     }
 
-    /// An accepted bundle by version.
+    /// The accepted bundle with the given version.
     pub fn bundle(&self, version: u64) -> Option<&BundleState> {
         self.bundles.accepted.get(&version)
     }
 
-    /// Whether an operator has drained the engine.
+    /// Whether the engine is drained by an operator.
     pub fn is_drained(&self, engine: &str) -> bool {
         self.drains.contains_key(engine)
     }
 
-    /// Engines that are drained.
+    /// Drained engines, by name.
     pub fn drains(&self) -> impl Iterator<Item = &Drain> {
         self.drains.values()
     }
 
-    /// The lease over a group of engines.
+    /// Newest state of the lease over a group of engines, even if it has expired.
     pub fn lease(&self, group: &str) -> Option<&LeaseState> {
         self.leases.leases.get(group)
     }
 
-    /// The last order to an engine.
+    /// The most recent order to an engine.
     pub fn last_order(&self, engine: &str) -> Option<&OrderState> {
         self.leases.orders.get(engine)
     }
 
-    /// Orders of a group that have not ended.
+    /// Orders of a group that are not settled.
     pub fn open_orders<'a>(&'a self, group: &'a str) -> impl Iterator<Item = &'a OrderState> {
         let orders = self.leases.orders.values();
         orders.filter(move |order| !order.settled && order.placed.group == group)
     }
 
-    /// The audit trail, oldest first.
+    /// Audit trail, oldest first.
     pub fn audit(&self) -> impl DoubleEndedIterator<Item = &AuditEntry> {
-        self.trail.entries.iter()
+        self.audit_trail.entries.iter()
     }
 
-    /// Offset of the last snapshot.
+    /// Offset of the most recent snapshot.
     pub fn snapshot_offset(&self) -> u64 {
         self.snapshot_offset
     }
 
-    /// Records folded in since the last snapshot.
+    /// Number of offsets applied since the most recent snapshot.
     pub fn records_since_snapshot(&self) -> u64 {
         self.next_offset.saturating_sub(self.snapshot_offset + 1)
     }
 
-    /// The state as a snapshot carries it.
+    /// Creates a snapshot of the state.
     pub fn snapshot(&self) -> Snapshot {
         let writers = self.writers.iter();
         Snapshot {
             next_offset: self.next_offset,
-            head: self.bundles.head,
+            head: self.bundles.newest_version,
             in_force_version: self.bundles.in_force_version,
             in_force_offset: self.bundles.in_force_offset,
             writers: writers
@@ -216,7 +216,7 @@
             drains: self.drains.values().cloned().collect(),
             leases: self.leases.leases.values().cloned().collect(),
             orders: self.leases.orders.values().cloned().collect(),
-            audit: self.trail.entries.iter().cloned().collect(),
+            audit: self.audit_trail.entries.iter().cloned().collect(),
         }
     }
 }
@@ -233,7 +233,7 @@
                 .writers
                 .into_iter()
                 .map(|writer| {
-                    let last = LastSeen {
+                    let last = LastRecord {
                         sequence: writer.sequence,
                         offset: writer.offset,
                     };
@@ -241,7 +241,7 @@
                 })
                 .collect(),
             bundles: Bundles {
-                head: snapshot.head,
+                newest_version: snapshot.head,
                 in_force_version: snapshot.in_force_version,
                 in_force_offset: snapshot.in_force_offset,
                 accepted: snapshot.bundles.into_iter().map(by_version).collect(),
@@ -255,7 +255,7 @@
                 leases: snapshot.leases.into_iter().map(by_group).collect(),
                 orders: snapshot.orders.into_iter().map(by_engine).collect(),
             },
-            trail: Trail {
+            audit_trail: AuditTrail {
                 entries: snapshot.audit.into(),
             },
         }
