--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks other instances.
+//! Client for remote calls to other instances.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,31 +15,31 @@
 
 use crate::{Error, Result};
 
-type Stub = peer_capnp::peer::Client;
+type Connection = peer_capnp::peer::Client;
 
-/// What a peer gives of what it has read back from the log.
+/// Records that a peer has read from the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerRecords {
-    /// Records from the asked offset on.
+    /// Records from the requested offset on.
     pub records: Vec<RawRecord>,
-    /// Where it would read on.
+    /// Offset of the peer's next read.
     pub next_offset: u64,
-    /// Its whole state, where it no longer keeps the records.
+    /// Encoded snapshot, if the peer no longer keeps all of the records.
     pub snapshot: Option<Vec<u8>>,
 }
 
-/// Connections to other instances, made when first needed and again after a failure.
+/// Connections to other instances, opened on first use and reopened after a failure.
 #[derive(Clone, Default)]
 pub struct Client {
-    stubs: Rc<RefCell<HashMap<String, Stub>>>,
+    connections: Rc<RefCell<HashMap<String, Connection>>>,
 }
 
 impl Client {
-    /// Gives a heartbeat and gets one.
+    /// Sends a heartbeat and returns the peer's heartbeat.
     pub async fn exchange(&self, peer: &str, beat: &Beat, limit_ms: u64) -> Result<Beat> {
         let operation = "exchange";
-        self.ask(operation, peer, limit_ms, |stub| {
-            let mut request = stub.exchange_request();
+        self.call_peer(operation, peer, limit_ms, |connection| {
+            let mut request = connection.exchange_request();
             beat.fill(request.get().init_beat());
             async move {
                 let response = request.send().promise.await?;
@@ -49,10 +49,10 @@
         .await
     }
 
-    /// Gets what a peer has read back from the log.
+    /// Fetches records that a peer has read from the log.
     pub async fn records(&self, peer: &str, from: u64, limit_ms: u64) -> Result<PeerRecords> {
-        self.ask("records", peer, limit_ms, |stub| {
-            let mut request = stub.records_request();
+        self.call_peer("records", peer, limit_ms, |connection| {
+            let mut request = connection.records_request();
             request.get().set_from(from);
             async move {
                 let response = request.send().promise.await?;
@@ -74,7 +74,7 @@
         .await
     }
 
-    /// Asks a witness whether a call may be dispatched.
+    /// Asks the witness of a key whether its home may dispatch the call.
     pub async fn claim(
         &self,
         peer: &str,
@@ -82,8 +82,8 @@
         digest: BodyDigest,
         limit_ms: u64,
     ) -> Result<ClaimVerdict> {
-        self.ask("claim", peer, limit_ms, |stub| {
-            let mut request = stub.claim_request();
+        self.call_peer("claim", peer, limit_ms, |connection| {
+            let mut request = connection.claim_request();
             request.get().set_key(key.to_string());
             request.get().set_body_digest(&digest);
             async move {
@@ -94,7 +94,7 @@
         .await
     }
 
-    /// Asks a witness what is known of a key, and closes an unseen one.
+    /// Asks a witness for the status of a key, and closes the key if it is not recorded.
     pub async fn fence(
         &self,
         peer: &str,
@@ -102,8 +102,8 @@
         digest: BodyDigest,
         limit_ms: u64,
     ) -> Result<CallStatus> {
-        self.ask("fence", peer, limit_ms, |stub| {
-            let mut request = stub.fence_request();
+        self.call_peer("fence", peer, limit_ms, |connection| {
+            let mut request = connection.fence_request();
             request.get().set_key(key.to_string());
             request.get().set_body_digest(&digest);
             async move {
@@ -114,7 +114,7 @@
         .await
     }
 
-    /// Gives a witness an answer to keep.
+    /// Sends the answer of a call to the witness, which stores it.
     pub async fn finish(
         &self,
         peer: &str,
@@ -122,8 +122,8 @@
         answer: &Answer,
         limit_ms: u64,
     ) -> Result<()> {
-        self.ask("finish", peer, limit_ms, |stub| {
-            let mut request = stub.finish_request();
+        self.call_peer("finish", peer, limit_ms, |connection| {
+            let mut request = connection.finish_request();
             request.get().set_key(key.to_string());
             answer.fill(request.get().init_answer());
             async move { request.send().promise.await.map(|_| ()) }
@@ -131,10 +131,10 @@
         .await
     }
 
-    /// Hands a call to its home.
+    /// Forwards a call to its home.
     pub async fn forward(&self, peer: &str, call: &Call, limit_ms: u64) -> Result<CallStatus> {
-        self.ask("forward", peer, limit_ms, |stub| {
-            let mut request = stub.forward_request();
+        self.call_peer("forward", peer, limit_ms, |connection| {
+            let mut request = connection.forward_request();
             call.fill(request.get().init_call());
             async move {
                 let response = request.send().promise.await?;
@@ -144,12 +144,12 @@
         .await
     }
 
-    async fn ask<T, F>(
+    async fn call_peer<T, F>(
         &self,
         operation: &'static str,
         peer: &str,
         limit_ms: u64,
-        call: impl FnOnce(Stub) -> F,
+        send: impl FnOnce(Connection) -> F,
     ) -> Result<T>
     where
         F: Future<Output = capnp::Result<T>>,
@@ -161,24 +161,24 @@
             never_sent,
         };
         let limit = Duration::from_millis(limit_ms);
-        let stub = match actix_rt::time::timeout(limit, self.stub(peer)).await {
-            Ok(Ok(stub)) => stub,
+        let connection = match actix_rt::time::timeout(limit, self.connect(peer)).await {
+            Ok(Ok(connection)) => connection,
             Ok(Err(failure)) => return Err(error(failure.to_string(), true)),
             Err(_) => return Err(error("no connection in time".to_owned(), true)),
         };
-        let answer = actix_rt::time::timeout(limit, call(stub)).await;
+        let answer = actix_rt::time::timeout(limit, send(connection)).await;
         let failure = match answer {
             Ok(Ok(value)) => return Ok(value),
             Ok(Err(failure)) => failure.to_string(),
             Err(_) => "no answer in time".to_owned(),
         };
-        self.stubs.borrow_mut().remove(peer);
+        self.connections.borrow_mut().remove(peer);
         Err(error(failure, false))
     }
 
-    async fn stub(&self, peer: &str) -> std::io::Result<Stub> {
-        if let Some(stub) = self.stubs.borrow().get(peer) {
-            return Ok(stub.clone());
+    async fn connect(&self, peer: &str) -> std::io::Result<Connection> {
+        if let Some(connection) = self.connections.borrow().get(peer) {
+            return Ok(connection.clone());
         }
         let stream = TcpStream::connect(peer).await?;
         stream.set_nodelay(true)?;
@@ -190,15 +190,15 @@
             capnp::message::ReaderOptions::default(),
         );
         let mut system = RpcSystem::new(Box::new(network), None);
-        let stub: Stub = system.bootstrap(rpc_twoparty_capnp::Side::Server);
+        let connection: Connection = system.bootstrap(rpc_twoparty_capnp::Side::Server);
         actix_rt::spawn(async move {
             if let Err(error) = system.await {
-                log::debug!("peer connection: {error}");
+                log::debug!("peer connection failed: {error}");
             }
         });
-        self.stubs
+        self.connections
             .borrow_mut()
-            .insert(peer.to_owned(), stub.clone());
-        Ok(stub)
+            .insert(peer.to_owned(), connection.clone());
+        Ok(connection)
     }
 }
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,18 +1,18 @@
-//! Failures between instances.
+//! Errors of remote calls between instances.
 
 use derive_more::{Display, Error};
 
-/// Another instance did not do what was asked.
+/// A call to another instance failed.
 #[derive(Debug, Display, Error, Clone)]
 #[display("{operation} at {peer}: {detail}")]
 pub struct Error {
-    /// What was being done.
+    /// Operation that failed.
     pub operation: &'static str,
     /// Address of the other instance.
     pub peer: String,
     /// What went wrong.
     pub detail: String,
-    /// Whether the connection could not be made, so that nothing was asked.
+    /// Whether the connection failed, so that nothing was sent.
     pub never_sent: bool,
 }
 
--- a/crates/peer/src/peer_table.rs
+++ b/crates/peer/src/peer_table.rs
@@ -1,4 +1,4 @@
-//! Which instances there are, and which to name to callers.
+//! Table of the other instances, used to pick heartbeat targets and instances for callers.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -8,164 +8,165 @@
 use rand::seq::IteratorRandom;
 use wire::{Beat, Condition};
 
-/// Instances for each target of a heartbeat up to which a fleet counts as small.
-const SMALL_FLEET: usize = 4;
+/// A fleet is small if it has at most this many instances per heartbeat target.
+const SMALL_FLEET_FACTOR: usize = 4;
 
-/// Times of the membership.
+/// Settings of heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Silence after which an instance is not handed out.
+    /// Time without a heartbeat after which an instance is no longer named to callers.
     pub suspect_ms: u64,
-    /// Instances that one heartbeat goes to.
+    /// Number of instances that each heartbeat is sent to.
     pub fan_out: usize,
 }
 
-/// What is known of another instance.
+/// Information about another instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerInfo {
-    /// Name.
+    /// Name of the instance.
     pub instance: String,
-    /// Where other instances reach it.
+    /// Address for remote calls; empty if it has not been listed yet.
     pub peer_address: String,
     /// Availability zone.
     pub zone: String,
-    /// The last heartbeat from it, and when it was heard.
+    /// Time and content of the last heartbeat received directly from it.
     pub last_heartbeat: Option<(u64, Beat)>,
-    /// The platform lists it as leaving.
+    /// Whether the platform lists it as leaving.
     pub leaving: bool,
 }
 
 /// All other instances.
 ///
-/// The list says who there may be and where; only a heartbeat, heard directly, makes an instance
-/// fit to be handed out. A list that lags thus cannot hand out one that is gone for longer than
-/// `suspect_ms`.
+/// The platform's list provides candidates and their addresses. Only a heartbeat received directly
+/// from an instance makes it eligible to be named to callers, so an outdated list cannot keep a failed
+/// instance eligible for longer than `suspect_ms`.
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     settings: MembershipSettings,
-    known: BTreeMap<String, PeerInfo>,
-    resumed_ms: u64,
+    peers: BTreeMap<String, PeerInfo>,
+    paused_until_ms: u64,
 }
 
 impl PeerTable {
-    /// No other instance is known.
+    /// Creates an empty table.
     pub fn new(settings: MembershipSettings) -> Self {
         Self {
             settings,
-            known: BTreeMap::new(),
-            resumed_ms: 0,
+            peers: BTreeMap::new(),
+            paused_until_ms: 0,
         }
     }
 
-    /// Takes in the platform's list of other instances.
+    /// Applies the platform's list of other instances.
     pub fn apply_list(&mut self, now_ms: u64, list: impl Iterator<Item = PeerInfo>) {
         let mut listed = BTreeMap::new();
-        for mut known in list {
-            if let Some(before) = self.known.remove(&known.instance) {
-                known.last_heartbeat = before.last_heartbeat;
+        for mut peer in list {
+            if let Some(previous) = self.peers.remove(&peer.instance) {
+                peer.last_heartbeat = previous.last_heartbeat;
             }
-            listed.insert(known.instance.clone(), known);
+            listed.insert(peer.instance.clone(), peer);
         }
-        // A list may lag behind an instance that is new: one that is heard stays.
+        // A new instance may be missing from an outdated list: one with a recent heartbeat stays.
         let suspect_ms = self.settings.suspect_ms;
-        let heard = |known: &PeerInfo| {
-            known
-                .last_heartbeat
+        let is_recent = |peer: &PeerInfo| {
+            peer.last_heartbeat
                 .as_ref()
-                .is_some_and(|heard| heard.0 + suspect_ms > now_ms)
+                .is_some_and(|heartbeat| heartbeat.0 + suspect_ms > now_ms)
         };
-        for (name, known) in std::mem::take(&mut self.known) {
-            if heard(&known) {
-                listed.insert(name, known);
+        for (name, peer) in std::mem::take(&mut self.peers) {
+            if is_recent(&peer) {
+                listed.insert(name, peer);
             }
         }
-        self.known = listed;
+        self.peers = listed;
     }
 
-    /// Takes in a heartbeat that came directly from its sender.
+    /// Records a heartbeat that was received directly from its sender.
     pub fn record_heartbeat(&mut self, now_ms: u64, beat: Beat) {
-        let known = self.known.entry(beat.instance.clone()).or_insert(PeerInfo {
+        let peer = self.peers.entry(beat.instance.clone()).or_insert(PeerInfo {
             instance: beat.instance.clone(),
             peer_address: String::new(),
             zone: beat.zone.clone(),
             last_heartbeat: None,
             leaving: false,
         });
-        known.last_heartbeat = Some((now_ms, beat));
+        peer.last_heartbeat = Some((now_ms, beat));
     }
 
-    /// A message to an instance failed: it is not handed out until it is heard again.
+    /// Records that a call to an instance failed: it is not named to callers until its next heartbeat.
     pub fn record_failure(&mut self, instance: &str) {
-        if let Some(known) = self.known.get_mut(instance) {
-            known.last_heartbeat = None;
+        if let Some(peer) = self.peers.get_mut(instance) {
+            peer.last_heartbeat = None;
         }
     }
 
-    /// This process was paused until `now_ms`: what it last heard says nothing of now.
+    /// Records that this process was paused until `now_ms`, which invalidates all earlier heartbeats.
     ///
-    /// Without this an instance that wakes up would hand out others by heartbeats that look
-    /// fresh on a clock that did not run, or that it reads from a full socket buffer.
+    /// Otherwise a resumed instance would name failed instances to callers: heartbeats look recent on a
+    /// clock that stopped during the pause, or are read late from a full socket buffer.
     pub fn record_pause(&mut self, now_ms: u64) {
-        self.resumed_ms = now_ms;
+        self.paused_until_ms = now_ms;
     }
 
-    fn is_fresh(&self, now_ms: u64, known: &PeerInfo) -> bool {
-        let heard = known.last_heartbeat.as_ref();
-        heard.is_some_and(|heard| {
-            heard.0 >= self.resumed_ms && heard.0 + self.settings.suspect_ms > now_ms
+    fn is_fresh(&self, now_ms: u64, peer: &PeerInfo) -> bool {
+        let heartbeat = peer.last_heartbeat.as_ref();
+        heartbeat.is_some_and(|heartbeat| {
+            heartbeat.0 >= self.paused_until_ms && heartbeat.0 + self.settings.suspect_ms > now_ms
         })
     }
 
-    /// Instances that are heard and serve, the given availability zone's first.
+    /// Instances that are live and ready, those of the given availability zone first.
     pub fn ready(&self, now_ms: u64, zone: &str) -> Vec<&Beat> {
         let mut ready: Vec<&Beat> = self
-            .known
+            .peers
             .values()
-            .filter(|known| !known.leaving && self.is_fresh(now_ms, known))
-            .filter_map(|known| known.last_heartbeat.as_ref().map(|heard| &heard.1))
+            .filter(|peer| !peer.leaving && self.is_fresh(now_ms, peer))
+            .filter_map(|peer| peer.last_heartbeat.as_ref().map(|heartbeat| &heartbeat.1))
             .filter(|beat| beat.condition == Condition::Ready)
             .collect();
         ready.sort_by_key(|beat| (beat.zone != zone, beat.instance.clone()));
         ready
     }
 
-    /// Instances that are heard in any condition.
+    /// Instances with a recent heartbeat, in any condition.
     pub fn live(&self, now_ms: u64) -> impl Iterator<Item = &Beat> {
         let fresh = self
-            .known
+            .peers
             .values()
-            .filter(move |known| self.is_fresh(now_ms, known));
-        fresh.filter_map(|known| known.last_heartbeat.as_ref().map(|heard| &heard.1))
+            .filter(move |peer| self.is_fresh(now_ms, peer));
+        fresh.filter_map(|peer| peer.last_heartbeat.as_ref().map(|heartbeat| &heartbeat.1))
     }
 
-    /// Where an instance in a given life is reached, if it was heard at all.
+    /// Address of an incarnation of an instance, if a heartbeat of it was received.
     ///
-    /// A silence that keeps it from being handed out is no reason not to ask it: the answer to a
-    /// message decides, and `record_failure` takes it back.
+    /// The heartbeat need not be recent: an instance that is not named to callers may still be called,
+    /// and `record_failure` clears its heartbeat if the call fails.
     pub fn address(&self, instance: &str, incarnation: u64) -> Option<&str> {
-        let known = self.known.get(instance)?;
-        let heard = known.last_heartbeat.as_ref();
-        let same = heard.is_some_and(|heard| heard.1.incarnation == incarnation);
-        let reachable = same && !known.peer_address.is_empty();
-        reachable.then_some(known.peer_address.as_str())
+        let peer = self.peers.get(instance)?;
+        let heartbeat = peer.last_heartbeat.as_ref();
+        let same = heartbeat.is_some_and(|heartbeat| heartbeat.1.incarnation == incarnation);
+        let reachable = same && !peer.peer_address.is_empty();
+        reachable.then_some(peer.peer_address.as_str())
     }
 
-    /// Who gets the next heartbeat: a few at random, so that the cost stays the same at any size.
+    /// Addresses that get the next heartbeat: a fixed number at random, so that the cost does not grow
+    /// with the fleet.
     ///
-    /// In a large fleet all but one are of the own availability zone, whose callers and engines
-    /// are shared; the one beyond it keeps the zones known to each other. In a small one that
-    /// would leave instances of other zones silent for longer than `suspect_ms`.
+    /// In a large fleet all but one are in the own availability zone, which shares callers and engines;
+    /// the other one keeps zones informed about each other. In a small fleet the targets are chosen
+    /// from all zones, as instances of other zones would otherwise miss heartbeats for longer than
+    /// `suspect_ms`.
     pub fn heartbeat_targets(&self, zone: &str, rng: &mut impl Rng) -> Vec<String> {
         let reachable = self
-            .known
+            .peers
             .values()
-            .filter(|known| !known.peer_address.is_empty());
+            .filter(|peer| !peer.peer_address.is_empty());
         let fan_out = self.settings.fan_out;
-        let chosen = if self.known.len() <= SMALL_FLEET * fan_out {
+        let chosen = if self.peers.len() <= SMALL_FLEET_FACTOR * fan_out {
             reachable.choose_multiple(rng, fan_out)
         } else {
             let (near, far): (Vec<&PeerInfo>, Vec<&PeerInfo>) =
-                reachable.partition(|known| known.zone == zone);
+                reachable.partition(|peer| peer.zone == zone);
             let near_count = (fan_out - 1).min(near.len());
             let mut chosen = near.into_iter().choose_multiple(rng, near_count);
             chosen.extend(far.into_iter().choose_multiple(rng, fan_out - near_count));
@@ -173,28 +174,28 @@
         };
         chosen
             .into_iter()
-            .map(|known| known.peer_address.clone())
+            .map(|peer| peer.peer_address.clone())
             .collect()
     }
 
-    /// Place of an instance among those that are live, for taking turns over `subject`.
+    /// Rank of this instance among the live ones for `subject`, starting at 0.
     pub fn rank(&self, now_ms: u64, me: &str, subject: &str) -> u64 {
-        let mine = turn(me, subject);
-        let before = self
+        let own_hash = rendezvous_hash(me, subject);
+        let lower = self
             .live(now_ms)
-            .filter(|beat| turn(&beat.instance, subject) < mine);
-        before.count() as u64
+            .filter(|beat| rendezvous_hash(&beat.instance, subject) < own_hash);
+        lower.count() as u64
     }
 
-    /// All that is known, for operators.
+    /// All other instances, whether live or not.
     pub fn all(&self) -> impl Iterator<Item = &PeerInfo> {
-        self.known.values()
+        self.peers.values()
     }
 }
 
-/// Rendezvous hash: each subject gets its own order of instances.
-fn turn(instance: &str, subject: &str) -> (u64, String) {
-    // FNV is stable across processes and versions, unlike the hasher of the standard library.
+/// Rendezvous hash, which orders the instances differently for each subject.
+fn rendezvous_hash(instance: &str, subject: &str) -> (u64, String) {
+    // FNV is stable across processes and versions, unlike the default hasher of `std`.
     let mut hasher = FnvHasher::default();
     (instance, subject).hash(&mut hasher);
     (hasher.finish(), instance.to_owned())
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers other instances.
+//! Server for remote calls of other instances.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use wire::{Answer, Beat, Call, CallStatus, ClaimVerdict, peer_capnp};
 
-/// What an instance does for others; the edge between messages and the process's state.
+/// Handles the remote calls of other instances.
 #[allow(async_fn_in_trait, reason = "every caller runs on one thread")]
 pub trait Handler: 'static {
-    /// Takes in a heartbeat and gives its own.
+    /// Processes a heartbeat and returns this instance's own.
     fn exchange(&self, beat: Beat) -> Beat;
-    /// Records read back from the log from an offset on, with the next offset, or a snapshot.
+    /// Returns the records from an offset on, the next offset, and a snapshot if records are missing.
     fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>);
-    /// A home asks its witness.
+    /// Decides as witness whether a key's home may dispatch its call.
     fn claim(&self, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict;
-    /// An instance that cannot reach a home asks its witness.
+    /// Returns the status of a key as witness, and closes it if it is not recorded.
     fn fence(&self, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus;
-    /// A home gives its witness an answer.
+    /// Stores the answer of a call as witness.
     fn finish(&self, key: &IdempotencyKey, answer: Answer);
-    /// An instance hands a call to its home.
+    /// Runs a call as home, or waits for its end if it is in progress.
     async fn forward(&self, call: Call) -> CallStatus;
 }
 
@@ -33,36 +33,39 @@
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Server {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts all connections, as a crash would.
+    /// Closes all connections at once, as a crash would.
     pub fn kill(&self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
-/// Serves a handler on a listener.
+/// Starts serving remote calls on a listener.
 pub fn serve<H: Handler>(listener: TcpListener, handler: Rc<H>) -> io::Result<Server> {
     let address = listener.local_addr()?;
-    let accepting = actix_rt::spawn(accept(listener, handler));
-    Ok(Server { address, accepting })
+    let accept_task = actix_rt::spawn(accept(listener, handler));
+    Ok(Server {
+        address,
+        accept_task,
+    })
 }
 
 async fn accept<H: Handler>(listener: TcpListener, handler: Rc<H>) {
-    // Connections end with the set, so that aborting this task cuts them all.
+    // Dropping the set aborts its tasks, so aborting this task closes all connections.
     let mut connections = tokio::task::JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn_local(talk(stream, handler.clone()));
+                    connections.spawn_local(serve_connection(stream, handler.clone()));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -70,7 +73,7 @@
     }
 }
 
-async fn talk<H: Handler>(stream: TcpStream, handler: Rc<H>) {
+async fn serve_connection<H: Handler>(stream: TcpStream, handler: Rc<H>) {
     let _ = stream.set_nodelay(true);
     let (reader, writer) = futures_util::AsyncReadExt::split(stream.compat());
     let network = twoparty::VatNetwork::new(
@@ -82,7 +85,7 @@
     let peer: peer_capnp::peer::Client = capnp_rpc::new_client(Adapter { handler });
     let system = RpcSystem::new(Box::new(network), Some(peer.client));
     if let Err(error) = system.await {
-        log::debug!("peer connection: {error}");
+        log::debug!("peer connection failed: {error}");
     }
 }
 
@@ -90,15 +93,15 @@
     handler: Rc<H>,
 }
 
-fn refuse(error: &impl std::fmt::Display) -> capnp::Error {
+fn rejected(error: &impl std::fmt::Display) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
 
-fn key(text: capnp::Result<capnp::text::Reader>) -> capnp::Result<IdempotencyKey> {
+fn parse_key(text: capnp::Result<capnp::text::Reader>) -> capnp::Result<IdempotencyKey> {
     text?
         .to_str()?
         .parse()
-        .map_err(|error: once::KeyError| refuse(&error))
+        .map_err(|error: once::KeyError| rejected(&error))
 }
 
 impl<H: Handler> peer_capnp::peer::Server for Adapter<H> {
@@ -107,9 +110,9 @@
         params: peer_capnp::peer::ExchangeParams,
         mut results: peer_capnp::peer::ExchangeResults,
     ) -> capnp::Result<()> {
-        let beat = Beat::try_from(params.get()?.get_beat()?).map_err(|error| refuse(&error))?;
-        let mine = self.handler.exchange(beat);
-        mine.fill(results.get().init_beat());
+        let beat = Beat::try_from(params.get()?.get_beat()?).map_err(|error| rejected(&error))?;
+        let own = self.handler.exchange(beat);
+        own.fill(results.get().init_beat());
         Ok(())
     }
 
@@ -141,8 +144,8 @@
     ) -> capnp::Result<()> {
         let params = params.get()?;
         let digest = wire::digest("claim.bodyDigest", params.get_body_digest()?);
-        let digest = digest.map_err(|error| refuse(&error))?;
-        let verdict = self.handler.claim(&key(params.get_key())?, digest);
+        let digest = digest.map_err(|error| rejected(&error))?;
+        let verdict = self.handler.claim(&parse_key(params.get_key())?, digest);
         results.get().set_verdict(verdict.into());
         Ok(())
     }
@@ -154,8 +157,8 @@
     ) -> capnp::Result<()> {
         let params = params.get()?;
         let digest = wire::digest("fence.bodyDigest", params.get_body_digest()?);
-        let digest = digest.map_err(|error| refuse(&error))?;
-        let status = self.handler.fence(&key(params.get_key())?, digest);
+        let digest = digest.map_err(|error| rejected(&error))?;
+        let status = self.handler.fence(&parse_key(params.get_key())?, digest);
         status.fill(results.get().init_status());
         Ok(())
     }
@@ -166,8 +169,8 @@
         _results: peer_capnp::peer::FinishResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let answer = Answer::try_from(params.get_answer()?).map_err(|error| refuse(&error))?;
-        self.handler.finish(&key(params.get_key())?, answer);
+        let answer = Answer::try_from(params.get_answer()?).map_err(|error| rejected(&error))?;
+        self.handler.finish(&parse_key(params.get_key())?, answer);
         Ok(())
     }
 
@@ -176,7 +179,7 @@
         params: peer_capnp::peer::ForwardParams,
         mut results: peer_capnp::peer::ForwardResults,
     ) -> capnp::Result<()> {
-        let call = Call::try_from(params.get()?.get_call()?).map_err(|error| refuse(&error))?;
+        let call = Call::try_from(params.get()?.get_call()?).map_err(|error| rejected(&error))?;
         let status = self.handler.forward(call).await;
         status.fill(results.get().init_status());
         Ok(())
--- a/crates/peer/tests/peer_table.rs
+++ b/crates/peer/tests/peer_table.rs
@@ -1,4 +1,4 @@
-//! Who is handed out, who is asked, and who gets heartbeats.
+//! Which instances are named to callers, which are called, and which get heartbeats.
 
 use peer::{MembershipSettings, PeerInfo, PeerTable};
 use rand::SeedableRng;
@@ -10,7 +10,7 @@
     fan_out: 3,
 };
 
-fn known(number: usize, zone: &str) -> PeerInfo {
+fn peer_info(number: usize, zone: &str) -> PeerInfo {
     PeerInfo {
         instance: format!("entry-{number}"),
         peer_address: format!("10.0.0.{number}:1"),
@@ -41,7 +41,7 @@
     let listed = zones
         .iter()
         .enumerate()
-        .map(|(number, zone)| known(number, zone));
+        .map(|(number, zone)| peer_info(number, zone));
     peers.apply_list(0, listed);
     for (number, zone) in zones.iter().enumerate() {
         peers.record_heartbeat(0, beat(number, zone, Condition::Ready));
@@ -49,35 +49,35 @@
     peers
 }
 
-fn names(peers: &PeerTable, now_ms: u64) -> Vec<String> {
+fn ready_names(peers: &PeerTable, now_ms: u64) -> Vec<String> {
     let ready = peers.ready(now_ms, "b");
     ready.iter().map(|beat| beat.instance.clone()).collect()
 }
 
 #[test]
-fn the_own_zone_is_named_first_and_the_silent_and_leaving_are_not() {
+fn ready_instances_of_the_own_zone_come_first() {
     let mut peers = fleet(&["a", "b", "a", "b"]);
     peers.record_heartbeat(500, beat(0, "a", Condition::Ready));
     peers.record_heartbeat(500, beat(1, "b", Condition::Leaving));
     peers.record_heartbeat(500, beat(3, "b", Condition::Ready));
-    assert_eq!(names(&peers, 1_200), ["entry-3", "entry-0"]);
+    assert_eq!(ready_names(&peers, 1_200), ["entry-3", "entry-0"]);
 }
 
 #[test]
-fn an_instance_that_wakes_up_names_nobody_until_it_hears_them_again() {
-    // The process was paused. Its own clock may not show it, and heartbeats from before the
-    // pause wait in its buffers; it would name instances that are gone by now.
+fn a_resumed_instance_names_no_peer_before_its_next_heartbeat() {
+    // After a pause, heartbeats from before it may look recent, because the clock may have stopped or
+    // they were still in a socket buffer. The instance would name peers that have failed since.
     let mut peers = fleet(&["a", "b"]);
     peers.record_pause(100);
-    assert!(names(&peers, 150).is_empty());
+    assert!(ready_names(&peers, 150).is_empty());
     peers.record_heartbeat(160, beat(1, "b", Condition::Ready));
-    assert_eq!(names(&peers, 170), ["entry-1"]);
+    assert_eq!(ready_names(&peers, 170), ["entry-1"]);
 }
 
 #[test]
-fn a_silent_instance_is_still_asked_until_a_message_fails() {
+fn a_silent_instance_is_still_called_until_a_call_fails() {
     let mut peers = fleet(&["a", "b"]);
-    assert!(names(&peers, 5_000).is_empty());
+    assert!(ready_names(&peers, 5_000).is_empty());
     assert!(peers.address("entry-1", 7).is_some());
     assert!(peers.address("entry-1", 8).is_none());
     peers.record_failure("entry-1");
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn a_list_that_lags_does_not_drop_an_instance_that_is_heard() {
+fn an_outdated_list_does_not_drop_a_live_instance() {
     let mut peers = fleet(&["a", "b"]);
     peers.record_heartbeat(900, beat(1, "b", Condition::Ready));
-    peers.apply_list(1_000, std::iter::once(known(0, "a")));
-    assert_eq!(names(&peers, 1_100), ["entry-1"]);
+    peers.apply_list(1_000, std::iter::once(peer_info(0, "a")));
+    assert_eq!(ready_names(&peers, 1_100), ["entry-1"]);
 }
 
 #[test]
-fn heartbeats_go_anywhere_in_a_small_fleet_and_mostly_near_in_a_large_one() {
+fn heartbeats_go_to_all_zones_in_a_small_fleet_and_mostly_to_the_own_zone_in_a_large_one() {
     let mut rng = Pcg64::seed_from_u64(1);
     let small = fleet(&["a", "b", "c", "a", "b", "c", "a", "b"]);
     let mut reached = std::collections::BTreeSet::new();
