--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -13,16 +13,16 @@
 use crate::refusal::{Code, Refusal};
 
 /// Time for a record to come back from the log.
-const LAND_MS: u64 = 5_000;
+const CONFIRM_TIMEOUT_MS: u64 = 5_000;
 
 /// Largest bundle, in bytes: 12,000 workspaces at about 200 bytes, with room.
-const BUNDLE_BYTES: usize = 8 << 20;
+const MAX_BUNDLE_BYTES: usize = 8 << 20;
 
 /// Most entries of one page of the audit trail.
-const AUDIT_PAGE: usize = 200;
+const PAGE_ENTRIES: usize = 200;
 
 #[derive(Serialize)]
-struct Done<'a> {
+struct ChangeResult<'a> {
     accepted: bool,
     offset: u64,
     outcome: String,
@@ -33,7 +33,7 @@
 }
 
 #[derive(Serialize)]
-struct Problems {
+struct CheckResult {
     valid: bool,
     problems: Vec<conf::Problem>,
 }
@@ -130,12 +130,12 @@
         (&Method::GET, ["bundles"]) => Ok(list(app)),
         (&Method::GET, ["bundles", version]) => show(app, version),
         (&Method::POST, ["bundles", version, verb]) => {
-            let bundle = named(app, version)?;
+            let bundle = bundle_ref(app, version)?;
             let body = match *verb {
                 "sign" => Body::BundleSigned(bundle),
                 "roll" => Body::BundleRolled(bundle),
                 "withdraw" => Body::BundleWithdrawn(bundle),
-                _ => return Err(nothing()),
+                _ => return Err(unknown_path()),
             };
             change(app, &operator, body).await
         }
@@ -148,24 +148,24 @@
             let body = match *verb {
                 "drain" => Body::EngineDrained((*engine).to_owned()),
                 "undrain" => Body::EngineUndrained((*engine).to_owned()),
-                _ => return Err(nothing()),
+                _ => return Err(unknown_path()),
             };
             change(app, &operator, body).await
         }
         (&Method::GET, ["status"]) => Ok(status(app)),
         (&Method::GET, ["audit"]) => Ok(audit(app, &web::query(&request)?)),
         (&Method::GET, ["workspaces"]) => workspaces(app, &web::query(&request)?),
-        _ => Err(nothing()),
+        _ => Err(unknown_path()),
     }
 }
 
-fn nothing() -> Refusal {
+fn unknown_path() -> Refusal {
     Refusal::new(Code::NotFound, "path: nothing there")
 }
 
 async fn read_bundle(app: &App, request: &mut Request) -> Result<String, Refusal> {
     let limit_ms = app.settings.limits.body_timeout_ms;
-    let body = web::read_body(request.take_payload(), BUNDLE_BYTES, limit_ms).await?;
+    let body = web::read_body(request.take_payload(), MAX_BUNDLE_BYTES, limit_ms).await?;
     let text = String::from_utf8(body.to_vec());
     text.map_err(|error| Refusal::new(Code::BadRequest, format!("body: {error}")))
 }
@@ -182,7 +182,7 @@
     } else {
         StatusCode::UNPROCESSABLE_ENTITY
     };
-    web::json(status, &Problems { valid, problems })
+    web::json(status, &CheckResult { valid, problems })
 }
 
 async fn publish(app: &Rc<App>, operator: &str, text: &str) -> Result<Response, Refusal> {
@@ -196,35 +196,51 @@
         digest: digest.clone(),
         text: text.to_owned(),
     });
-    let (offset, outcome) = land(app, operator, body).await?;
-    Ok(done(offset, &outcome, Some(bundle.version), Some(&digest)))
+    let (offset, outcome) = append_and_confirm(app, operator, body).await?;
+    Ok(change_result(
+        offset,
+        &outcome,
+        Some(bundle.version),
+        Some(&digest),
+    ))
 }
 
 async fn change(app: &Rc<App>, operator: &str, body: Body) -> Result<Response, Refusal> {
-    let (offset, outcome) = land(app, operator, body).await?;
-    Ok(done(offset, &outcome, None, None))
+    let (offset, outcome) = append_and_confirm(app, operator, body).await?;
+    Ok(change_result(offset, &outcome, None, None))
 }
 
-async fn land(app: &Rc<App>, operator: &str, body: Body) -> Result<(u64, Outcome), Refusal> {
+async fn append_and_confirm(
+    app: &Rc<App>,
+    operator: &str,
+    body: Body,
+) -> Result<(u64, Outcome), Refusal> {
     if !app.log_up.get() {
         let text = "the log is down; nothing was written";
         return Err(Refusal::new(Code::Unavailable, text).retry_after(2_000));
     }
-    let landed = app.write_and_wait(operator, body, LAND_MS).await;
-    landed.ok_or_else(|| {
+    let confirmation = app
+        .append_and_wait(operator, body, CONFIRM_TIMEOUT_MS)
+        .await;
+    confirmation.ok_or_else(|| {
         let text = "the log has not confirmed it; look at the audit trail before asking again";
         Refusal::unknown(Code::Unavailable, text).retry_after(2_000)
     })
 }
 
-fn done(offset: u64, outcome: &Outcome, version: Option<u64>, digest: Option<&str>) -> Response {
+fn change_result(
+    offset: u64,
+    outcome: &Outcome,
+    version: Option<u64>,
+    digest: Option<&str>,
+) -> Response {
     let accepted = *outcome == Outcome::Accepted;
     let status = if accepted {
         StatusCode::OK
     } else {
         StatusCode::CONFLICT
     };
-    let body = Done {
+    let body = ChangeResult {
         accepted,
         offset,
         outcome: outcome.to_string(),
@@ -234,11 +250,11 @@
     web::json(status, &body)
 }
 
-fn named(app: &App, version: &str) -> Result<BundleRef, Refusal> {
+fn bundle_ref(app: &App, version: &str) -> Result<BundleRef, Refusal> {
     let bad = |_| Refusal::new(Code::BadRequest, "version: a whole number expected");
     let version: u64 = version.parse().map_err(bad)?;
-    let cursor = app.cursor.borrow();
-    let known = cursor.state().bundle(version);
+    let log_reader = app.log_reader.borrow();
+    let known = log_reader.state().bundle(version);
     let unknown = || Refusal::new(Code::NotFound, format!("version: no bundle {version}"));
     known.ok_or_else(unknown).map(|bundle| BundleRef {
         version,
@@ -247,12 +263,12 @@
 }
 
 fn list(app: &App) -> Response {
-    let cursor = app.cursor.borrow();
-    let in_force = cursor
+    let log_reader = app.log_reader.borrow();
+    let in_force = log_reader
         .state()
         .in_force()
         .map(|bundle| bundle.published.version);
-    let views: Vec<BundleView> = cursor
+    let views: Vec<BundleView> = log_reader
         .state()
         .bundles()
         .map(|bundle| BundleView {
@@ -269,9 +285,9 @@
 }
 
 fn show(app: &App, version: &str) -> Result<Response, Refusal> {
-    let bundle = named(app, version)?;
-    let cursor = app.cursor.borrow();
-    let text = cursor
+    let bundle = bundle_ref(app, version)?;
+    let log_reader = app.log_reader.borrow();
+    let text = log_reader
         .state()
         .bundle(bundle.version)
         .map(|bundle| bundle.published.text.clone());
@@ -284,7 +300,7 @@
 
 fn engines(app: &App) -> Vec<EngineView> {
     let upstreams = app.upstreams.borrow();
-    let cursor = app.cursor.borrow();
+    let log_reader = app.log_reader.borrow();
     let fleet = app.fleet.borrow();
     let view = |engine: &plan::Engine| {
         let entry = upstreams.engines.get(&engine.name);
@@ -295,7 +311,7 @@
             role: engine.role.to_string(),
             presence: format!("{:?}", engine.presence).to_lowercase(),
             loaded: report.map_or_else(Vec::new, |report| report.loaded.clone()),
-            drained: cursor.state().is_drained(&engine.name),
+            drained: log_reader.state().is_drained(&engine.name),
             slowness: engine.health.slowness(),
         }
     };
@@ -303,9 +319,9 @@
 }
 
 fn status(app: &App) -> Response {
-    let members = app.members.borrow();
+    let peer_table = app.peer_table.borrow();
     let learned_from = app.learned_from.borrow();
-    let cursor = app.cursor.borrow();
+    let log_reader = app.log_reader.borrow();
     let bundle = app.bundle();
     let version = bundle.as_ref().map_or(0, |bundle| bundle.bundle().version);
     let condition = format!("{:?}", app.condition.get()).to_lowercase();
@@ -314,9 +330,9 @@
         zone: &app.settings.zone,
         condition,
         bundle_version: version,
-        applied_offset: cursor.state().next_offset(),
+        applied_offset: log_reader.state().next_offset(),
     };
-    let others = members.live(app.now_ms()).map(|beat| InstanceView {
+    let others = peer_table.live(app.now_ms()).map(|beat| InstanceView {
         instance: &beat.instance,
         zone: &beat.zone,
         condition: format!("{:?}", beat.condition).to_lowercase(),
@@ -327,7 +343,7 @@
     let status = Status {
         version,
         digest: bundle.map_or(String::new(), |bundle| bundle.digest().to_owned()),
-        offset: cursor.state().in_force_offset(),
+        offset: log_reader.state().in_force_offset(),
         log_up: app.log_up.get(),
         learned_from: &learned_from,
         instances,
@@ -338,15 +354,15 @@
 
 /// The newest entries first, a page at a time.
 fn audit(app: &App, query: &AuditQuery) -> Response {
-    let cursor = app.cursor.borrow();
+    let log_reader = app.log_reader.borrow();
     let before = query.before.unwrap_or(u64::MAX);
-    let entries = cursor
+    let entries = log_reader
         .state()
         .audit()
         .rev()
         .filter(|entry| entry.offset < before);
     let views: Vec<AuditView> = entries
-        .take(AUDIT_PAGE)
+        .take(PAGE_ENTRIES)
         .map(|entry| AuditView {
             offset: entry.offset,
             wall_ms: entry.wall_ms,
@@ -381,6 +397,6 @@
         }));
     }
     views.sort_by_key(|view| view.workspace);
-    views.truncate(AUDIT_PAGE);
+    views.truncate(PAGE_ENTRIES);
     Ok(web::json(StatusCode::OK, &views))
 }
--- a/crates/entry/src/app.rs
+++ b/crates/entry/src/app.rs
@@ -23,10 +23,10 @@
 use crate::upstreams::Upstreams;
 
 /// Time that a connection to an upstream may take to be made.
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// What became of a record, and where it is.
-pub(crate) type Landed = (u64, Outcome);
+pub(crate) type Confirmation = (u64, Outcome);
 
 /// State that all parts of an instance share.
 pub(crate) struct App {
@@ -38,22 +38,22 @@
     pub(crate) caller_address: String,
     pub(crate) log: HttpLog,
     pub(crate) client: awc::Client,
-    pub(crate) peers: peer::Client,
-    pub(crate) cursor: RefCell<LogReader>,
+    pub(crate) peer_client: peer::Client,
+    pub(crate) log_reader: RefCell<LogReader>,
     pub(crate) outbox: RefCell<Outbox>,
-    pub(crate) outgoing: Notify,
-    pub(crate) waiting: RefCell<HashMap<u64, oneshot::Sender<Landed>>>,
+    pub(crate) outbox_ready: Notify,
+    pub(crate) confirmations: RefCell<HashMap<u64, oneshot::Sender<Confirmation>>>,
     pub(crate) bundle: RefCell<Option<Rc<BundleIndex>>>,
-    pub(crate) members: RefCell<PeerTable>,
+    pub(crate) peer_table: RefCell<PeerTable>,
     pub(crate) fleet: RefCell<Fleet>,
     pub(crate) upstreams: RefCell<Upstreams>,
     /// `model@version` that new requests are sent to, by model.
-    pub(crate) serving: RefCell<HashMap<String, String>>,
+    pub(crate) served_versions: RefCell<HashMap<String, String>>,
     pub(crate) router: RefCell<Router>,
     pub(crate) forecast: RefCell<Forecast>,
-    pub(crate) retries: RefCell<RetryBudget>,
-    pub(crate) workspaces: RefCell<WorkspaceLimiter>,
-    pub(crate) suspects: RefCell<PoisonTracker>,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
+    pub(crate) workspace_limiter: RefCell<WorkspaceLimiter>,
+    pub(crate) poison_tracker: RefCell<PoisonTracker>,
     pub(crate) home: RefCell<Home>,
     pub(crate) witness: RefCell<Witness>,
     pub(crate) call_ended: watch::Sender<u64>,
@@ -82,7 +82,7 @@
             suspect_ms: settings.membership.suspect_ms,
             fan_out: settings.membership.fan_out as usize,
         };
-        let connector = awc::Connector::new().timeout(Duration::from_millis(CONNECT_MS));
+        let connector = awc::Connector::new().timeout(Duration::from_millis(CONNECT_TIMEOUT_MS));
         let client = awc::Client::builder()
             .connector(connector)
             .disable_timeout()
@@ -91,7 +91,7 @@
         Rc::new(Self {
             log: HttpLog::new(&settings.platform.log),
             outbox: RefCell::new(Outbox::new(&settings.instance, incarnation)),
-            members: RefCell::new(PeerTable::new(membership)),
+            peer_table: RefCell::new(PeerTable::new(membership)),
             home: RefCell::new(Home::new(&settings.instance, incarnation, epochs)),
             witness: RefCell::new(Witness::new(&settings.instance, incarnation, epochs)),
             timers: Timers::start(clock),
@@ -105,18 +105,18 @@
             caller_address,
             client,
             rng: RefCell::new(rng),
-            peers: peer::Client::default(),
-            cursor: RefCell::default(),
-            outgoing: Notify::new(),
-            waiting: RefCell::default(),
+            peer_client: peer::Client::default(),
+            log_reader: RefCell::default(),
+            outbox_ready: Notify::new(),
+            confirmations: RefCell::default(),
             bundle: RefCell::default(),
             fleet: RefCell::default(),
             upstreams: RefCell::default(),
-            serving: RefCell::default(),
+            served_versions: RefCell::default(),
             forecast: RefCell::default(),
-            retries: RefCell::default(),
-            workspaces: RefCell::default(),
-            suspects: RefCell::default(),
+            retry_budget: RefCell::default(),
+            workspace_limiter: RefCell::default(),
+            poison_tracker: RefCell::default(),
             condition: Cell::default(),
             closed: Cell::new(false),
             log_up: Cell::new(false),
@@ -131,31 +131,31 @@
     }
 
     /// Queues a record for the log and gives its sequence number.
-    pub(crate) fn write(&self, actor: &str, body: Body, expires_ms: Option<u64>) -> u64 {
+    pub(crate) fn enqueue_record(&self, actor: &str, body: Body, expires_ms: Option<u64>) -> u64 {
         let sequence = self
             .outbox
             .borrow_mut()
             .push(actor, tick::wall_ms(), body, expires_ms);
-        self.outgoing.notify_one();
+        self.outbox_ready.notify_one();
         sequence
     }
 
     /// Queues a record and waits until it was read back; `None` when that takes too long.
     ///
     /// The record may then still take effect.
-    pub(crate) async fn write_and_wait(
+    pub(crate) async fn append_and_wait(
         &self,
         actor: &str,
         body: Body,
-        limit_ms: u64,
-    ) -> Option<Landed> {
+        timeout_ms: u64,
+    ) -> Option<Confirmation> {
         let (sender, receiver) = oneshot::channel();
-        let sequence = self.write(actor, body, Some(self.now_ms() + limit_ms));
-        self.waiting.borrow_mut().insert(sequence, sender);
-        let limit = Duration::from_millis(limit_ms);
-        let landed = actix_rt::time::timeout(limit, receiver).await;
-        self.waiting.borrow_mut().remove(&sequence);
-        landed.ok().and_then(Result::ok)
+        let sequence = self.enqueue_record(actor, body, Some(self.now_ms() + timeout_ms));
+        self.confirmations.borrow_mut().insert(sequence, sender);
+        let limit = Duration::from_millis(timeout_ms);
+        let confirmation = actix_rt::time::timeout(limit, receiver).await;
+        self.confirmations.borrow_mut().remove(&sequence);
+        confirmation.ok().and_then(Result::ok)
     }
 
     pub(crate) fn bundle(&self) -> Option<Rc<BundleIndex>> {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,25 +1,25 @@
 //! Calls to plain services, those that may not be repeated among them.
 
-mod once;
-mod repeatable;
+mod at_most_once;
+mod retryable;
 mod send;
 
 use std::rc::Rc;
 
-use ::once::IdempotencyKey;
 use actix_http::{Request, StatusCode};
+use once::IdempotencyKey;
 use sha2::{Digest, Sha256};
 use web::Response;
 use wire::{Answer, Call};
 
 use crate::app::App;
 use crate::auth::header;
-use crate::caller::{Asked, asked};
-use crate::completion::Place;
+use crate::completion::WorkspaceSlot;
 use crate::refusal::{Code, Refusal};
-pub(crate) use once::at_home;
-use once::once_only;
-use repeatable::repeatable;
+use crate::request_context::{RequestContext, request_context};
+use at_most_once::call_at_most_once;
+pub(crate) use at_most_once::run_at_home;
+use retryable::call_with_retries;
 
 /// Answers a call to a service.
 pub(crate) async fn call(
@@ -28,36 +28,36 @@
     service: &str,
     path: &str,
 ) -> Result<Response, Refusal> {
-    let asked = asked(app, &request)?;
-    let Some(known) = asked.bundle.service(service) else {
+    let context = request_context(app, &request)?;
+    let Some(known) = context.bundle.service(service) else {
         let text = format!("service: no service `{service}`");
         return Err(Refusal::new(Code::NotFound, text));
     };
-    let own = header(&request, "x-deadline-ms").map(|_| asked.deadline_ms);
+    let own = header(&request, "x-deadline-ms").map(|_| context.deadline_ms);
     let deadline_ms = own.unwrap_or(known.deadline_ms);
     let is_once = known.once_paths.iter().any(|once| once == path);
     let key = if is_once { Some(key(&request)?) } else { None };
-    let _place = Place::take(app, &asked.tenant.workspace, asked.tenant.in_flight)?;
+    let _slot = WorkspaceSlot::acquire(app, &context.tenant.workspace, context.tenant.in_flight)?;
     let limits = &app.settings.limits;
     let payload = request.take_payload();
     let body = web::read_body(payload, limits.body_bytes as usize, limits.body_timeout_ms).await?;
     let call = Call {
         key: key.as_ref().map(ToString::to_string).unwrap_or_default(),
-        body_digest: digest(&asked, service, path, &body),
+        body_digest: digest(&context, service, path, &body),
         service: service.to_owned(),
         path: path.to_owned(),
         body: body.to_vec(),
         deadline_ms,
-        member: asked.tenant.member.clone(),
+        member: context.tenant.member.clone(),
     };
-    let begun_ms = app.now_ms();
+    let started_ms = app.now_ms();
     let result = match &key {
-        None => repeatable(app, &call).await,
-        Some(key) => once_only(app, key, call).await,
+        None => call_with_retries(app, &call).await,
+        Some(key) => call_at_most_once(app, key, call).await,
     };
-    let in_time = app.now_ms() <= begun_ms + deadline_ms;
+    let in_time = app.now_ms() <= started_ms + deadline_ms;
     if result.is_ok() {
-        let labels = [asked.class.as_str(), if in_time { "yes" } else { "no" }];
+        let labels = [context.class.as_str(), if in_time { "yes" } else { "no" }];
         app.metrics.answers.with_label_values(&labels).inc();
     }
     result.map(|answer| respond(&answer))
@@ -69,14 +69,14 @@
         Refusal::new(Code::BadRequest, text)
     })?;
     text.parse()
-        .map_err(|error: ::once::KeyError| Refusal::new(Code::BadRequest, error.to_string()))
+        .map_err(|error: once::KeyError| Refusal::new(Code::BadRequest, error.to_string()))
 }
 
 /// Covers the workspace, so that one cannot learn another's answer with a guessed key.
-fn digest(asked: &Asked, service: &str, path: &str, body: &[u8]) -> ::once::BodyDigest {
+fn digest(context: &RequestContext, service: &str, path: &str, body: &[u8]) -> once::BodyDigest {
     let mut hasher = Sha256::new();
     for part in [
-        asked.tenant.workspace.as_bytes(),
+        context.tenant.workspace.as_bytes(),
         service.as_bytes(),
         path.as_bytes(),
         body,
--- a/crates/entry/src/call/once.rs
+++ b/crates/entry/src/call/at_most_once.rs
@@ -3,34 +3,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ::once::{Admission, IdempotencyKey};
+use once::{Admission, IdempotencyKey};
 use wire::{Answer, Call, CallState, CallStatus, ClaimVerdict};
 
-use super::send::{Failed, pick, send};
+use super::send::{CallError, pick_instance, send};
 use crate::app::App;
 use crate::refusal::{Code, Refusal};
 
 /// Time that a witness or a home may take for a word about a key.
-const PEER_MS: u64 = 800;
+const PEER_TIMEOUT_MS: u64 = 800;
 
 /// A call that may not be repeated, wherever it arrived.
-pub(super) async fn once_only(
+pub(super) async fn call_at_most_once(
     app: &Rc<App>,
     key: &IdempotencyKey,
     call: Call,
 ) -> Result<Answer, Refusal> {
     let status = if app.home.borrow().is_home(key) {
-        at_home(app, call).await
+        run_at_home(app, call).await
     } else {
-        elsewhere(app, key, &call).await
+        forward_to_home(app, key, &call).await
     };
     match (status.state, status.answer) {
         (CallState::Done, Some(answer)) => Ok(answer),
-        (state, _) => Err(refusal(app, state)),
+        (state, _) => Err(refusal_for(app, state)),
     }
 }
 
-fn refusal(app: &App, state: CallState) -> Refusal {
+fn refusal_for(app: &App, state: CallState) -> Refusal {
     let (code, text) = match state {
         CallState::Unseen => {
             let text = "closed without having run; use a new key";
@@ -49,7 +49,10 @@
             "it may have run; ask again with the same key",
         ),
     };
-    app.metrics.unknown.with_label_values(&["service"]).inc();
+    app.metrics
+        .unknown_outcomes
+        .with_label_values(&["service"])
+        .inc();
     let refusal = Refusal::unknown(code, text);
     match state {
         CallState::Expired => refusal,
@@ -58,7 +61,7 @@
 }
 
 /// Runs a call at its home, or waits for the run that is under way.
-pub(crate) async fn at_home(app: &Rc<App>, call: Call) -> CallStatus {
+pub(crate) async fn run_at_home(app: &Rc<App>, call: Call) -> CallStatus {
     let Ok(key) = call.key.parse::<IdempotencyKey>() else {
         return CallStatus::bare(CallState::Foreign);
     };
@@ -86,29 +89,31 @@
 }
 
 async fn run(app: Rc<App>, key: IdempotencyKey, call: Call) {
-    let verdict = ask_witness(&app, &key, &call).await;
+    let verdict = claim_at_witness(&app, &key, &call).await;
     if app.home.borrow_mut().record_verdict(&key, verdict) {
         dispatch(&app, &key, &call).await;
     }
     app.call_ended.send_modify(|count| *count += 1);
 }
 
-async fn ask_witness(app: &App, key: &IdempotencyKey, call: &Call) -> Option<ClaimVerdict> {
+async fn claim_at_witness(app: &App, key: &IdempotencyKey, call: &Call) -> Option<ClaimVerdict> {
     let witness = &key.witness;
     let address = {
-        let members = app.members.borrow();
-        let address = members.address(&witness.instance, witness.incarnation);
+        let peer_table = app.peer_table.borrow();
+        let address = peer_table.address(&witness.instance, witness.incarnation);
         address?.to_owned()
     };
-    let limit_ms = PEER_MS.min(call.deadline_ms / 2).max(1);
+    let limit_ms = PEER_TIMEOUT_MS.min(call.deadline_ms / 2).max(1);
     let answer = app
-        .peers
+        .peer_client
         .claim(&address, key, call.body_digest, limit_ms)
         .await;
     if let Err(error) = &answer {
         log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
         // The next key must not name a witness that does not answer.
-        app.members.borrow_mut().record_failure(&witness.instance);
+        app.peer_table
+            .borrow_mut()
+            .record_failure(&witness.instance);
     }
     answer.ok()
 }
@@ -117,7 +122,7 @@
 async fn dispatch(app: &Rc<App>, key: &IdempotencyKey, call: &Call) {
     let mut tried = Vec::new();
     loop {
-        let (chosen, _) = pick(app, &call.service, &tried);
+        let (chosen, _) = pick_instance(app, &call.service, &tried);
         let Some((name, address)) = chosen else {
             app.home.borrow_mut().record_not_sent(key);
             return;
@@ -125,11 +130,11 @@
         match send(app, call, &name, &address, call.deadline_ms).await {
             Ok(answer) => {
                 app.home.borrow_mut().record_answer(key, answer.clone());
-                actix_rt::spawn(tell_witness(app.clone(), key.clone(), answer));
+                actix_rt::spawn(store_at_witness(app.clone(), key.clone(), answer));
                 return;
             }
-            Err(Failed::NeverSent) => tried.push(name),
-            Err(Failed::Unknown(_)) => {
+            Err(CallError::NeverSent) => tried.push(name),
+            Err(CallError::Unknown(_)) => {
                 app.home.borrow_mut().record_unknown(key);
                 return;
             }
@@ -137,43 +142,49 @@
     }
 }
 
-async fn tell_witness(app: Rc<App>, key: IdempotencyKey, answer: Answer) {
+async fn store_at_witness(app: Rc<App>, key: IdempotencyKey, answer: Answer) {
     let witness = &key.witness;
     let address = {
-        let members = app.members.borrow();
-        let address = members.address(&witness.instance, witness.incarnation);
+        let peer_table = app.peer_table.borrow();
+        let address = peer_table.address(&witness.instance, witness.incarnation);
         address.map(str::to_owned)
     };
     let Some(address) = address else {
         return;
     };
-    if let Err(error) = app.peers.finish(&address, &key, &answer, PEER_MS).await {
+    if let Err(error) = app
+        .peer_client
+        .finish(&address, &key, &answer, PEER_TIMEOUT_MS)
+        .await
+    {
         log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}");
     }
 }
 
 /// A call whose home is another instance: handed to it, or settled by its witness.
-async fn elsewhere(app: &Rc<App>, key: &IdempotencyKey, call: &Call) -> CallStatus {
+async fn forward_to_home(app: &Rc<App>, key: &IdempotencyKey, call: &Call) -> CallStatus {
     let home = {
-        let members = app.members.borrow();
-        let address = members.address(&key.home.instance, key.home.incarnation);
+        let peer_table = app.peer_table.borrow();
+        let address = peer_table.address(&key.home.instance, key.home.incarnation);
         address.map(str::to_owned)
     };
     if let Some(home) = home {
-        match app.peers.forward(&home, call, call.deadline_ms).await {
+        match app.peer_client.forward(&home, call, call.deadline_ms).await {
             Ok(status) if status.state != CallState::Foreign => return status,
             Ok(_) => {}
             Err(error) => {
                 log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
                 // The next key must not name it as its witness.
-                app.members.borrow_mut().record_failure(&key.home.instance);
+                app.peer_table
+                    .borrow_mut()
+                    .record_failure(&key.home.instance);
             }
         }
     }
-    settle(app, key, call).await
+    fence_at_witness(app, key, call).await
 }
 
-async fn settle(app: &App, key: &IdempotencyKey, call: &Call) -> CallStatus {
+async fn fence_at_witness(app: &App, key: &IdempotencyKey, call: &Call) -> CallStatus {
     let witness = &key.witness;
     if witness.instance == app.identity.instance {
         let now_ms = app.now_ms();
@@ -183,20 +194,20 @@
             .fence(now_ms, key, call.body_digest);
     }
     let address = {
-        let members = app.members.borrow();
-        let address = members.address(&witness.instance, witness.incarnation);
+        let peer_table = app.peer_table.borrow();
+        let address = peer_table.address(&witness.instance, witness.incarnation);
         address.map(str::to_owned)
     };
     let Some(address) = address else {
         return CallStatus::bare(CallState::Unknown);
     };
     let asked = app
-        .peers
-        .fence(&address, key, call.body_digest, PEER_MS)
+        .peer_client
+        .fence(&address, key, call.body_digest, PEER_TIMEOUT_MS)
         .await;
     asked.unwrap_or_else(|error| {
         log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
-        app.members.borrow_mut().record_failure(&witness.instance);
+        app.peer_table.borrow_mut().record_failure(&witness.instance);
         CallStatus::bare(CallState::Unknown)
     })
 }
--- a/crates/entry/src/call/send.rs
+++ b/crates/entry/src/call/send.rs
@@ -9,10 +9,10 @@
 use crate::app::App;
 
 /// Largest answer of a service, in bytes.
-const ANSWER_BYTES: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// How an attempt at one instance of a service ended without an answer.
-pub(super) enum Failed {
+pub(super) enum CallError {
     /// No connection was made: nothing was sent.
     NeverSent,
     /// It may have run.
@@ -20,7 +20,7 @@
 }
 
 /// The instance of a service with the least in flight, nearest first, and how many others fit.
-pub(super) fn pick(
+pub(super) fn pick_instance(
     app: &App,
     service: &str,
     tried: &[String],
@@ -30,26 +30,26 @@
     let Some(instances) = upstreams.services.get_mut(service) else {
         return (None, 0);
     };
-    let mut fit: Vec<_> = instances
+    let mut candidates: Vec<_> = instances
         .iter_mut()
         .filter(|instance| !instance.leaving && !tried.contains(&instance.name))
         .collect();
-    fit.sort_by_key(|instance| {
+    candidates.sort_by_key(|instance| {
         let ejected = match instance.health.status(now_ms) {
             HealthStatus::Healthy => 0,
             HealthStatus::Probe => 1,
             HealthStatus::Ejected => 2,
         };
-        (ejected, instance.in_flight, !instance.near)
+        (ejected, instance.in_flight, !instance.same_zone)
     });
-    let others = fit.len().saturating_sub(1);
-    let chosen = fit.into_iter().next().map(|instance| {
+    let alternatives = candidates.len().saturating_sub(1);
+    let chosen = candidates.into_iter().next().map(|instance| {
         if instance.health.status(now_ms) == HealthStatus::Probe {
             instance.health.start_probe();
         }
         (instance.name.clone(), instance.address.clone())
     });
-    (chosen, others)
+    (chosen, alternatives)
 }
 
 /// Sends a call, and holds what came of it against the instance.
@@ -59,13 +59,13 @@
     name: &str,
     address: &str,
     limit_ms: u64,
-) -> Result<Answer, Failed> {
-    let _busy = Busy::new(app, &call.service, name);
-    let begun_ms = app.now_ms();
+) -> Result<Answer, CallError> {
+    let _guard = InFlightGuard::new(app, &call.service, name);
+    let started_ms = app.now_ms();
     let limit = Duration::from_millis(limit_ms);
     let exchanged = actix_rt::time::timeout(limit, exchange(app, call, address)).await;
-    let result =
-        exchanged.unwrap_or_else(|_| Err(Failed::Unknown(format!("no answer in {limit_ms} ms"))));
+    let result = exchanged
+        .unwrap_or_else(|_| Err(CallError::Unknown(format!("no answer in {limit_ms} ms"))));
     let now_ms = app.now_ms();
     let mut upstreams = app.upstreams.borrow_mut();
     if let Some(instance) = upstreams.service_mut(&call.service, name) {
@@ -75,16 +75,16 @@
             Err(_) => instance.health.record_failure(now_ms),
         }
     }
-    if let Err(Failed::Unknown(detail)) = &result {
+    if let Err(CallError::Unknown(detail)) = &result {
         log::info!(
-            step = "service", peer = name, took_ms = now_ms - begun_ms, key = call.key.as_str();
+            step = "service", peer = name, took_ms = now_ms - started_ms, key = call.key.as_str();
             "{detail}"
         );
     }
     result
 }
 
-async fn exchange(app: &App, call: &Call, address: &str) -> Result<Answer, Failed> {
+async fn exchange(app: &App, call: &Call, address: &str) -> Result<Answer, CallError> {
     let url = format!("http://{address}{}", call.path);
     let mut request = app.client.post(url);
     if !call.key.is_empty() {
@@ -95,16 +95,16 @@
         .send_body(call.body.clone())
         .await;
     let mut response = sent.map_err(|error| match error {
-        awc::error::SendRequestError::Connect(_) => Failed::NeverSent,
-        error => Failed::Unknown(error.to_string()),
+        awc::error::SendRequestError::Connect(_) => CallError::NeverSent,
+        error => CallError::Unknown(error.to_string()),
     })?;
     let content_type = response.headers().get("content-type");
     let content_type = content_type
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
     let content_type = content_type.to_owned();
-    let body = response.body().limit(ANSWER_BYTES).await;
-    let body = body.map_err(|error| Failed::Unknown(error.to_string()))?;
+    let body = response.body().limit(MAX_ANSWER_BYTES).await;
+    let body = body.map_err(|error| CallError::Unknown(error.to_string()))?;
     Ok(Answer {
         status: response.status().as_u16(),
         content_type,
@@ -113,21 +113,21 @@
 }
 
 /// Counts a call as in flight at an instance until it is dropped.
-struct Busy {
+struct InFlightGuard {
     app: Rc<App>,
     service: String,
     name: String,
 }
 
-impl Busy {
+impl InFlightGuard {
     fn new(app: &Rc<App>, service: &str, name: &str) -> Self {
-        let busy = Self {
+        let guard = Self {
             app: app.clone(),
             service: service.to_owned(),
             name: name.to_owned(),
         };
-        busy.change(1);
-        busy
+        guard.change(1);
+        guard
     }
 
     fn change(&self, by: i32) {
@@ -138,7 +138,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.change(-1);
     }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -8,24 +8,28 @@
 use web::Response;
 
 use crate::app::App;
-use crate::caller::{asked, work};
-use crate::openai::{CompletionRequest, Flavor, Head};
-use crate::pump::{Event, Pump, Work};
+use crate::openai::{CompletionMetadata, CompletionRequest, Endpoint};
 use crate::refusal::{Code, Refusal};
+use crate::request_context::{completion_job, request_context};
 use crate::resume::token;
+use crate::runner::{CompletionEvent, CompletionJob, CompletionRunner};
 
 /// Events on their way to a caller; with a full channel the engine is read no further.
-const EVENTS: usize = 64;
+const EVENT_BUFFER: usize = 64;
 
 /// A place among the workspace's requests in flight, given back however the request ends.
-pub(crate) struct Place {
+pub(crate) struct WorkspaceSlot {
     app: Rc<App>,
     workspace: String,
 }
 
-impl Place {
-    pub(crate) fn take(app: &Rc<App>, workspace: &str, most: u32) -> Result<Self, Refusal> {
-        if !app.workspaces.borrow_mut().try_acquire(workspace, most) {
+impl WorkspaceSlot {
+    pub(crate) fn acquire(app: &Rc<App>, workspace: &str, most: u32) -> Result<Self, Refusal> {
+        if !app
+            .workspace_limiter
+            .borrow_mut()
+            .try_acquire(workspace, most)
+        {
             let text = format!("workspace {workspace} has {most} requests in flight");
             return Err(Refusal::new(Code::Limited, text).retry_after(500));
         }
@@ -38,9 +42,12 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for WorkspaceSlot {
     fn drop(&mut self) {
-        self.app.workspaces.borrow_mut().release(&self.workspace);
+        self.app
+            .workspace_limiter
+            .borrow_mut()
+            .release(&self.workspace);
         self.app.in_flight.set(self.app.in_flight.get() - 1);
         self.app.metrics.in_flight.dec();
     }
@@ -50,99 +57,110 @@
 pub(crate) async fn complete(
     app: &Rc<App>,
     mut request: Request,
-    flavor: Flavor,
+    endpoint: Endpoint,
 ) -> Result<Response, Refusal> {
-    let asked = asked(app, &request)?;
-    let place = Place::take(app, &asked.tenant.workspace, asked.tenant.in_flight)?;
+    let context = request_context(app, &request)?;
+    let slot = WorkspaceSlot::acquire(app, &context.tenant.workspace, context.tenant.in_flight)?;
     let limits = &app.settings.limits;
     let payload = request.take_payload();
     let read = web::read_body(payload, limits.body_bytes as usize, limits.body_timeout_ms).await?;
-    let begun_us = app.clock.now_us();
+    let started_us = app.clock.now_us();
     let body: CompletionRequest = web::parse_json(&read)?;
-    let work = work(app, &asked, &body, flavor)?;
-    let head = Head {
-        id: format!("cmpl-{}", work.id),
-        model: work.model.clone(),
-        flavor,
+    let job = completion_job(app, &context, &body, endpoint)?;
+    let metadata = CompletionMetadata {
+        id: format!("cmpl-{}", job.id),
+        model: job.model.clone(),
+        endpoint,
         created: tick::wall_ms() / 1_000,
     };
     let now_ms = app.now_ms();
-    let output = f64::from(work.max_tokens);
+    let output = f64::from(job.max_tokens);
     app.forecast
         .borrow_mut()
-        .record_arrival(now_ms, work.rank, work.prompt_tokens, output);
-    let (sender, receiver) = mpsc::channel(EVENTS);
-    actix_rt::spawn(Pump::new(app.clone(), work.clone(), sender).run());
-    let own_s = (app.clock.now_us() - begun_us) as f64 / 1e6;
+        .record_arrival(now_ms, job.rank, job.prompt_tokens, output);
+    let (sender, receiver) = mpsc::channel(EVENT_BUFFER);
+    actix_rt::spawn(CompletionRunner::new(app.clone(), job.clone(), sender).run());
+    let processing_s = (app.clock.now_us() - started_us) as f64 / 1e6;
     app.metrics
-        .own_time
+        .processing_time
         .with_label_values(&["admit"])
-        .observe(own_s);
-    let answer = Answer {
+        .observe(processing_s);
+    let response = CompletionResponse {
         app: app.clone(),
-        work,
-        head,
-        tag: asked.tenant.workspace.clone(),
-        _place: place,
+        job,
+        metadata,
+        workspace: context.tenant.workspace.clone(),
+        _slot: slot,
     };
     if body.stream {
-        answer.streamed(receiver).await
+        response.stream(receiver).await
     } else {
-        answer.whole(receiver).await
+        response.collect(receiver).await
     }
 }
 
-struct Answer {
+struct CompletionResponse {
     app: Rc<App>,
-    work: Work,
-    head: Head,
-    tag: String,
-    _place: Place,
+    job: CompletionJob,
+    metadata: CompletionMetadata,
+    workspace: String,
+    _slot: WorkspaceSlot,
 }
 
-impl Answer {
-    async fn whole(self, mut events: mpsc::Receiver<Event>) -> Result<Response, Refusal> {
+impl CompletionResponse {
+    async fn collect(
+        self,
+        mut events: mpsc::Receiver<CompletionEvent>,
+    ) -> Result<Response, Refusal> {
         let mut text = String::new();
         while let Some(event) = events.recv().await {
             match event {
-                Event::Token { text: more, .. } => text.push_str(&more),
-                Event::End(usage) => {
-                    self.answered();
-                    let body = self.head.whole(&text, usage);
+                CompletionEvent::Token { text: more, .. } => text.push_str(&more),
+                CompletionEvent::End(usage) => {
+                    self.record_answer();
+                    let body = self.metadata.whole(&text, usage);
                     return Ok(web::text(StatusCode::OK, "application/json", body));
                 }
-                Event::Failed(refusal) => return Err(refusal),
+                CompletionEvent::Failed(refusal) => return Err(refusal),
             }
         }
         Err(Refusal::unknown(Code::Upstream, "the answer was lost"))
     }
 
     /// The status is settled by the first event, so that a refusal is still a refusal.
-    async fn streamed(self, mut events: mpsc::Receiver<Event>) -> Result<Response, Refusal> {
+    async fn stream(
+        self,
+        mut events: mpsc::Receiver<CompletionEvent>,
+    ) -> Result<Response, Refusal> {
         let first = events.recv().await;
         let first = first.ok_or_else(|| Refusal::unknown(Code::Upstream, "the answer was lost"))?;
-        if let Event::Failed(refusal) = first {
+        if let CompletionEvent::Failed(refusal) = first {
             return Err(refusal);
         }
-        let (sender, receiver) = mpsc::channel(EVENTS);
-        actix_rt::spawn(self.feed(first, events, sender));
+        let (sender, receiver) = mpsc::channel(EVENT_BUFFER);
+        actix_rt::spawn(self.forward_events(first, events, sender));
         Ok(web::stream("text/event-stream", receiver))
     }
 
-    async fn feed(
+    async fn forward_events(
         self,
-        first: Event,
-        mut events: mpsc::Receiver<Event>,
+        first: CompletionEvent,
+        mut events: mpsc::Receiver<CompletionEvent>,
         sender: mpsc::Sender<Bytes>,
     ) {
         let mut next = Some(first);
         while let Some(event) = next {
-            let ended = matches!(event, Event::End(_) | Event::Failed(_));
-            if matches!(event, Event::End(_)) {
-                self.answered();
+            let ended = matches!(event, CompletionEvent::End(_) | CompletionEvent::Failed(_));
+            if matches!(event, CompletionEvent::End(_)) {
+                self.record_answer();
             }
             // A failed send means that the caller is gone; dropping `events` tells the pump.
-            if sender.send(Bytes::from(self.bytes(event))).await.is_err() || ended {
+            if sender
+                .send(Bytes::from(self.encode_event(event)))
+                .await
+                .is_err()
+                || ended
+            {
                 return;
             }
             next = tokio::select! {
@@ -152,26 +170,28 @@
         }
     }
 
-    fn bytes(&self, event: Event) -> String {
+    fn encode_event(&self, event: CompletionEvent) -> String {
         match event {
-            Event::Token {
+            CompletionEvent::Token {
                 number,
                 text,
                 engine,
                 request_id,
             } => {
-                let resume = token(&engine, &request_id, &self.tag);
-                self.head.token(number, &text, &resume)
+                let resume = token(&engine, &request_id, &self.workspace);
+                self.metadata.token(number, &text, &resume)
+            }
+            CompletionEvent::End(usage) => self.metadata.end(usage),
+            CompletionEvent::Failed(refusal) => {
+                format!("event: error\ndata: {}\n\n", refusal.event())
             }
-            Event::End(usage) => self.head.end(usage),
-            Event::Failed(refusal) => format!("event: error\ndata: {}\n\n", refusal.event()),
         }
     }
 
-    fn answered(&self) {
-        let in_time = self.app.now_ms() <= self.work.deadline_ms;
+    fn record_answer(&self) {
+        let in_time = self.app.now_ms() <= self.job.deadline_ms;
         let in_time = if in_time { "yes" } else { "no" };
-        let labels = [self.work.class.as_str(), in_time];
+        let labels = [self.job.class.as_str(), in_time];
         self.app.metrics.answers.with_label_values(&labels).inc();
     }
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,6 +1,6 @@
 //! Leases, orders and roles of the groups of engines.
 
-mod wishes;
+mod desired_states;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,29 +13,29 @@
 use wire::{Body, LeaseClaimed, LeaseRef, OrderPlaced, OrderSettled};
 
 use crate::app::App;
-use crate::ordering::Orderer;
+use crate::order_sender::OrderSender;
 
 /// Time between two looks at leases and orders.
-const LOOK_MS: u64 = 50;
+const TICK_MS: u64 = 50;
 
 /// What instances take turns over when a snapshot is due.
-const SNAPSHOT_TURN: &str = "snapshot";
+const SNAPSHOT_SUBJECT: &str = "snapshot";
 
 /// Time after which a snapshot that has not come back from the log is written again.
-const SNAPSHOT_AGAIN_MS: u64 = 10_000;
+const SNAPSHOT_RETRY_MS: u64 = 10_000;
 
 struct Group {
     elector: Elector,
-    desk: OrderScheduler,
+    scheduler: OrderScheduler,
     planner: RolePlanner,
 }
 
 /// Control of all groups by one instance.
 pub(crate) struct Control {
     app: Rc<App>,
-    orderer: Orderer,
+    order_sender: OrderSender,
     groups: RefCell<BTreeMap<String, Group>>,
-    rolled: RefCell<(u64, u64)>,
+    last_roll: RefCell<(u64, u64)>,
     /// Offset of the snapshot before the one that was written last, and when to write it again.
     snapshot_sent: Cell<(u64, u64)>,
 }
@@ -44,9 +44,9 @@
     pub(crate) async fn start(app: &Rc<App>) -> std::io::Result<Rc<Self>> {
         let control = Rc::new(Self {
             app: app.clone(),
-            orderer: Orderer::start(app.clock).await?,
+            order_sender: OrderSender::start(app.clock).await?,
             groups: RefCell::default(),
-            rolled: RefCell::default(),
+            last_roll: RefCell::default(),
             snapshot_sent: Cell::default(),
         });
         app.control.replace(Rc::downgrade(&control));
@@ -55,14 +55,14 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut ticks = self.app.timers.every(LOOK_MS);
+        let mut ticks = self.app.timers.every(TICK_MS);
         while ticks.next().await.is_some() {
             self.add_groups();
-            self.carry_forward();
+            self.write_snapshot();
             let names: Vec<String> = self.groups.borrow().keys().cloned().collect();
             for name in names {
-                self.elect(&name);
-                self.command(&name);
+                self.update_lease(&name);
+                self.run_orders(&name);
             }
         }
     }
@@ -82,14 +82,14 @@
         for name in self.app.upstreams.borrow().groups() {
             groups.entry(name.clone()).or_insert_with(|| {
                 let mut elector = Elector::new(self.app.identity.clone(), &name, times, now_ms);
-                elector.observe(now_ms, self.app.cursor.borrow().state().lease(&name));
+                elector.observe(now_ms, self.app.log_reader.borrow().state().lease(&name));
                 let settings = RoleSettings {
                     change_weight: weight.unwrap_or(RoleSettings::default().change_weight),
                     ..RoleSettings::default()
                 };
                 Group {
                     elector,
-                    desk: OrderScheduler::default(),
+                    scheduler: OrderScheduler::default(),
                     planner: RolePlanner::new(settings),
                 }
             });
@@ -101,13 +101,13 @@
     /// Without it a new instance finds no state once the log has dropped the roll of the bundle in
     /// force. The first in turn writes; two that both think they are do no harm, as a snapshot
     /// changes nothing for those who have its records.
-    fn carry_forward(&self) {
+    fn write_snapshot(&self) {
         let now_ms = self.app.now_ms();
         let (since, last) = {
-            let cursor = self.app.cursor.borrow();
+            let log_reader = self.app.log_reader.borrow();
             (
-                cursor.state().records_since_snapshot(),
-                cursor.state().snapshot_offset(),
+                log_reader.state().records_since_snapshot(),
+                log_reader.state().snapshot_offset(),
             )
         };
         let ready = self.app.condition.get() == wire::Condition::Ready && self.app.log_up.get();
@@ -121,38 +121,46 @@
             return;
         }
         let me = &self.app.identity.instance;
-        if self.app.members.borrow().rank(now_ms, me, SNAPSHOT_TURN) > 0 {
+        if self
+            .app
+            .peer_table
+            .borrow()
+            .rank(now_ms, me, SNAPSHOT_SUBJECT)
+            > 0
+        {
             return;
         }
-        let snapshot = self.app.cursor.borrow().state().snapshot();
-        let expires_ms = now_ms + SNAPSHOT_AGAIN_MS;
+        let snapshot = self.app.log_reader.borrow().state().snapshot();
+        let expires_ms = now_ms + SNAPSHOT_RETRY_MS;
         self.snapshot_sent.set((last, expires_ms));
         self.app
-            .write(me, Body::Snapshot(Box::new(snapshot)), Some(expires_ms));
+            .enqueue_record(me, Body::Snapshot(Box::new(snapshot)), Some(expires_ms));
     }
 
     /// Takes in what the log says of the leases, as soon as it was read.
     pub(crate) fn observe(&self) {
         let now_ms = self.app.now_ms();
-        let cursor = self.app.cursor.borrow();
+        let log_reader = self.app.log_reader.borrow();
         for (name, group) in self.groups.borrow_mut().iter_mut() {
-            group.elector.observe(now_ms, cursor.state().lease(name));
+            group
+                .elector
+                .observe(now_ms, log_reader.state().lease(name));
         }
-        let offset = cursor.state().in_force_offset();
-        let mut rolled = self.rolled.borrow_mut();
-        if rolled.0 != offset {
-            *rolled = (offset, now_ms);
+        let offset = log_reader.state().in_force_offset();
+        let mut last_roll = self.last_roll.borrow_mut();
+        if last_roll.0 != offset {
+            *last_roll = (offset, now_ms);
         }
     }
 
-    fn elect(&self, name: &str) {
+    fn update_lease(&self, name: &str) {
         // Without the log nothing can be claimed, and a claim that waits would be old.
         if !self.app.log_up.get() || self.app.condition.get() != wire::Condition::Ready {
             return;
         }
         let now_ms = self.app.now_ms();
         let me = &self.app.identity.instance;
-        let rank = self.app.members.borrow().rank(now_ms, me, name);
+        let rank = self.app.peer_table.borrow().rank(now_ms, me, name);
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(name) else {
             return;
@@ -170,11 +178,11 @@
                 fence,
             }),
         };
-        let sequence = self.app.write(me, body, Some(now_ms + ttl_ms));
+        let sequence = self.app.enqueue_record(me, body, Some(now_ms + ttl_ms));
         group.elector.record_sent(now_ms, sequence);
     }
 
-    fn command(self: &Rc<Self>, name: &str) {
+    fn run_orders(self: &Rc<Self>, name: &str) {
         let now_ms = self.app.now_ms();
         let authority = {
             let groups = self.groups.borrow();
@@ -183,57 +191,61 @@
                 .and_then(|group| group.elector.authority(now_ms))
         };
         let held = i64::from(authority.is_some());
-        self.app.metrics.leases.with_label_values(&[name]).set(held);
+        self.app
+            .metrics
+            .leases_held
+            .with_label_values(&[name])
+            .set(held);
         let Some(authority) = authority else {
             return;
         };
-        let wishes = self.wishes(name, now_ms);
-        for next in self.moves(name, now_ms, authority, &wishes) {
+        let desired_states = self.desired_states(name, now_ms);
+        for next in self.next_actions(name, now_ms, authority, &desired_states) {
             match next {
-                OrderAction::Place(order) => self.place(order),
-                OrderAction::Settle(settled) => self.settle(settled),
+                OrderAction::Place(order) => self.place_order(order),
+                OrderAction::Settle(settled) => self.settle_order(settled),
                 OrderAction::Send(order) => {
-                    actix_rt::spawn(self.clone().send(order));
+                    actix_rt::spawn(self.clone().send_order(order));
                 }
             }
         }
     }
 
-    fn moves(
+    fn next_actions(
         &self,
         name: &str,
         now_ms: u64,
         authority: Authority,
-        wishes: &[DesiredState],
+        desired_states: &[DesiredState],
     ) -> Vec<OrderAction> {
-        let cursor = self.app.cursor.borrow();
+        let log_reader = self.app.log_reader.borrow();
         let upstreams = self.app.upstreams.borrow();
         let report = |engine: &str| upstreams.engines.get(engine)?.report.clone();
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(name) else {
             return Vec::new();
         };
-        let open = cursor.state().open_orders(name);
+        let open = log_reader.state().open_orders(name);
         group
-            .desk
-            .next_actions(now_ms, authority, name, wishes, open, report)
+            .scheduler
+            .next_actions(now_ms, authority, name, desired_states, open, report)
     }
 
-    fn place(&self, order: OrderPlaced) {
+    fn place_order(&self, order: OrderPlaced) {
         let expires_ms = self.app.now_ms() + self.app.settings.lease.ttl_ms;
         let me = &self.app.identity.instance;
         self.app
-            .write(me, Body::OrderPlaced(order), Some(expires_ms));
+            .enqueue_record(me, Body::OrderPlaced(order), Some(expires_ms));
     }
 
-    fn settle(&self, settled: OrderSettled) {
+    fn settle_order(&self, settled: OrderSettled) {
         let expires_ms = self.app.now_ms() + self.app.settings.lease.ttl_ms;
         let me = &self.app.identity.instance;
         self.app
-            .write(me, Body::OrderSettled(settled), Some(expires_ms));
+            .enqueue_record(me, Body::OrderSettled(settled), Some(expires_ms));
     }
 
-    async fn send(self: Rc<Self>, order: lease::OutgoingOrder) {
+    async fn send_order(self: Rc<Self>, order: lease::OutgoingOrder) {
         let address = {
             let upstreams = self.app.upstreams.borrow();
             upstreams
@@ -247,7 +259,7 @@
         let (engine, number) = (order.engine.clone(), order.fencing_token);
         let kind = format!("{:?}", order.kind).to_lowercase();
         self.app.metrics.orders.with_label_values(&[&kind]).inc();
-        match self.orderer.send(order, address).await {
+        match self.order_sender.send(order, address).await {
             Ok(status) => {
                 log::info!(step = "order", peer = engine.as_str(), order = number, status; "{kind}");
             }
@@ -258,7 +270,7 @@
     }
 
     /// Gives all leases up, so that others need not wait for them to lapse.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn release_leases(&self) {
         let now_ms = self.app.now_ms();
         let me = &self.app.identity.instance;
         for (name, group) in self.groups.borrow_mut().iter_mut() {
@@ -267,7 +279,8 @@
                     group: name.clone(),
                     fence,
                 };
-                self.app.write(me, Body::LeaseReleased(released), None);
+                self.app
+                    .enqueue_record(me, Body::LeaseReleased(released), None);
             }
         }
     }
--- a/crates/entry/src/control/wishes.rs
+++ b/crates/entry/src/control/desired_states.rs
@@ -6,31 +6,31 @@
 use super::Control;
 
 /// Loads under way at once in a group, so that the weight store's rate is shared out.
-const LOADS_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_LOADS: usize = 2;
 
 /// Time after a roll for which old versions stay loaded for requests admitted under them.
-const KEEP_OLD_MS: u64 = 30_000;
+const OLD_VERSION_RETENTION_MS: u64 = 30_000;
 
 impl Control {
     /// What the engines of a group should be doing: versions first, then roles.
-    pub(super) fn wishes(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
-        let mut wishes = self.load_wishes(name);
-        wishes.extend(self.unload_wishes(name, now_ms));
-        if wishes.is_empty() {
-            wishes = self.strays(name);
+    pub(super) fn desired_states(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
+        let mut desired_states = self.missing_loads(name);
+        desired_states.extend(self.outdated_loads(name, now_ms));
+        if desired_states.is_empty() {
+            desired_states = self.lost_roles(name);
         }
-        if wishes.is_empty() {
-            wishes = self.role_wishes(name, now_ms);
+        if desired_states.is_empty() {
+            desired_states = self.planned_roles(name, now_ms);
         }
-        wishes
+        desired_states
     }
 
-    fn load_wishes(&self, name: &str) -> Vec<DesiredState> {
+    fn missing_loads(&self, name: &str) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
-        let cursor = self.app.cursor.borrow();
-        let loading = cursor
+        let log_reader = self.app.log_reader.borrow();
+        let loading = log_reader
             .state()
             .open_orders(name)
             .filter(|order| order.placed.kind == OrderKind::Load)
@@ -52,28 +52,28 @@
                 })
             });
         missing
-            .take(LOADS_AT_ONCE.saturating_sub(loading))
+            .take(MAX_CONCURRENT_LOADS.saturating_sub(loading))
             .collect()
     }
 
     /// Versions that no bundle in force names, once every instance has moved on for a while.
-    fn unload_wishes(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
+    fn outdated_loads(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
         let version = bundle.bundle().version;
         let moved_on = self
             .app
-            .members
+            .peer_table
             .borrow()
             .live(now_ms)
             .all(|beat| beat.bundle_version >= version);
-        if !moved_on || now_ms < self.rolled.borrow().1 + KEEP_OLD_MS {
+        if !moved_on || now_ms < self.last_roll.borrow().1 + OLD_VERSION_RETENTION_MS {
             return Vec::new();
         }
         let upstreams = self.app.upstreams.borrow();
         let fleet = self.app.fleet.borrow();
-        let mut wishes = Vec::new();
+        let mut desired_states = Vec::new();
         for engine in fleet.iter().filter(|engine| engine.group == name) {
             let report = upstreams
                 .engines
@@ -87,20 +87,20 @@
                 continue;
             }
             if let Some(old) = report.loaded.iter().find(|loaded| **loaded != current) {
-                wishes.push(DesiredState {
+                desired_states.push(DesiredState {
                     engine: engine.name.clone(),
                     kind: OrderKind::Unload,
                     argument: old.clone(),
                 });
             }
         }
-        wishes
+        desired_states
     }
 
     /// Engines whose role differs from their last order: a stray order reached them, or they
     /// were restarted. Giving the last order again, under a new number, puts them right.
-    fn strays(&self, name: &str) -> Vec<DesiredState> {
-        let cursor = self.app.cursor.borrow();
+    fn lost_roles(&self, name: &str) -> Vec<DesiredState> {
+        let log_reader = self.app.log_reader.borrow();
         let upstreams = self.app.upstreams.borrow();
         let of_group = upstreams
             .engines
@@ -108,11 +108,11 @@
             .filter(|(_, engine)| engine.group == name);
         of_group
             .filter_map(|(engine, entry)| {
-                let last = cursor.state().last_order(engine)?;
+                let last = log_reader.state().last_order(engine)?;
                 let report = entry.report.as_ref()?;
                 let role = last.placed.kind == OrderKind::Role && last.settled && last.done;
-                let strayed = role && !report.changing && report.role != last.placed.argument;
-                strayed.then(|| DesiredState {
+                let is_lost = role && !report.changing && report.role != last.placed.argument;
+                is_lost.then(|| DesiredState {
                     engine: engine.clone(),
                     kind: OrderKind::Role,
                     argument: last.placed.argument.clone(),
@@ -121,45 +121,45 @@
             .collect()
     }
 
-    fn role_wishes(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
+    fn planned_roles(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
         let (mut prompt, mut output) = (0.0, 0.0);
-        for beat in self.app.members.borrow().live(now_ms) {
+        for beat in self.app.peer_table.borrow().live(now_ms) {
             prompt += beat.prompt_rate;
             output += beat.output_rate;
         }
         let fleet = self.app.fleet.borrow();
-        let places: Vec<usize> = fleet
+        let indices: Vec<usize> = fleet
             .iter()
             .filter(|engine| engine.group == name)
             .filter_map(|engine| fleet.index_of(&engine.name))
             .collect();
         // The forecast is for the whole model; this group takes its share.
-        let all = places.first().map_or(1, |&place| {
-            fleet.indices_of_model(&fleet.get(place).model).len()
+        let all = indices.first().map_or(1, |&index| {
+            fleet.indices_of_model(&fleet.get(index).model).len()
         });
-        let share = places.len() as f64 / all.max(1) as f64;
+        let share = indices.len() as f64 / all.max(1) as f64;
         let forecast = self
             .app
             .forecast
             .borrow()
             .with_peer_rates(prompt, output)
             .scaled(share);
-        let allows = |place: usize, role| bundle.allows(&fleet.get(place).name, role);
+        let allows = |index: usize, role| bundle.allows(&fleet.get(index).name, role);
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(name) else {
             return Vec::new();
         };
         let changes = group
             .planner
-            .plan(now_ms, &fleet, &places, &forecast, allows);
-        let wishes = changes.iter().map(|change| DesiredState {
+            .plan(now_ms, &fleet, &indices, &forecast, allows);
+        let desired_states = changes.iter().map(|change| DesiredState {
             engine: fleet.get(change.engine).name.clone(),
             kind: OrderKind::Role,
             argument: change.role.to_string(),
         });
-        wishes.collect()
+        desired_states.collect()
     }
 }
--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -12,14 +12,14 @@
 use crate::app::App;
 
 /// Time that a cancel may take; it is sent once and its loss costs engine time only.
-const CANCEL_MS: u64 = 1_000;
+const CANCEL_TIMEOUT_MS: u64 = 1_000;
 
 /// Header in which an engine names the request that an answer belongs to.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// What an engine is asked to do.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct EngineRequest<'a> {
     pub(crate) request_id: &'a str,
     pub(crate) model: &'a str,
     pub(crate) prompt: &'a str,
@@ -40,7 +40,7 @@
 
 /// Part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum EngineEvent {
     /// A token with its number, from 1.
     Token(u32, String),
     /// The end mark.
@@ -64,16 +64,16 @@
     },
     /// The answer belongs to another request.
     #[display("answer of another request")]
-    Crossed,
+    WrongRequest,
     /// Nothing came for too long.
     #[display("silent for {limit_ms} ms")]
-    Silent {
+    Timeout {
         /// How long.
         limit_ms: u64,
     },
     /// It lives, but the answer can no longer be in time.
     #[display("too late")]
-    Hopeless,
+    TooLate,
     /// The connection broke, or what came was no answer.
     #[display("broken: {detail}")]
     Broken {
@@ -83,7 +83,7 @@
 }
 
 /// Parts of an answer as they come.
-pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Part, EngineError>>>>;
+pub(crate) type EngineEvents = Pin<Box<dyn Stream<Item = Result<EngineEvent, EngineError>>>>;
 
 #[derive(Deserialize)]
 struct Chunk {
@@ -98,10 +98,14 @@
 }
 
 /// Opens a stream on an engine.
-pub(crate) async fn open(app: &App, address: &str, ask: &Ask<'_>) -> Result<Parts, EngineError> {
+pub(crate) async fn open(
+    app: &App,
+    address: &str,
+    request: &EngineRequest<'_>,
+) -> Result<EngineEvents, EngineError> {
     let url = format!("http://{address}/v1/completions");
-    let sent = app.client.post(url).send_json(ask).await;
-    parts(sent, ask.request_id)
+    let sent = app.client.post(url).send_json(request).await;
+    events(sent, request.request_id)
 }
 
 /// Opens a stream again, after the token of a number.
@@ -110,10 +114,10 @@
     address: &str,
     request_id: &str,
     after: u32,
-) -> Result<Parts, EngineError> {
+) -> Result<EngineEvents, EngineError> {
     let url = format!("http://{address}/v1/streams/{request_id}");
     let request = app.client.get(url).insert_header(("last-event-id", after));
-    parts(request.send().await, request_id)
+    events(request.send().await, request_id)
 }
 
 /// Tells an engine that nobody waits for an answer any more.
@@ -122,7 +126,7 @@
     let request = app
         .client
         .delete(url)
-        .timeout(Duration::from_millis(CANCEL_MS));
+        .timeout(Duration::from_millis(CANCEL_TIMEOUT_MS));
     if let Err(error) = request.send().await {
         log::debug!(step = "cancel", peer = address, request_id; "{error}");
     }
@@ -130,7 +134,7 @@
 
 type Sent<S> = Result<awc::ClientResponse<S>, awc::error::SendRequestError>;
 
-fn parts<S>(sent: Sent<S>, request_id: &str) -> Result<Parts, EngineError>
+fn events<S>(sent: Sent<S>, request_id: &str) -> Result<EngineEvents, EngineError>
 where
     S: Stream<Item = Result<bytes::Bytes, actix_http::error::PayloadError>> + Unpin + 'static,
 {
@@ -149,9 +153,9 @@
     }
     // A connection that an engine or something between has mixed up would hand this caller the
     // answer to another's question; the id is the only thing that tells.
-    let named = response.headers().get(REQUEST_ID);
+    let named = response.headers().get(REQUEST_ID_HEADER);
     if named.and_then(|value| value.to_str().ok()) != Some(request_id) {
-        return Err(EngineError::Crossed);
+        return Err(EngineError::WrongRequest);
     }
     let events = response.eventsource().filter_map(|event| async {
         match event {
@@ -164,17 +168,17 @@
     Ok(Box::pin(events))
 }
 
-fn part(id: &str, data: &str) -> Result<Option<Part>, EngineError> {
+fn part(id: &str, data: &str) -> Result<Option<EngineEvent>, EngineError> {
     if data == "[DONE]" {
         return Ok(None);
     }
     let broken = |detail: String| EngineError::Broken { detail };
     let chunk: Chunk = serde_json::from_str(data).map_err(|error| broken(error.to_string()))?;
     if let Some(usage) = chunk.usage {
-        return Ok(Some(Part::End(usage)));
+        return Ok(Some(EngineEvent::End(usage)));
     }
     let number = id.parse().map_err(|_| broken(format!("event id `{id}`")))?;
     let text = chunk.choices.into_iter().next().map(|choice| choice.text);
-    text.map(|text| Some(Part::Token(number, text)))
+    text.map(|text| Some(EngineEvent::Token(number, text)))
         .ok_or_else(|| broken("event without a choice".to_owned()))
 }
--- a/crates/entry/src/beats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -11,10 +11,10 @@
 
 /// Beats of which one tells the load: at 250 ms between beats once a second, which costs a third
 /// of the bytes and, as `bench views` shows, no goodput.
-const LOAD_BEATS: u64 = 4;
+const LOAD_INTERVAL_BEATS: u64 = 4;
 
 /// Time between two ticks after which this process counts as having been paused.
-const PAUSE_BEATS: u64 = 4;
+const PAUSE_THRESHOLD_BEATS: u64 = 4;
 
 /// Sends heartbeats to a few instances at each tick.
 pub(crate) async fn send(app: Rc<App>) {
@@ -22,17 +22,17 @@
     let mut ticks = app.timers.every(period_ms);
     let mut last_ms = app.now_ms();
     while let Some(tick) = ticks.next().await {
-        if tick.now_ms > last_ms + PAUSE_BEATS * period_ms {
+        if tick.now_ms > last_ms + PAUSE_THRESHOLD_BEATS * period_ms {
             log::warn!(step = "beat", paused_ms = tick.now_ms - last_ms; "this process was paused");
-            app.members.borrow_mut().record_pause(tick.now_ms);
+            app.peer_table.borrow_mut().record_pause(tick.now_ms);
         }
         last_ms = tick.now_ms;
-        expect(&app, tick.now_ms);
+        apply_forecast(&app, tick.now_ms);
         app.home.borrow_mut().expire(tick.now_ms);
         app.witness.borrow_mut().expire(tick.now_ms);
         let targets = {
             let mut rng = app.rng.borrow_mut();
-            app.members
+            app.peer_table
                 .borrow()
                 .heartbeat_targets(&app.settings.zone, &mut *rng)
         };
@@ -43,12 +43,12 @@
 }
 
 /// Counts the prompts that all instances expect into the predictions for each model.
-fn expect(app: &App, now_ms: u64) {
+fn apply_forecast(app: &App, now_ms: u64) {
     let Some(bundle) = app.bundle() else {
         return;
     };
     let (mut prompt, mut output) = (0.0, 0.0);
-    for beat in app.members.borrow().live(now_ms) {
+    for beat in app.peer_table.borrow().live(now_ms) {
         prompt += beat.prompt_rate;
         output += beat.output_rate;
     }
@@ -62,8 +62,8 @@
 /// Tells all other instances at once, as on leaving.
 pub(crate) async fn send_to_all(app: &Rc<App>) {
     let targets: Vec<String> = {
-        let members = app.members.borrow();
-        let known = members.all().map(|known| known.peer_address.clone());
+        let peer_table = app.peer_table.borrow();
+        let known = peer_table.all().map(|known| known.peer_address.clone());
         known.filter(|address| !address.is_empty()).collect()
     };
     let sends = targets
@@ -73,18 +73,18 @@
 }
 
 async fn exchange(app: Rc<App>, peer: String) {
-    let mine = beat(&app);
+    let own = own_heartbeat(&app);
     let limit_ms = app.settings.membership.suspect_ms;
-    match app.peers.exchange(&peer, &mine, limit_ms).await {
-        Ok(theirs) => hear(&app, theirs),
+    match app.peer_client.exchange(&peer, &own, limit_ms).await {
+        Ok(theirs) => receive_heartbeat(&app, theirs),
         Err(error) => log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}"),
     }
 }
 
-fn beat(app: &App) -> Beat {
+fn own_heartbeat(app: &App) -> Beat {
     let now_ms = app.now_ms();
-    let tells = (now_ms / app.settings.membership.beat_ms).is_multiple_of(LOAD_BEATS);
-    let sent = tells.then(|| loads(app, now_ms));
+    let has_loads = (now_ms / app.settings.membership.beat_ms).is_multiple_of(LOAD_INTERVAL_BEATS);
+    let sent = has_loads.then(|| loads(app, now_ms));
     let rate = app.forecast.borrow();
     let (prompt_rate, output_rate) = (rate.prompt_rate(), rate.output_rate());
     Beat {
@@ -92,7 +92,7 @@
         incarnation: app.identity.incarnation,
         zone: app.settings.zone.clone(),
         condition: app.condition.get(),
-        applied_offset: app.cursor.borrow().state().next_offset(),
+        applied_offset: app.log_reader.borrow().state().next_offset(),
         epoch: app.epochs.epoch_at(now_ms),
         caller_address: app.caller_address.clone(),
         sent,
@@ -122,7 +122,7 @@
     }
 }
 
-fn hear(app: &App, beat: Beat) {
+fn receive_heartbeat(app: &App, beat: Beat) {
     let now_ms = app.now_ms();
     if let Some(loads) = &beat.sent {
         let mut fleet = app.fleet.borrow_mut();
@@ -131,13 +131,13 @@
             engine.record_peer_load(now_ms, &beat.instance, Outstanding::default());
         }
         for load in loads {
-            if let Some(place) = fleet.index_of(&load.engine) {
-                let engine = fleet.get_mut(place);
+            if let Some(index) = fleet.index_of(&load.engine) {
+                let engine = fleet.get_mut(index);
                 engine.record_peer_load(now_ms, &beat.instance, outstanding(load));
             }
         }
     }
-    app.members.borrow_mut().record_heartbeat(now_ms, beat);
+    app.peer_table.borrow_mut().record_heartbeat(now_ms, beat);
 }
 
 fn outstanding(load: &Load) -> Outstanding {
@@ -146,30 +146,34 @@
         output: load.output_tokens as f64,
         ..Outstanding::default()
     };
-    for (mine, theirs) in outstanding.waiting.iter_mut().zip(&load.waiting) {
-        *mine = *theirs as f64;
+    for (own, theirs) in outstanding.waiting.iter_mut().zip(&load.waiting) {
+        *own = *theirs as f64;
     }
-    for (mine, theirs) in outstanding.prompt.iter_mut().zip(&load.prompt_tokens) {
-        *mine = *theirs as f64;
+    for (own, theirs) in outstanding.prompt.iter_mut().zip(&load.prompt_tokens) {
+        *own = *theirs as f64;
     }
     outstanding
 }
 
 /// Answers other instances from the shared state.
-pub(crate) struct Peers(pub(crate) Rc<App>);
+pub(crate) struct PeerHandler(pub(crate) Rc<App>);
 
-impl peer::Handler for Peers {
+impl peer::Handler for PeerHandler {
     fn exchange(&self, theirs: Beat) -> Beat {
-        hear(&self.0, theirs);
-        beat(&self.0)
+        receive_heartbeat(&self.0, theirs);
+        own_heartbeat(&self.0)
     }
 
     fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>) {
-        let cursor = self.0.cursor.borrow();
-        let next = cursor.state().next_offset();
-        match cursor.records_from(from) {
+        let log_reader = self.0.log_reader.borrow();
+        let next = log_reader.state().next_offset();
+        match log_reader.records_from(from) {
             Some(entries) => (entries, next, None),
-            None => (Vec::new(), next, Some(cursor.state().snapshot().encode())),
+            None => (
+                Vec::new(),
+                next,
+                Some(log_reader.state().snapshot().encode()),
+            ),
         }
     }
 
@@ -191,6 +195,6 @@
     }
 
     async fn forward(&self, call: Call) -> CallStatus {
-        crate::call::at_home(&self.0, call).await
+        crate::call::run_at_home(&self.0, call).await
     }
 }
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -10,13 +10,13 @@
 
 use crate::app::App;
 use crate::control::Control;
-use crate::{Error, Result, beats, follow, platform, routes, upstreams};
+use crate::{Error, Result, heartbeats, instance_list, log_follower, routes, upstreams};
 
 /// Time between two looks at whether all requests have ended.
-const DRAIN_LOOK_MS: u64 = 20;
+const DRAIN_POLL_MS: u64 = 20;
 
 /// Time for last records, such as released leases, to reach the log.
-const LAST_RECORDS_MS: u64 = 1_000;
+const FLUSH_TIMEOUT_MS: u64 = 1_000;
 
 /// A running entry instance.
 pub struct Instance {
@@ -51,19 +51,20 @@
         let app = App::new(settings.clone(), caller_address, Clock::default());
         let handler = app.clone();
         let callers = web::serve(callers, options, move |request| {
-            routes::answer(handler.clone(), request)
+            routes::handle_request(handler.clone(), request)
         });
         let callers = callers.await.map_err(failed)?;
-        let peers = peer::serve(peers, Rc::new(beats::Peers(app.clone()))).map_err(failed)?;
+        let peers =
+            peer::serve(peers, Rc::new(heartbeats::PeerHandler(app.clone()))).map_err(failed)?;
         let control = Control::start(&app)
             .await
             .map_err(|source| Error::Guard { source })?;
         let tasks = vec![
-            actix_rt::spawn(follow::follow(app.clone())),
-            actix_rt::spawn(follow::append(app.clone())),
-            actix_rt::spawn(beats::send(app.clone())),
-            actix_rt::spawn(platform::watch_list(app.clone())),
-            actix_rt::spawn(upstreams::watch_reports(app.clone())),
+            actix_rt::spawn(log_follower::follow(app.clone())),
+            actix_rt::spawn(log_follower::append(app.clone())),
+            actix_rt::spawn(heartbeats::send(app.clone())),
+            actix_rt::spawn(instance_list::poll_list(app.clone())),
+            actix_rt::spawn(upstreams::poll_reports(app.clone())),
         ];
         Ok(Self {
             app,
@@ -94,18 +95,18 @@
     pub async fn stop(&self) {
         log::info!(step = "stop"; "leaving");
         self.app.condition.set(Condition::Leaving);
-        self.control.leave();
-        beats::send_to_all(&self.app).await;
+        self.control.release_leases();
+        heartbeats::send_to_all(&self.app).await;
         let timers = self.app.timers.clone();
         timers.sleep(self.app.settings.limits.stop_grace_ms).await;
         self.callers.stop_accepting();
         self.app.closed.set(true);
         while self.app.in_flight.get() > 0 {
-            timers.sleep(DRAIN_LOOK_MS).await;
+            timers.sleep(DRAIN_POLL_MS).await;
         }
-        let give_up_ms = self.app.now_ms() + LAST_RECORDS_MS;
-        while !self.app.outbox.borrow().is_empty() && self.app.now_ms() < give_up_ms {
-            timers.sleep(DRAIN_LOOK_MS).await;
+        let flush_deadline_ms = self.app.now_ms() + FLUSH_TIMEOUT_MS;
+        while !self.app.outbox.borrow().is_empty() && self.app.now_ms() < flush_deadline_ms {
+            timers.sleep(DRAIN_POLL_MS).await;
         }
         log::info!(step = "stop"; "gone");
     }
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/instance_list.rs
@@ -9,17 +9,17 @@
 use crate::app::App;
 
 /// Time between two reads of the list.
-const READ_MS: u64 = 500;
+const POLL_INTERVAL_MS: u64 = 500;
 
 /// Time that an answer may take.
-const ANSWER_MS: u64 = 1_500;
+const TIMEOUT_MS: u64 = 1_500;
 
 /// Largest list, in bytes: 2,300 instances at about 250 bytes, with room.
-const LIST_BYTES: usize = 8 << 20;
+const MAX_LIST_BYTES: usize = 8 << 20;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Standing {
+pub(crate) enum ListedState {
     #[default]
     Live,
     Leaving,
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Kind {
+pub(crate) enum ListEntryKind {
     Entry,
     Engine,
     Service,
@@ -35,9 +35,9 @@
 
 /// One entry of the list, as the platform writes it.
 #[derive(Debug, Clone, Deserialize)]
-pub(crate) struct Listed {
+pub(crate) struct ListEntry {
     pub(crate) name: String,
-    pub(crate) kind: Kind,
+    pub(crate) kind: ListEntryKind,
     pub(crate) address: String,
     #[serde(default)]
     pub(crate) peer_address: String,
@@ -45,12 +45,12 @@
     #[serde(default)]
     pub(crate) serves: String,
     #[serde(default)]
-    pub(crate) standing: Standing,
+    pub(crate) standing: ListedState,
 }
 
 /// Reads the list again and again.
-pub(crate) async fn watch_list(app: Rc<App>) {
-    let mut ticks = app.timers.every(READ_MS);
+pub(crate) async fn poll_list(app: Rc<App>) {
+    let mut ticks = app.timers.every(POLL_INTERVAL_MS);
     loop {
         match read(&app).await {
             Ok(list) => apply(&app, list),
@@ -64,29 +64,34 @@
     }
 }
 
-async fn read(app: &App) -> Result<Vec<Listed>, String> {
+async fn read(app: &App) -> Result<Vec<ListEntry>, String> {
     let url = format!("http://{}/instances", app.settings.platform.instances);
     let request = app
         .client
         .get(url)
-        .timeout(Duration::from_millis(ANSWER_MS));
+        .timeout(Duration::from_millis(TIMEOUT_MS));
     let mut response = request.send().await.map_err(|error| error.to_string())?;
-    let list = response.json::<Vec<Listed>>().limit(LIST_BYTES).await;
+    let list = response
+        .json::<Vec<ListEntry>>()
+        .limit(MAX_LIST_BYTES)
+        .await;
     list.map_err(|error| error.to_string())
 }
 
-fn apply(app: &App, list: Vec<Listed>) {
-    let others = list
+fn apply(app: &App, list: Vec<ListEntry>) {
+    let peers = list
         .iter()
-        .filter(|listed| listed.kind == Kind::Entry && listed.name != app.identity.instance)
-        .map(|listed| PeerInfo {
-            instance: listed.name.clone(),
-            peer_address: listed.peer_address.clone(),
-            zone: listed.zone.clone(),
+        .filter(|entry| entry.kind == ListEntryKind::Entry && entry.name != app.identity.instance)
+        .map(|entry| PeerInfo {
+            instance: entry.name.clone(),
+            peer_address: entry.peer_address.clone(),
+            zone: entry.zone.clone(),
             last_heartbeat: None,
-            leaving: listed.standing == Standing::Leaving,
+            leaving: entry.standing == ListedState::Leaving,
         });
-    app.members.borrow_mut().apply_list(app.now_ms(), others);
-    let upstreams = list.into_iter().filter(|listed| listed.kind != Kind::Entry);
-    crate::upstreams::listed(app, upstreams);
+    app.peer_table.borrow_mut().apply_list(app.now_ms(), peers);
+    let upstreams = list
+        .into_iter()
+        .filter(|entry| entry.kind != ListEntryKind::Entry);
+    crate::upstreams::apply_list(app, upstreams);
 }
--- a/crates/entry/src/booking.rs
+++ b/crates/entry/src/load_guard.rs
@@ -5,10 +5,10 @@
 use plan::Choice;
 
 use crate::app::App;
-use crate::pump::Work;
+use crate::runner::CompletionJob;
 
 /// Keeps the engine's own load right however an attempt ends.
-pub(crate) struct Booking {
+pub(crate) struct LoadGuard {
     app: Rc<App>,
     pub(crate) engine: usize,
     rank: usize,
@@ -17,18 +17,18 @@
     pub(crate) started: bool,
 }
 
-impl Booking {
+impl LoadGuard {
     /// Books a request that is about to be sent.
-    pub(crate) fn new(app: &Rc<App>, work: &Work, choice: &Choice, output: f64) -> Self {
+    pub(crate) fn new(app: &Rc<App>, job: &CompletionJob, choice: &Choice, output: f64) -> Self {
         let prompt = choice.uncached_tokens;
         let mut fleet = app.fleet.borrow_mut();
         fleet
             .get_mut(choice.engine)
-            .record_sent(app.now_ms(), work.rank, prompt, output);
+            .record_sent(app.now_ms(), job.rank, prompt, output);
         Self {
             app: app.clone(),
             engine: choice.engine,
-            rank: work.rank,
+            rank: job.rank,
             prompt,
             output,
             started: false,
@@ -36,7 +36,7 @@
     }
 
     /// Its first token came.
-    pub(crate) fn start(&mut self) {
+    pub(crate) fn record_first_token(&mut self) {
         if !std::mem::replace(&mut self.started, true) {
             let mut fleet = self.app.fleet.borrow_mut();
             fleet
@@ -46,7 +46,7 @@
     }
 }
 
-impl Drop for Booking {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(self.engine);
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/log_follower.rs
@@ -11,28 +11,28 @@
 use crate::app::App;
 
 /// Time for which the log may hold back an answer while there is nothing new.
-const WAIT_MS: u64 = 1_000;
+const LONG_POLL_MS: u64 = 1_000;
 
 /// Time that a peer may take.
-const PEER_MS: u64 = 1_000;
+const PEER_TIMEOUT_MS: u64 = 1_000;
 
 /// Time after a failed append before it is tried again.
-const AGAIN_MS: u64 = 200;
+const APPEND_RETRY_MS: u64 = 200;
 
 /// Reads the log on and on, and peers while the log does not answer.
 pub(crate) async fn follow(app: Rc<App>) {
     loop {
-        let from = app.cursor.borrow().read_offset();
+        let from = app.log_reader.borrow().read_offset();
         // The first read asks what there is; later ones wait for what is new.
-        let wait_ms = if app.log_up.get() { WAIT_MS } else { 0 };
+        let wait_ms = if app.log_up.get() { LONG_POLL_MS } else { 0 };
         match app.log.read(from, wait_ms).await {
             Ok(page) => {
                 app.log_up.set(true);
                 app.metrics.log_up.set(1);
                 let caught_up = page.records.is_empty();
-                let steps = app.cursor.borrow_mut().apply_page(&page);
-                applied(&app, &steps);
-                if app.cursor.borrow().needs_snapshot() {
+                let applied = app.log_reader.borrow_mut().apply_page(&page);
+                handle_applied(&app, &applied);
+                if app.log_reader.borrow().needs_snapshot() {
                     // The log has lost what came before and holds no snapshot that fits: without
                     // a peer's state this instance would never serve.
                     learn_from_peer(&app).await;
@@ -55,8 +55,10 @@
 /// Asks one peer for what it has read back. A peer that knows less changes nothing.
 async fn learn_from_peer(app: &Rc<App>) {
     let peer = {
-        let members = app.members.borrow();
-        let known = members.all().filter(|known| !known.peer_address.is_empty());
+        let peer_table = app.peer_table.borrow();
+        let known = peer_table
+            .all()
+            .filter(|known| !known.peer_address.is_empty());
         let mut rng = app.rng.borrow_mut();
         known
             .map(|known| known.peer_address.clone())
@@ -65,8 +67,8 @@
     let Some(peer) = peer else {
         return;
     };
-    let from = app.cursor.borrow().state().next_offset();
-    let records = match app.peers.records(&peer, from, PEER_MS).await {
+    let from = app.log_reader.borrow().state().next_offset();
+    let records = match app.peer_client.records(&peer, from, PEER_TIMEOUT_MS).await {
         Ok(records) => records,
         Err(error) => {
             log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}");
@@ -76,23 +78,24 @@
     if let Some(bytes) = records.snapshot {
         match Snapshot::decode(&bytes) {
             Ok(snapshot) => {
-                app.cursor.borrow_mut().install_snapshot(snapshot);
+                app.log_reader.borrow_mut().install_snapshot(snapshot);
             }
             Err(error) => {
                 log::warn!(step = "records", peer = peer.as_str(); "{error}");
                 return;
             }
         }
-        applied(app, &[]);
+        handle_applied(app, &[]);
     } else {
-        let steps =
-            app.cursor
-                .borrow_mut()
-                .apply_peer_records(from, &records.records, records.next_offset);
-        applied(app, &steps);
+        let applied = app.log_reader.borrow_mut().apply_peer_records(
+            from,
+            &records.records,
+            records.next_offset,
+        );
+        handle_applied(app, &applied);
     }
     // A peer that has nothing yet must not make this instance ready with nothing.
-    if app.cursor.borrow().state().in_force().is_some() {
+    if app.log_reader.borrow().state().in_force().is_some() {
         become_ready(app, &peer);
     }
 }
@@ -101,30 +104,30 @@
     if app.condition.get() == Condition::Starting {
         app.condition.set(Condition::Ready);
         source.clone_into(&mut app.learned_from.borrow_mut());
-        let offset = app.cursor.borrow().state().next_offset();
+        let offset = app.log_reader.borrow().state().next_offset();
         log::info!(step = "ready", source, offset; "state is current");
     }
 }
 
 /// Acts on records that were folded in.
-fn applied(app: &Rc<App>, steps: &[AppliedRecord]) {
-    for step in steps {
-        let origin = &step.record.origin;
+fn handle_applied(app: &Rc<App>, applied: &[AppliedRecord]) {
+    for record in applied {
+        let origin = &record.record.origin;
         if origin.writer == app.identity.instance && origin.incarnation == app.identity.incarnation
         {
-            let waiter = app.waiting.borrow_mut().remove(&origin.sequence);
+            let waiter = app.confirmations.borrow_mut().remove(&origin.sequence);
             if let Some(waiter) = waiter {
-                let _ = waiter.send((step.offset, step.outcome.clone()));
+                let _ = waiter.send((record.offset, record.outcome.clone()));
             }
         }
     }
     app.metrics
-        .offset
-        .set(app.cursor.borrow().state().next_offset().cast_signed());
-    let since = app.cursor.borrow().state().records_since_snapshot();
-    app.metrics.since_snapshot.set(since.cast_signed());
-    put_in_force(app);
-    crate::upstreams::drains_changed(app);
+        .log_offset
+        .set(app.log_reader.borrow().state().next_offset().cast_signed());
+    let since = app.log_reader.borrow().state().records_since_snapshot();
+    app.metrics.records_since_snapshot.set(since.cast_signed());
+    activate_bundle(app);
+    crate::upstreams::apply_drains(app);
     let control = app.control.borrow().upgrade();
     if let Some(control) = control {
         control.observe();
@@ -132,9 +135,9 @@
 }
 
 /// Takes the bundle in force into use. Requests under way keep the one they were admitted under.
-fn put_in_force(app: &App) {
-    let cursor = app.cursor.borrow();
-    let Some(state) = cursor.state().in_force() else {
+fn activate_bundle(app: &App) {
+    let log_reader = app.log_reader.borrow();
+    let Some(state) = log_reader.state().in_force() else {
         return;
     };
     let current = app.bundle();
@@ -147,8 +150,8 @@
             let version = state.published.version;
             let index = BundleIndex::new(bundle, state.published.digest.clone());
             app.bundle.replace(Some(Rc::new(index)));
-            app.metrics.bundle.set(version.cast_signed());
-            let offset = cursor.state().in_force_offset();
+            app.metrics.bundle_version.set(version.cast_signed());
+            let offset = log_reader.state().in_force_offset();
             log::info!(step = "roll", version, offset; "bundle is in force");
         }
         Err(error) => log::error!(step = "roll"; "bundle in force cannot be read: {error}"),
@@ -160,7 +163,7 @@
     loop {
         let batch = app.outbox.borrow_mut().next_batch(app.now_ms());
         let Some(batch) = batch else {
-            app.outgoing.notified().await;
+            app.outbox_ready.notified().await;
             continue;
         };
         match app.log.append(&batch).await {
@@ -168,7 +171,7 @@
             Err(error) => {
                 log::warn!(step = error.operation, peer = error.peer.as_str(); "{error}");
                 app.outbox.borrow_mut().requeue_batch();
-                actix_rt::time::sleep(Duration::from_millis(AGAIN_MS)).await;
+                actix_rt::time::sleep(Duration::from_millis(APPEND_RETRY_MS)).await;
             }
         }
     }
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -7,7 +7,7 @@
 use crate::app::App;
 
 /// Most instances that one answer names.
-const INSTANCES: usize = 6;
+const MAX_INSTANCES: usize = 6;
 
 /// What a caller asks.
 #[derive(Debug, Deserialize)]
@@ -35,8 +35,8 @@
 /// Names instances that serve, the caller's availability zone first, and none that leaves.
 pub(crate) fn lookup(app: &App, query: &Query) -> Lookup {
     let zone = query.zone.as_deref().unwrap_or(&app.settings.zone);
-    let members = app.members.borrow();
-    let ready = members.ready(app.now_ms(), zone);
+    let peer_table = app.peer_table.borrow();
+    let ready = peer_table.ready(app.now_ms(), zone);
     let mut instances: Vec<Instance> = ready.into_iter().map(Instance::from).collect();
     if app.condition.get() == Condition::Ready {
         let me = Instance {
@@ -44,15 +44,15 @@
             address: app.caller_address.clone(),
             zone: app.settings.zone.clone(),
         };
-        let first_far = instances.iter().position(|other| other.zone != zone);
-        let place = if me.zone == zone {
+        let first_other_zone = instances.iter().position(|other| other.zone != zone);
+        let index = if me.zone == zone {
             0
         } else {
-            first_far.unwrap_or(instances.len())
+            first_other_zone.unwrap_or(instances.len())
         };
-        instances.insert(place, me);
+        instances.insert(index, me);
     }
-    instances.truncate(INSTANCES);
+    instances.truncate(MAX_INSTANCES);
     Lookup {
         instances,
         keep_ms: app.settings.limits.stop_grace_ms,
@@ -67,18 +67,26 @@
         return None;
     }
     let now_ms = app.now_ms();
-    let members = app.members.borrow();
-    let ready = members.ready(now_ms, &app.settings.zone);
-    let usable = |beat: &&&Beat| members.address(&beat.instance, beat.incarnation).is_some();
+    let peer_table = app.peer_table.borrow();
+    let ready = peer_table.ready(now_ms, &app.settings.zone);
+    let usable = |beat: &&&Beat| {
+        peer_table
+            .address(&beat.instance, beat.incarnation)
+            .is_some()
+    };
     let usable: Vec<&&Beat> = ready.iter().filter(usable).collect();
-    let far: Vec<&&Beat> = usable
+    let other_zones: Vec<&&Beat> = usable
         .iter()
         .copied()
         .filter(|beat| beat.zone != app.settings.zone)
         .collect();
-    let pool = if far.is_empty() { &usable } else { &far };
-    let pick = rand::Rng::random_range(&mut *app.rng.borrow_mut(), 0..pool.len().max(1));
-    let witness = pool.get(pick)?;
+    let candidates = if other_zones.is_empty() {
+        &usable
+    } else {
+        &other_zones
+    };
+    let index = rand::Rng::random_range(&mut *app.rng.borrow_mut(), 0..candidates.len().max(1));
+    let witness = candidates.get(index)?;
     let home = InstanceEpoch {
         instance: app.identity.instance.clone(),
         incarnation: app.identity.incarnation,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -18,27 +18,27 @@
     /// Refusals by code.
     pub(crate) refusals: IntCounterVec,
     /// Calls that ended without a known outcome.
-    pub(crate) unknown: IntCounterVec,
+    pub(crate) unknown_outcomes: IntCounterVec,
     /// Answers that belonged to another request, or came after their request was over.
-    pub(crate) strays: IntCounterVec,
+    pub(crate) stray_answers: IntCounterVec,
     /// Attempts beyond a request's first, by reason.
     pub(crate) retries: IntCounterVec,
     /// Time to the first token.
     pub(crate) first_token: HistogramVec,
     /// Time that the instance itself spent on a request.
-    pub(crate) own_time: HistogramVec,
+    pub(crate) processing_time: HistogramVec,
     /// Requests in flight.
     pub(crate) in_flight: IntGauge,
     /// Version of the bundle in force.
-    pub(crate) bundle: IntGauge,
+    pub(crate) bundle_version: IntGauge,
     /// First log offset that is not applied.
-    pub(crate) offset: IntGauge,
+    pub(crate) log_offset: IntGauge,
     /// Records since the last snapshot.
-    pub(crate) since_snapshot: IntGauge,
+    pub(crate) records_since_snapshot: IntGauge,
     /// Whether the log answers.
     pub(crate) log_up: IntGauge,
     /// Leases held, by group.
-    pub(crate) leases: IntGaugeVec,
+    pub(crate) leases_held: IntGaugeVec,
     /// Orders given, by kind.
     pub(crate) orders: IntCounterVec,
 }
@@ -58,37 +58,41 @@
                 &["class", "in_time"],
             ),
             refusals: counter(&registry, "refusals_total", "Refusals.", &["code"]),
-            unknown: counter(
+            unknown_outcomes: counter(
                 &registry,
                 "unknown_total",
                 "Calls of unknown outcome.",
                 &["upstream"],
             ),
-            strays: counter(
+            stray_answers: counter(
                 &registry,
                 "strays_total",
                 "Late or crossed answers.",
                 &["kind"],
             ),
             retries: counter(&registry, "retries_total", "Further attempts.", &["reason"]),
-            first_token: times(
+            first_token: histogram(
                 &registry,
                 "first_token_seconds",
                 "Time to first token.",
                 &["class"],
             ),
-            own_time: times(
+            processing_time: histogram(
                 &registry,
                 "own_seconds",
                 "Time spent in the instance.",
                 &["step"],
             ),
             in_flight: gauge(&registry, "in_flight", "Requests in flight."),
-            bundle: gauge(&registry, "bundle_version", "Version in force."),
-            offset: gauge(&registry, "log_offset", "First offset not applied."),
-            since_snapshot: gauge(&registry, "records_since_snapshot", "Not in a snapshot."),
+            bundle_version: gauge(&registry, "bundle_version", "Version in force."),
+            log_offset: gauge(&registry, "log_offset", "First offset not applied."),
+            records_since_snapshot: gauge(
+                &registry,
+                "records_since_snapshot",
+                "Not in a snapshot.",
+            ),
             log_up: gauge(&registry, "log_up", "Whether the log answers."),
-            leases: {
+            leases_held: {
                 let opts = Opts::new("leases_held", "Leases held.");
                 register(&registry, IntGaugeVec::new(opts, &["group"]))
             },
@@ -127,7 +131,7 @@
     register(registry, IntGauge::new(name, help))
 }
 
-fn times(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
+fn histogram(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
     let opts = HistogramOpts::new(name, help).buckets(TIME_BUCKETS.to_vec());
     register(registry, HistogramVec::new(opts, labels))
 }
--- a/crates/entry/src/openai.rs
+++ b/crates/entry/src/openai.rs
@@ -5,11 +5,11 @@
 use crate::engine::Usage;
 
 /// Tokens of an answer whose request names no number.
-const DEFAULT_TOKENS: u32 = 128;
+const DEFAULT_MAX_TOKENS: u32 = 128;
 
 /// Which of the two completion calls a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Flavor {
+pub(crate) enum Endpoint {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
@@ -36,10 +36,10 @@
 
 impl CompletionRequest {
     /// The prompt as the engine reads it, or the field that is missing.
-    pub(crate) fn prompt(&self, flavor: Flavor) -> Result<String, &'static str> {
-        match flavor {
-            Flavor::Text => self.prompt.clone().ok_or("prompt"),
-            Flavor::Chat => {
+    pub(crate) fn prompt(&self, endpoint: Endpoint) -> Result<String, &'static str> {
+        match endpoint {
+            Endpoint::Text => self.prompt.clone().ok_or("prompt"),
+            Endpoint::Chat => {
                 let messages = self
                     .messages
                     .as_ref()
@@ -51,14 +51,14 @@
         }
     }
 
-    pub(crate) fn tokens(&self) -> u32 {
-        let asked = self.max_completion_tokens.or(self.max_tokens);
-        asked.unwrap_or(DEFAULT_TOKENS)
+    pub(crate) fn max_tokens(&self) -> u32 {
+        let requested = self.max_completion_tokens.or(self.max_tokens);
+        requested.unwrap_or(DEFAULT_MAX_TOKENS)
     }
 }
 
 #[derive(Debug, Default, Serialize)]
-struct Text<'a> {
+struct MessageBody<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     role: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -71,14 +71,14 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<Text<'a>>,
+    message: Option<MessageBody<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    delta: Option<Text<'a>>,
+    delta: Option<MessageBody<'a>>,
     finish_reason: Option<&'a str>,
 }
 
 #[derive(Debug, Serialize)]
-struct UsageOut {
+struct UsageBody {
     prompt_tokens: u32,
     completion_tokens: u32,
     total_tokens: u32,
@@ -93,7 +93,7 @@
     model: &'a str,
     choices: [Choice<'a>; 1],
     #[serde(skip_serializing_if = "Option::is_none")]
-    usage: Option<UsageOut>,
+    usage: Option<UsageBody>,
     /// Token with which the rest can be had at another instance.
     #[serde(skip_serializing_if = "Option::is_none")]
     resume: Option<&'a str>,
@@ -101,19 +101,19 @@
 
 /// What all events of an answer share.
 #[derive(Debug, Clone)]
-pub(crate) struct Head {
+pub(crate) struct CompletionMetadata {
     pub(crate) id: String,
     pub(crate) model: String,
-    pub(crate) flavor: Flavor,
+    pub(crate) endpoint: Endpoint,
     pub(crate) created: u64,
 }
 
-impl Head {
+impl CompletionMetadata {
     fn object(&self, streamed: bool) -> &'static str {
-        match (self.flavor, streamed) {
-            (Flavor::Chat, true) => "chat.completion.chunk",
-            (Flavor::Chat, false) => "chat.completion",
-            (Flavor::Text, _) => "text_completion",
+        match (self.endpoint, streamed) {
+            (Endpoint::Chat, true) => "chat.completion.chunk",
+            (Endpoint::Chat, false) => "chat.completion",
+            (Endpoint::Text, _) => "text_completion",
         }
     }
 
@@ -131,13 +131,13 @@
 
     /// The event of one token.
     pub(crate) fn token(&self, number: u32, text: &str, resume: &str) -> String {
-        let choice = match self.flavor {
-            Flavor::Text => Choice {
+        let choice = match self.endpoint {
+            Endpoint::Text => Choice {
                 text: Some(text),
                 ..Choice::default()
             },
-            Flavor::Chat => Choice {
-                delta: Some(Text {
+            Endpoint::Chat => Choice {
+                delta: Some(MessageBody {
                     role: (number == 1).then_some("assistant"),
                     content: Some(text),
                 }),
@@ -153,14 +153,14 @@
 
     /// The events of the end.
     pub(crate) fn end(&self, usage: Usage) -> String {
-        let choice = match self.flavor {
-            Flavor::Text => Choice {
+        let choice = match self.endpoint {
+            Endpoint::Text => Choice {
                 text: Some(""),
                 finish_reason: Some("stop"),
                 ..Choice::default()
             },
-            Flavor::Chat => Choice {
-                delta: Some(Text::default()),
+            Endpoint::Chat => Choice {
+                delta: Some(MessageBody::default()),
                 finish_reason: Some("stop"),
                 ..Choice::default()
             },
@@ -174,14 +174,14 @@
 
     /// A whole answer.
     pub(crate) fn whole(&self, text: &str, usage: Usage) -> String {
-        let choice = match self.flavor {
-            Flavor::Text => Choice {
+        let choice = match self.endpoint {
+            Endpoint::Text => Choice {
                 text: Some(text),
                 finish_reason: Some("stop"),
                 ..Choice::default()
             },
-            Flavor::Chat => Choice {
-                message: Some(Text {
+            Endpoint::Chat => Choice {
+                message: Some(MessageBody {
                     role: Some("assistant"),
                     content: Some(text),
                 }),
@@ -196,7 +196,7 @@
     }
 }
 
-impl From<Usage> for UsageOut {
+impl From<Usage> for UsageBody {
     fn from(usage: Usage) -> Self {
         Self {
             prompt_tokens: usage.prompt_tokens,
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/order_sender.rs
@@ -7,7 +7,7 @@
 use actix_http::Uri;
 use actix_service::Service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
-use lease::{ArmedGuard, ConnectionGuard, OutgoingOrder as Order};
+use lease::{ArmedGuard, ConnectionGuard, OutgoingOrder};
 use serde::Serialize;
 use tick::Clock;
 use tokio::net::TcpStream;
@@ -15,12 +15,12 @@
 use wire::OrderKind;
 
 /// What became of sending an order.
-pub(crate) type Sent = Result<u16, String>;
+pub(crate) type SendResult = Result<u16, String>;
 
-struct Errand {
-    order: Order,
+struct SendTask {
+    order: OutgoingOrder,
     address: String,
-    reply: oneshot::Sender<Sent>,
+    reply: oneshot::Sender<SendResult>,
 }
 
 #[derive(Serialize)]
@@ -32,32 +32,32 @@
 
 /// The ordering thread.
 #[derive(Clone)]
-pub(crate) struct Orderer {
-    errands: mpsc::UnboundedSender<Errand>,
+pub(crate) struct OrderSender {
+    tasks: mpsc::UnboundedSender<SendTask>,
 }
 
-impl Orderer {
+impl OrderSender {
     /// Starts the thread.
     pub(crate) async fn start(clock: Clock) -> std::io::Result<Self> {
-        let (errands, receiver) = mpsc::unbounded_channel();
+        let (tasks, receiver) = mpsc::unbounded_channel();
         let (ready, started) = oneshot::channel();
         actix_rt::Arbiter::new().spawn_fn(move || {
             actix_rt::spawn(serve(clock, receiver, ready));
         });
         let started = started.await;
         started.unwrap_or_else(|_| Err(std::io::Error::other("the ordering thread ended")))?;
-        Ok(Self { errands })
+        Ok(Self { tasks })
     }
 
     /// Sends one order and gives the status of the answer.
-    pub(crate) async fn send(&self, order: Order, address: String) -> Sent {
+    pub(crate) async fn send(&self, order: OutgoingOrder, address: String) -> SendResult {
         let (reply, answer) = oneshot::channel();
-        let errand = Errand {
+        let task = SendTask {
             order,
             address,
             reply,
         };
-        if self.errands.send(errand).is_err() {
+        if self.tasks.send(task).is_err() {
             return Err("the ordering thread has ended".to_owned());
         }
         answer
@@ -68,7 +68,7 @@
 
 async fn serve(
     clock: Clock,
-    mut errands: mpsc::UnboundedReceiver<Errand>,
+    mut tasks: mpsc::UnboundedReceiver<SendTask>,
     ready: oneshot::Sender<std::io::Result<()>>,
 ) {
     let guard = match ConnectionGuard::new(clock) {
@@ -80,21 +80,26 @@
     };
     let _ = ready.send(Ok(()));
     // One at a time: the guard has one slot.
-    while let Some(errand) = errands.recv().await {
-        let sent = send(&guard, clock, &errand.order, &errand.address).await;
-        let _ = errand.reply.send(sent);
+    while let Some(task) = tasks.recv().await {
+        let sent = send(&guard, clock, &task.order, &task.address).await;
+        let _ = task.reply.send(sent);
     }
 }
 
-async fn send(guard: &Rc<ConnectionGuard>, clock: Clock, order: &Order, address: &str) -> Sent {
+async fn send(
+    guard: &Rc<ConnectionGuard>,
+    clock: Clock,
+    order: &OutgoingOrder,
+    address: &str,
+) -> SendResult {
     let left_ms = order.expires_ms.saturating_sub(clock.now_ms());
     let limit = Duration::from_millis(left_ms);
     let connector = GuardedConnector {
         guard: guard.clone(),
-        until_ms: order.expires_ms,
-        watch: Rc::default(),
+        expires_ms: order.expires_ms,
+        armed: Rc::default(),
     };
-    let watch = connector.watch.clone();
+    let armed = connector.armed.clone();
     let client = awc::Client::builder()
         .connector(awc::Connector::new().connector(connector).timeout(limit))
         .timeout(limit)
@@ -115,7 +120,7 @@
         .force_close();
     let sent = request.send_json(&body).await;
     let status = sent.map(|response| response.status().as_u16());
-    watch.borrow_mut().take();
+    armed.borrow_mut().take();
     status.map_err(|error| error.to_string())
 }
 
@@ -123,8 +128,8 @@
 #[derive(Clone)]
 struct GuardedConnector {
     guard: Rc<ConnectionGuard>,
-    until_ms: u64,
-    watch: Rc<RefCell<Option<ArmedGuard>>>,
+    expires_ms: u64,
+    armed: Rc<RefCell<Option<ArmedGuard>>>,
 }
 
 impl Service<ConnectInfo<Uri>> for GuardedConnector {
@@ -140,7 +145,7 @@
         let this = self.clone();
         Box::pin(async move {
             let connection = connect.await?;
-            this.put_under_guard(connection.io_ref())
+            this.arm_guard(connection.io_ref())
                 .map_err(ConnectError::Io)?;
             Ok(connection)
         })
@@ -148,9 +153,9 @@
 }
 
 impl GuardedConnector {
-    fn put_under_guard(&self, stream: &TcpStream) -> std::io::Result<()> {
-        let watch = self.guard.arm(stream, self.until_ms)?;
-        self.watch.replace(Some(watch));
+    fn arm_guard(&self, stream: &TcpStream) -> std::io::Result<()> {
+        let armed = self.guard.arm(stream, self.expires_ms)?;
+        self.armed.replace(Some(armed));
         Ok(())
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -7,12 +7,12 @@
 use crate::app::App;
 
 /// Instances named to a refused caller.
-const OTHERS: usize = 3;
+const MAX_ALTERNATIVES: usize = 3;
 
 /// Whether a call may have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Ran {
+pub(crate) enum ExecutionStatus {
     /// No byte of it reached an upstream, and none will.
     NotRun,
     /// It may have, or may yet.
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) code: Code,
-    pub(crate) ran: Ran,
+    pub(crate) ran: ExecutionStatus,
     pub(crate) message: String,
     pub(crate) retry_after_ms: Option<u64>,
 }
@@ -105,7 +105,7 @@
 struct Body<'a> {
     error: ErrorObject<'a>,
     code: Code,
-    ran: Ran,
+    ran: ExecutionStatus,
     retry_after_ms: Option<u64>,
     instances: Vec<String>,
     key_prefix: Option<String>,
@@ -115,7 +115,7 @@
     pub(crate) fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
-            ran: Ran::NotRun,
+            ran: ExecutionStatus::NotRun,
             message: message.into(),
             retry_after_ms: None,
         }
@@ -123,7 +123,7 @@
 
     pub(crate) fn unknown(code: Code, message: impl Into<String>) -> Self {
         Self {
-            ran: Ran::Unknown,
+            ran: ExecutionStatus::Unknown,
             ..Self::new(code, message)
         }
     }
@@ -163,7 +163,7 @@
             .inc();
         let retry = self.retry_after_ms.is_some();
         let (instances, key_prefix) = if retry {
-            (others(app), crate::lookup::key_prefix(app))
+            (alternatives(app), crate::lookup::key_prefix(app))
         } else {
             (Vec::new(), None)
         };
@@ -179,12 +179,12 @@
     }
 }
 
-fn others(app: &App) -> Vec<String> {
-    let members = app.members.borrow();
-    let ready = members.ready(app.now_ms(), &app.settings.zone);
+fn alternatives(app: &App) -> Vec<String> {
+    let peer_table = app.peer_table.borrow();
+    let ready = peer_table.ready(app.now_ms(), &app.settings.zone);
     ready
         .iter()
-        .take(OTHERS)
+        .take(MAX_ALTERNATIVES)
         .map(|beat| beat.caller_address.clone())
         .collect()
 }
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/request_context.rs
@@ -9,15 +9,15 @@
 
 use crate::app::App;
 use crate::auth::{header, number, tenant};
-use crate::openai::{CompletionRequest, Flavor};
-use crate::pump::Work;
+use crate::openai::{CompletionRequest, Endpoint};
 use crate::refusal::{Code, Refusal};
+use crate::runner::CompletionJob;
 
 /// Bytes of a prompt that count as a token until the engine says how many there were.
-const TOKEN_BYTES: f64 = 4.0;
+const BYTES_PER_TOKEN: f64 = 4.0;
 
 /// Headers of a request, checked against the bundle.
-pub(crate) struct Asked {
+pub(crate) struct RequestContext {
     pub(crate) bundle: Rc<BundleIndex>,
     pub(crate) tenant: Tenant,
     pub(crate) class: String,
@@ -26,7 +26,7 @@
 }
 
 /// Reads the headers of a caller's request.
-pub(crate) fn asked(app: &App, request: &Request) -> Result<Asked, Refusal> {
+pub(crate) fn request_context(app: &App, request: &Request) -> Result<RequestContext, Refusal> {
     let bundle = app.bundle().ok_or_else(|| {
         Refusal::new(Code::Unavailable, "no bundle is in force").retry_after(1_000)
     })?;
@@ -48,7 +48,7 @@
             "x-deadline-ms: must be above 0",
         ));
     }
-    Ok(Asked {
+    Ok(RequestContext {
         bundle,
         tenant,
         class,
@@ -58,41 +58,46 @@
 }
 
 /// Turns a checked body into work.
-pub(crate) fn work(
+pub(crate) fn completion_job(
     app: &App,
-    asked: &Asked,
+    context: &RequestContext,
     body: &CompletionRequest,
-    flavor: Flavor,
-) -> Result<Work, Refusal> {
+    endpoint: Endpoint,
+) -> Result<CompletionJob, Refusal> {
     let bad = |text: String| Refusal::new(Code::BadRequest, text);
     let prompt = body
-        .prompt(flavor)
+        .prompt(endpoint)
         .map_err(|field| bad(format!("{field}: missing or empty")))?;
-    let most = app.settings.limits.stream_tokens;
-    let max_tokens = body.tokens();
-    if max_tokens == 0 || u64::from(max_tokens) > most {
+    let max = app.settings.limits.stream_tokens;
+    let max_tokens = body.max_tokens();
+    if max_tokens == 0 || u64::from(max_tokens) > max {
         return Err(bad(format!(
-            "max_tokens: {max_tokens} is outside 1 to {most}"
+            "max_tokens: {max_tokens} is outside 1 to {max}"
         )));
     }
-    let Some(model) = asked.bundle.model(&body.model) else {
+    let Some(model) = context.bundle.model(&body.model) else {
         let text = format!("model: no model `{}`", body.model);
         return Err(Refusal::new(Code::NotFound, text));
     };
     let now_ms = app.now_ms();
-    Ok(Work {
+    Ok(CompletionJob {
         id: app.request_id(),
-        member: asked.tenant.member.clone(),
-        share: asked.tenant.share,
-        class: asked.class.clone(),
-        rank: asked.rank,
-        key: RequestKey::of(&asked.tenant.workspace, "", &model.name, prompt.as_bytes()),
+        member: context.tenant.member.clone(),
+        share: context.tenant.share,
+        class: context.class.clone(),
+        rank: context.rank,
+        key: RequestKey::of(
+            &context.tenant.workspace,
+            "",
+            &model.name,
+            prompt.as_bytes(),
+        ),
         model: model.name.clone(),
-        loaded: crate::upstreams::serving(app, model),
-        prompt_tokens: (prompt.len() as f64 / TOKEN_BYTES).max(1.0),
+        loaded: crate::upstreams::version_to_serve(app, model),
+        prompt_tokens: (prompt.len() as f64 / BYTES_PER_TOKEN).max(1.0),
         prompt,
         max_tokens,
         arrived_ms: now_ms,
-        deadline_ms: now_ms.saturating_add(asked.deadline_ms),
+        deadline_ms: now_ms.saturating_add(context.deadline_ms),
     })
 }
--- a/crates/entry/src/resume.rs
+++ b/crates/entry/src/resume.rs
@@ -13,10 +13,10 @@
 
 use crate::app::App;
 use crate::auth::number;
-use crate::caller::asked;
-use crate::engine::{self, Part, Parts};
-use crate::openai::{Flavor, Head};
+use crate::engine::{self, EngineEvent, EngineEvents};
+use crate::openai::{CompletionMetadata, Endpoint};
 use crate::refusal::{Code, Refusal};
+use crate::request_context::request_context;
 
 /// Between the parts of a token.
 const PART: char = '~';
@@ -25,10 +25,10 @@
 const TAG_DIGITS: usize = 16;
 
 /// Events on their way to a caller.
-const EVENTS: usize = 64;
+const EVENT_BUFFER: usize = 64;
 
 /// Time that the engine may take to answer.
-const OPEN_MS: u64 = 2_000;
+const OPEN_TIMEOUT_MS: u64 = 2_000;
 
 /// The token under which the rest of a stream can be had.
 ///
@@ -52,7 +52,7 @@
     request: &Request,
     text: &str,
 ) -> Result<Response, Refusal> {
-    let asked = asked(app, request)?;
+    let context = request_context(app, request)?;
     let after = number(request, "last-event-id")?.unwrap_or(0) as u32;
     let mut fields = text.split(PART);
     let (Some(engine), Some(request_id), Some(given), None) =
@@ -60,7 +60,7 @@
     else {
         return Err(Refusal::new(Code::BadRequest, "stream: malformed token"));
     };
-    if given != tag(request_id, &asked.tenant.workspace) {
+    if given != tag(request_id, &context.tenant.workspace) {
         return Err(Refusal::new(
             Code::NotFound,
             "stream: not one of this workspace",
@@ -75,42 +75,48 @@
     };
     let gone = || Refusal::unknown(Code::NotFound, "stream: no longer there");
     let address = address.ok_or_else(gone)?;
-    let limit = Duration::from_millis(OPEN_MS);
+    let limit = Duration::from_millis(OPEN_TIMEOUT_MS);
     let opened =
         actix_rt::time::timeout(limit, engine::resume(app, &address, request_id, after)).await;
-    let parts = opened.map_err(|_| gone())?.map_err(|_| gone())?;
-    let head = Head {
+    let events = opened.map_err(|_| gone())?.map_err(|_| gone())?;
+    let metadata = CompletionMetadata {
         id: format!(
             "cmpl-{}",
             request_id.split('.').next().unwrap_or(request_id)
         ),
         model: String::new(),
-        flavor: Flavor::Text,
+        endpoint: Endpoint::Text,
         created: tick::wall_ms() / 1_000,
     };
-    let (sender, receiver) = mpsc::channel(EVENTS);
-    actix_rt::spawn(feed(head, text.to_owned(), after, parts, sender));
+    let (sender, receiver) = mpsc::channel(EVENT_BUFFER);
+    actix_rt::spawn(forward_events(
+        metadata,
+        text.to_owned(),
+        after,
+        events,
+        sender,
+    ));
     Ok(web::stream("text/event-stream", receiver))
 }
 
-async fn feed(
-    head: Head,
+async fn forward_events(
+    metadata: CompletionMetadata,
     token: String,
     after: u32,
-    mut parts: Parts,
+    mut events: EngineEvents,
     sender: mpsc::Sender<Bytes>,
 ) {
     let mut produced = after;
-    while let Some(Ok(part)) = parts.next().await {
-        let event = match part {
-            Part::Token(number, _) if number <= produced => continue,
-            Part::Token(number, text) if number == produced + 1 => {
+    while let Some(Ok(event)) = events.next().await {
+        let event = match event {
+            EngineEvent::Token(number, _) if number <= produced => continue,
+            EngineEvent::Token(number, text) if number == produced + 1 => {
                 produced = number;
-                head.token(number, &text, &token)
+                metadata.token(number, &text, &token)
             }
-            Part::End(usage) if usage.completion_tokens == produced => head.end(usage),
+            EngineEvent::End(usage) if usage.completion_tokens == produced => metadata.end(usage),
             // A gap: ending without the end mark lets the caller resume again.
-            Part::Token(..) | Part::End(_) => return,
+            EngineEvent::Token(..) | EngineEvent::End(_) => return,
         };
         if sender.send(Bytes::from(event)).await.is_err() {
             return;
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -9,7 +9,7 @@
 
 use crate::app::App;
 use crate::auth::tenant;
-use crate::openai::Flavor;
+use crate::openai::Endpoint;
 use crate::refusal::{Code, Refusal};
 use crate::{admin, call, completion, lookup, resume};
 
@@ -41,7 +41,7 @@
 }
 
 /// Answers one request.
-pub(crate) async fn answer(app: Rc<App>, request: Request) -> Response {
+pub(crate) async fn handle_request(app: Rc<App>, request: Request) -> Response {
     let answered = handle(&app, request).await;
     let mut response = answered.unwrap_or_else(|refusal| refusal.respond(&app));
     if app.condition.get() == Condition::Leaving {
@@ -88,16 +88,16 @@
         (&Method::GET, "/v1/models") => models(app, &request),
         (&Method::GET, "/v1/bundle") => in_force(app, &request),
         (&Method::POST, "/v1/chat/completions") => {
-            completion::complete(app, request, Flavor::Chat).await
+            completion::complete(app, request, Endpoint::Chat).await
         }
         (&Method::POST, "/v1/completions") => {
-            completion::complete(app, request, Flavor::Text).await
+            completion::complete(app, request, Endpoint::Text).await
         }
-        _ => by_prefix(app, request, &method, &path).await,
+        _ => route_by_prefix(app, request, &method, &path).await,
     }
 }
 
-async fn by_prefix(
+async fn route_by_prefix(
     app: &Rc<App>,
     request: Request,
     method: &Method,
@@ -141,8 +141,8 @@
 fn in_force(app: &App, request: &Request) -> Result<Response, Refusal> {
     let bundle = app.bundle().ok_or_else(no_bundle)?;
     tenant(&bundle, request)?;
-    let members = app.members.borrow();
-    let others = members.live(app.now_ms()).map(|beat| InstanceVersion {
+    let peer_table = app.peer_table.borrow();
+    let others = peer_table.live(app.now_ms()).map(|beat| InstanceVersion {
         instance: beat.instance.clone(),
         version: beat.bundle_version,
     });
@@ -153,7 +153,7 @@
     let in_force = InForce {
         version: bundle.bundle().version,
         digest: bundle.digest(),
-        offset: app.cursor.borrow().state().in_force_offset(),
+        offset: app.log_reader.borrow().state().in_force_offset(),
         instances: std::iter::once(me).chain(others).collect(),
     };
     Ok(web::json(StatusCode::OK, &in_force))
--- a/crates/entry/src/pump.rs
+++ b/crates/entry/src/runner.rs
@@ -1,7 +1,7 @@
 //! Carries one completion from engines to its caller, whole and once.
 
-mod blame;
-mod stream;
+mod attempt;
+mod poison;
 
 use std::rc::Rc;
 
@@ -10,17 +10,17 @@
 use view::RequestKey;
 
 use crate::app::App;
-use crate::booking::Booking;
 use crate::engine::{self, Usage};
+use crate::load_guard::LoadGuard;
 use crate::refusal::{Code, Refusal};
-use stream::Attempt;
+use attempt::Attempt;
 
 /// Silence between two tokens after which a stream is resumed.
-const SILENCE_MS: u64 = 2_500;
+const TOKEN_TIMEOUT_MS: u64 = 2_500;
 
 /// One completion, which keeps the model version it was admitted under.
 #[derive(Clone)]
-pub(crate) struct Work {
+pub(crate) struct CompletionJob {
     pub(crate) id: String,
     /// What is asked, the same whenever the caller asks it.
     pub(crate) key: RequestKey,
@@ -39,7 +39,7 @@
 
 /// What the caller's side gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Event {
+pub(crate) enum CompletionEvent {
     /// A token, its number, and the engine and name under which the rest can be had.
     Token {
         number: u32,
@@ -53,64 +53,68 @@
     Failed(Refusal),
 }
 
-enum Ended {
-    Whole(Usage),
+enum AttemptOutcome {
+    Complete(Usage),
     CallerGone,
-    Hopeless,
-    Again(&'static str),
+    TooLate,
+    Retry(&'static str),
 }
 
 /// One completion on its way.
-pub(crate) struct Pump {
+pub(crate) struct CompletionRunner {
     app: Rc<App>,
-    work: Work,
-    sender: mpsc::Sender<Event>,
+    job: CompletionJob,
+    sender: mpsc::Sender<CompletionEvent>,
     produced: u32,
     text: String,
     tried: Vec<usize>,
     attempts: u32,
-    touched: bool,
+    may_have_run: bool,
 }
 
-impl Pump {
-    pub(crate) fn new(app: Rc<App>, work: Work, sender: mpsc::Sender<Event>) -> Self {
+impl CompletionRunner {
+    pub(crate) fn new(
+        app: Rc<App>,
+        job: CompletionJob,
+        sender: mpsc::Sender<CompletionEvent>,
+    ) -> Self {
         Self {
             app,
-            work,
+            job,
             sender,
             produced: 0,
             text: String::new(),
             tried: Vec::new(),
             attempts: 0,
-            touched: false,
+            may_have_run: false,
         }
     }
 
     /// Runs to the end; the last event is `End` or `Failed`.
     pub(crate) async fn run(mut self) {
-        self.app.retries.borrow_mut().deposit();
+        self.app.retry_budget.borrow_mut().deposit();
         loop {
-            let choice = match self.admit().and_then(|()| self.choose()) {
+            let choice = match self.check_poison().and_then(|()| self.route()) {
                 Ok(choice) => choice,
                 Err(refusal) => return self.fail(refusal).await,
             };
             match self.attempt(&choice).await {
-                Ended::Whole(usage) => {
-                    self.note_answered();
-                    let _ = self.sender.send(Event::End(usage)).await;
+                AttemptOutcome::Complete(usage) => {
+                    self.record_answered();
+                    let _ = self.sender.send(CompletionEvent::End(usage)).await;
                     return;
                 }
-                Ended::CallerGone => return,
-                Ended::Hopeless => {
+                AttemptOutcome::CallerGone => return,
+                AttemptOutcome::TooLate => {
                     let text = "it can no longer be in time";
                     return self
                         .fail(Refusal::new(Code::TooLate, text).retry_after(1_000))
                         .await;
                 }
-                Ended::Again(reason) => {
+                AttemptOutcome::Retry(reason) => {
                     self.tried.push(choice.engine);
                     self.app.metrics.retries.with_label_values(&[reason]).inc();
-                    if !self.app.retries.borrow_mut().try_withdraw() {
+                    if !self.app.retry_budget.borrow_mut().try_withdraw() {
                         let refusal = Refusal::unknown(Code::Upstream, "no retry is left");
                         return self.fail(refusal.retry_after(1_000)).await;
                     }
@@ -121,21 +125,21 @@
 
     async fn fail(&self, refusal: Refusal) {
         // What was asked of an engine may have run there, whatever came of it.
-        let refusal = if self.touched {
+        let refusal = if self.may_have_run {
             Refusal {
-                ran: crate::refusal::Ran::Unknown,
+                ran: crate::refusal::ExecutionStatus::Unknown,
                 ..refusal
             }
         } else {
             refusal
         };
-        let _ = self.sender.send(Event::Failed(refusal)).await;
+        let _ = self.sender.send(CompletionEvent::Failed(refusal)).await;
     }
 
-    fn choose(&self) -> Result<Choice, Refusal> {
+    fn route(&self) -> Result<Choice, Refusal> {
         let now_ms = self.app.now_ms();
-        let work = &self.work;
-        let left_ms = work.deadline_ms.saturating_sub(now_ms);
+        let job = &self.job;
+        let left_ms = job.deadline_ms.saturating_sub(now_ms);
         // A caller that has part of its answer gets the rest, even late: it can use nothing else.
         let left_ms = if self.produced > 0 {
             u64::MAX / 4
@@ -143,12 +147,12 @@
             left_ms
         };
         let request = Request {
-            member: &work.member,
-            share: work.share,
-            model: &work.model,
-            rank: work.rank,
-            prompt_tokens: work.prompt_tokens + f64::from(self.produced),
-            output_tokens: f64::from(work.max_tokens.saturating_sub(self.produced).max(1)),
+            member: &job.member,
+            share: job.share,
+            model: &job.model,
+            rank: job.rank,
+            prompt_tokens: job.prompt_tokens + f64::from(self.produced),
+            output_tokens: f64::from(job.max_tokens.saturating_sub(self.produced).max(1)),
             left_ms: left_ms as f64,
         };
         let upstreams = self.app.upstreams.borrow();
@@ -157,13 +161,13 @@
         // An engine that has not loaded the version of this request cannot serve it.
         skip.extend(
             fleet
-                .indices_of_model(&work.model)
+                .indices_of_model(&job.model)
                 .iter()
                 .copied()
-                .filter(|&place| {
-                    let entry = upstreams.engines.get(&fleet.get(place).name);
+                .filter(|&index| {
+                    let entry = upstreams.engines.get(&fleet.get(index).name);
                     let report = entry.and_then(|entry| entry.report.as_ref());
-                    report.is_none_or(|report| !report.loaded.contains(&work.loaded))
+                    report.is_none_or(|report| !report.loaded.contains(&job.loaded))
                 }),
         );
         let mut router = self.app.router.borrow_mut();
@@ -172,21 +176,21 @@
     }
 
     /// Engines that could serve instead of one, for the share of time that one may spend.
-    fn others(&self, engine: usize) -> usize {
+    fn alternatives(&self, engine: usize) -> usize {
         let fleet = self.app.fleet.borrow();
-        let fit = |place: &&usize| {
-            **place != engine
-                && !self.tried.contains(place)
-                && fleet.get(**place).presence == Presence::Live
+        let fit = |index: &&usize| {
+            **index != engine
+                && !self.tried.contains(index)
+                && fleet.get(**index).presence == Presence::Live
         };
         fleet
-            .indices_of_model(&self.work.model)
+            .indices_of_model(&self.job.model)
             .iter()
             .filter(fit)
             .count()
     }
 
-    async fn attempt(&mut self, choice: &Choice) -> Ended {
+    async fn attempt(&mut self, choice: &Choice) -> AttemptOutcome {
         let app = self.app.clone();
         let (name, slowness) = {
             let fleet = app.fleet.borrow();
@@ -200,30 +204,31 @@
             .get(&name)
             .map(|engine| engine.address.clone());
         let Some(address) = address else {
-            return Ended::Again("gone");
+            return AttemptOutcome::Retry("gone");
         };
         self.attempts += 1;
-        let request_id = format!("{}.{}", self.work.id, self.attempts);
-        let left_ms = self.work.deadline_ms.saturating_sub(app.now_ms());
-        let Some(budget) =
-            AttemptTimeout::next(left_ms.max(SILENCE_MS), self.others(choice.engine))
-        else {
-            return Ended::Again("deadline");
+        let request_id = format!("{}.{}", self.job.id, self.attempts);
+        let left_ms = self.job.deadline_ms.saturating_sub(app.now_ms());
+        let Some(timeout) = AttemptTimeout::next(
+            left_ms.max(TOKEN_TIMEOUT_MS),
+            self.alternatives(choice.engine),
+        ) else {
+            return AttemptOutcome::Retry("deadline");
         };
-        let output = f64::from(self.work.max_tokens);
-        let booking = Booking::new(&app, &self.work, choice, output);
+        let output = f64::from(self.job.max_tokens);
+        let load_guard = LoadGuard::new(&app, &self.job, choice, output);
         let mut attempt = Attempt {
             name,
             address,
             request_id,
-            booking,
-            token_ms: choice.token_ms / slowness,
+            load_guard,
+            expected_token_ms: choice.token_ms / slowness,
             sent_ms: app.now_ms(),
-            first: None,
-            budget,
+            first_token: None,
+            timeout,
         };
-        let ended = self.carry(&mut attempt).await;
-        if !matches!(ended, Ended::Whole(_)) {
+        let ended = self.run_attempt(&mut attempt).await;
+        if !matches!(ended, AttemptOutcome::Complete(_)) {
             engine::cancel(&app, &attempt.address, &attempt.request_id).await;
         }
         ended
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -10,19 +10,19 @@
 use serde::Deserialize;
 
 use crate::app::App;
-use crate::platform::{Kind, Listed, Standing};
+use crate::instance_list::{ListEntry, ListEntryKind, ListedState};
 
 /// Time between two reads of an engine's report.
-const REPORT_MS: u64 = 250;
+const REPORT_INTERVAL_MS: u64 = 250;
 
 /// Time that a report may take.
-const ANSWER_MS: u64 = 1_000;
+const REPORT_TIMEOUT_MS: u64 = 1_000;
 
 /// Time of one way to an upstream in another availability zone, from the brief.
-const OTHER_ZONE_MS: f64 = 1.2;
+const CROSS_ZONE_DELAY_MS: f64 = 1.2;
 
 /// Reports missed in a row after which an engine counts as gone.
-const MISSED: u32 = 3;
+const MAX_MISSED_REPORTS: u32 = 3;
 
 /// An engine besides what routing knows of it.
 #[derive(Debug, Clone, Default)]
@@ -40,7 +40,7 @@
     pub(crate) name: String,
     pub(crate) address: String,
     pub(crate) leaving: bool,
-    pub(crate) near: bool,
+    pub(crate) same_zone: bool,
     pub(crate) in_flight: u32,
     pub(crate) health: Health,
 }
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct WireReport {
+struct ReportBody {
     role: Role,
     loaded: Vec<String>,
     changing: bool,
@@ -80,20 +80,20 @@
 }
 
 /// Takes in the platform's list of upstreams.
-pub(crate) fn listed(app: &App, list: impl Iterator<Item = Listed>) {
+pub(crate) fn apply_list(app: &App, list: impl Iterator<Item = ListEntry>) {
     let mut upstreams = app.upstreams.borrow_mut();
     let mut seen = BTreeSet::new();
-    let before = std::mem::take(&mut upstreams.services);
+    let previous = std::mem::take(&mut upstreams.services);
     for listed in list {
-        let leaving = listed.standing == Standing::Leaving;
-        let near = listed.zone == app.settings.zone;
+        let leaving = listed.standing == ListedState::Leaving;
+        let same_zone = listed.zone == app.settings.zone;
         match listed.kind {
-            Kind::Engine => {
+            ListEntryKind::Engine => {
                 seen.insert(listed.name.clone());
-                add_engine(app, &mut upstreams, listed, near, leaving);
+                add_engine(app, &mut upstreams, listed, same_zone, leaving);
             }
-            Kind::Service => {
-                let known = before.get(&listed.serves).and_then(|instances| {
+            ListEntryKind::Service => {
+                let known = previous.get(&listed.serves).and_then(|instances| {
                     instances
                         .iter()
                         .find(|instance| instance.name == listed.name)
@@ -102,7 +102,7 @@
                     name: listed.name,
                     address: listed.address,
                     leaving,
-                    near,
+                    same_zone,
                     in_flight: known.map_or(0, |known| known.in_flight),
                     health: known.map_or_else(Health::default, |known| known.health),
                 };
@@ -112,7 +112,7 @@
                     .or_default()
                     .push(entry);
             }
-            Kind::Entry => {}
+            ListEntryKind::Entry => {}
         }
     }
     let mut fleet = app.fleet.borrow_mut();
@@ -125,7 +125,13 @@
     }
 }
 
-fn add_engine(app: &App, upstreams: &mut Upstreams, listed: Listed, near: bool, leaving: bool) {
+fn add_engine(
+    app: &App,
+    upstreams: &mut Upstreams,
+    listed: ListEntry,
+    same_zone: bool,
+    leaving: bool,
+) {
     // One group for each model and availability zone: small enough for one holder, and a zone
     // that is cut off loses only its own.
     let group = format!("{}/{}", listed.serves, listed.zone);
@@ -139,14 +145,14 @@
         &group,
         EngineProfile::default(),
     );
-    engine.one_way_delay_ms = if near { 0.0 } else { OTHER_ZONE_MS };
+    engine.one_way_delay_ms = if same_zone { 0.0 } else { CROSS_ZONE_DELAY_MS };
     engine.presence = Presence::Gone;
     app.fleet.borrow_mut().add(engine);
 }
 
 /// Reads every engine's report again and again.
-pub(crate) async fn watch_reports(app: Rc<App>) {
-    let mut ticks = app.timers.every(REPORT_MS);
+pub(crate) async fn poll_reports(app: Rc<App>) {
+    let mut ticks = app.timers.every(REPORT_INTERVAL_MS);
     while ticks.next().await.is_some() {
         let engines: Vec<(String, String)> = app
             .upstreams
@@ -157,29 +163,29 @@
             .collect();
         let reads = engines
             .into_iter()
-            .map(|(name, address)| read(&app, name, address));
+            .map(|(name, address)| read_report(&app, name, address));
         futures_util::future::join_all(reads).await;
     }
 }
 
-async fn read(app: &App, name: String, address: String) {
+async fn read_report(app: &App, name: String, address: String) {
     let url = format!("http://{address}/report");
     let request = app
         .client
         .get(url)
-        .timeout(Duration::from_millis(ANSWER_MS));
+        .timeout(Duration::from_millis(REPORT_TIMEOUT_MS));
     let report = match request.send().await {
-        Ok(mut response) => response.json::<WireReport>().await.ok(),
+        Ok(mut response) => response.json::<ReportBody>().await.ok(),
         Err(_) => None,
     };
     match report {
-        Some(report) => reported(app, &name, report),
-        None => missed(app, &name),
+        Some(report) => apply_report(app, &name, report),
+        None => record_missed_report(app, &name),
     }
 }
 
-fn reported(app: &App, name: &str, wire: WireReport) {
-    let drained = app.cursor.borrow().state().is_drained(name);
+fn apply_report(app: &App, name: &str, wire: ReportBody) {
+    let drained = app.log_reader.borrow().state().is_drained(name);
     let mut upstreams = app.upstreams.borrow_mut();
     let Some(entry) = upstreams.engines.get_mut(name) else {
         return;
@@ -187,7 +193,7 @@
     entry.missed = 0;
     // A load goes on beside the work; only a role change takes the engine away.
     let role_order = app
-        .cursor
+        .log_reader
         .borrow()
         .state()
         .last_order(name)
@@ -200,8 +206,8 @@
         Presence::Live
     };
     let mut fleet = app.fleet.borrow_mut();
-    if let Some(place) = fleet.index_of(name) {
-        let engine = fleet.get_mut(place);
+    if let Some(index) = fleet.index_of(name) {
+        let engine = fleet.get_mut(index);
         engine.presence = presence;
         engine.role = wire.role;
         let mut queued = [0.0; RANKS];
@@ -222,28 +228,28 @@
     });
 }
 
-fn missed(app: &App, name: &str) {
+fn record_missed_report(app: &App, name: &str) {
     let mut upstreams = app.upstreams.borrow_mut();
     let Some(entry) = upstreams.engines.get_mut(name) else {
         return;
     };
     entry.missed += 1;
-    if entry.missed < MISSED {
+    if entry.missed < MAX_MISSED_REPORTS {
         return;
     }
     entry.report = None;
     let mut fleet = app.fleet.borrow_mut();
-    if let Some(place) = fleet.index_of(name) {
-        fleet.get_mut(place).presence = Presence::Gone;
+    if let Some(index) = fleet.index_of(name) {
+        fleet.get_mut(index).presence = Presence::Gone;
     }
 }
 
 /// Applies a drain or its end at once, without waiting for the next report.
-pub(crate) fn drains_changed(app: &App) {
-    let cursor = app.cursor.borrow();
+pub(crate) fn apply_drains(app: &App) {
+    let log_reader = app.log_reader.borrow();
     let mut fleet = app.fleet.borrow_mut();
     for engine in fleet.iter_mut() {
-        if cursor.state().is_drained(&engine.name) && engine.presence != Presence::Gone {
+        if log_reader.state().is_drained(&engine.name) && engine.presence != Presence::Gone {
             engine.presence = Presence::Leaving;
         }
     }
@@ -253,35 +259,35 @@
 ///
 /// While a roll is under way the version before it goes on being served until enough engines
 /// have loaded the new one; a request keeps the version that it was given here.
-pub(crate) fn serving(app: &App, model: &conf::Model) -> String {
+pub(crate) fn version_to_serve(app: &App, model: &conf::Model) -> String {
     let wanted = format!("{}@{}", model.name, model.version);
-    let mut serving = app.serving.borrow_mut();
+    let mut serving = app.served_versions.borrow_mut();
     let current = serving.get(&model.name);
     if current.is_some_and(|current| *current == wanted) {
         return wanted;
     }
     let upstreams = app.upstreams.borrow();
     let fleet = app.fleet.borrow();
-    let places = fleet.indices_of_model(&model.name).iter();
-    let live = places.filter(|&&place| fleet.get(place).presence == Presence::Live);
+    let indices = fleet.indices_of_model(&model.name).iter();
+    let live = indices.filter(|&&index| fleet.get(index).presence == Presence::Live);
     let loaded: Vec<&[String]> = live
-        .filter_map(|&place| {
+        .filter_map(|&index| {
             upstreams
                 .engines
-                .get(&fleet.get(place).name)?
+                .get(&fleet.get(index).name)?
                 .report
                 .as_ref()
         })
         .map(|report| report.loaded.as_slice())
         .collect();
-    let having = |version: &String| {
+    let count_loaded = |version: &String| {
         loaded
             .iter()
             .filter(|loaded| loaded.contains(version))
             .count()
     };
-    let with_current = current.map_or(0, having);
-    if !plan::should_switch_version(loaded.len(), having(&wanted), with_current) {
+    let with_current = current.map_or(0, count_loaded);
+    if !plan::should_switch_version(loaded.len(), count_loaded(&wanted), with_current) {
         return current.cloned().unwrap_or(wanted);
     }
     serving.insert(model.name.clone(), wanted.clone());
