--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -1,4 +1,4 @@
-//! Talks to a model engine: opens, resumes and cancels streams.
+//! HTTP client for model engines: opens, resumes and cancels streams.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 use crate::app::App;
 
-/// Time that a cancel may take; it is sent once and its loss costs engine time only.
+/// Timeout of a cancel. It is sent only once: if it is lost, only engine time is wasted.
 const CANCEL_TIMEOUT_MS: u64 = 1_000;
 
-/// Header in which an engine names the request that an answer belongs to.
+/// Response header with the id of the request that is answered.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// What an engine is asked to do.
+/// Request body for an engine.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct EngineRequest<'a> {
     pub(crate) request_id: &'a str,
@@ -28,7 +28,7 @@
     pub(crate) priority: usize,
 }
 
-/// Tokens that an answer cost.
+/// Number of tokens of an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Usage {
     #[serde(default)]
@@ -38,51 +38,51 @@
     pub(crate) cached_tokens: u32,
 }
 
-/// Part of an answer.
+/// Event of an answer stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum EngineEvent {
     /// A token with its number, from 1.
     Token(u32, String),
-    /// The end mark.
+    /// The end of the answer.
     End(Usage),
 }
 
-/// An engine did not answer as it should.
+/// A request to an engine failed.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub(crate) enum EngineError {
-    /// No connection could be made: nothing was asked.
+    /// The connection failed, so nothing was sent.
     #[display("no connection: {detail}")]
     NeverSent {
-        /// What the system said.
+        /// Error of the operating system.
         detail: String,
     },
-    /// It refused and has not begun.
+    /// The engine refused the request and has not started it.
     #[display("refused with {status}")]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
     /// The answer belongs to another request.
-    #[display("answer of another request")]
+    #[display("answer belongs to another request")]
     WrongRequest,
-    /// Nothing came for too long.
+    /// No event arrived in time.
     #[display("silent for {limit_ms} ms")]
     Timeout {
-        /// How long.
+        /// Timeout, in ms.
         limit_ms: u64,
     },
-    /// It lives, but the answer can no longer be in time.
-    #[display("too late")]
+    /// The engine is responsive, but the answer can no longer meet its deadline.
+    #[display("too late to meet the deadline")]
     TooLate,
-    /// The connection broke, or what came was no answer.
+    /// The connection failed, or the answer was invalid.
     #[display("broken: {detail}")]
     Broken {
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
     },
 }
 
-/// Parts of an answer as they come.
+/// Stream of the events of an answer.
 pub(crate) type EngineEvents = Pin<Box<dyn Stream<Item = Result<EngineEvent, EngineError>>>>;
 
 #[derive(Deserialize)]
@@ -108,7 +108,7 @@
     events(sent, request.request_id)
 }
 
-/// Opens a stream again, after the token of a number.
+/// Resumes a stream after the token with the number `after`.
 pub(crate) async fn resume(
     app: &App,
     address: &str,
@@ -120,7 +120,7 @@
     events(request.send().await, request_id)
 }
 
-/// Tells an engine that nobody waits for an answer any more.
+/// Cancels a request whose answer is no longer needed.
 pub(crate) async fn cancel(app: &App, address: &str, request_id: &str) {
     let url = format!("http://{address}/v1/streams/{request_id}");
     let request = app
@@ -151,8 +151,8 @@
             status: response.status().as_u16(),
         });
     }
-    // A connection that an engine or something between has mixed up would hand this caller the
-    // answer to another's question; the id is the only thing that tells.
+    // If an engine or a proxy mixes up connections, the caller would get the answer to another
+    // caller's request. Only the id reveals this.
     let named = response.headers().get(REQUEST_ID_HEADER);
     if named.and_then(|value| value.to_str().ok()) != Some(request_id) {
         return Err(EngineError::WrongRequest);
--- a/crates/entry/src/load_guard.rs
+++ b/crates/entry/src/load_guard.rs
@@ -1,4 +1,4 @@
-//! Work that this instance has put on an engine.
+//! Accounting of this instance's load on an engine.
 
 use std::rc::Rc;
 
@@ -7,9 +7,11 @@
 use crate::app::App;
 use crate::runner::CompletionJob;
 
-/// Keeps the engine's own load right however an attempt ends.
+/// Adds a request to this instance's load on an engine, and removes it on drop however the attempt
+/// ends.
 pub(crate) struct LoadGuard {
     app: Rc<App>,
+    /// Index of the engine in the fleet.
     pub(crate) engine: usize,
     rank: usize,
     prompt: f64,
@@ -18,7 +20,7 @@
 }
 
 impl LoadGuard {
-    /// Books a request that is about to be sent.
+    /// Adds a request that is about to be sent.
     pub(crate) fn new(app: &Rc<App>, job: &CompletionJob, choice: &Choice, output: f64) -> Self {
         let prompt = choice.uncached_tokens;
         let mut fleet = app.fleet.borrow_mut();
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Its first token came.
+    /// Records the first token; later calls have no effect.
     pub(crate) fn record_first_token(&mut self) {
         if !std::mem::replace(&mut self.started, true) {
             let mut fleet = self.app.fleet.borrow_mut();
--- a/crates/entry/src/request_context.rs
+++ b/crates/entry/src/request_context.rs
@@ -1,4 +1,4 @@
-//! What a caller's completion request asks for, checked.
+//! Validation of callers' requests.
 
 use std::rc::Rc;
 
@@ -13,10 +13,10 @@
 use crate::refusal::{Code, Refusal};
 use crate::runner::CompletionJob;
 
-/// Bytes of a prompt that count as a token until the engine says how many there were.
+/// Estimated bytes of a prompt per token, used until the engine reports the real number.
 const BYTES_PER_TOKEN: f64 = 4.0;
 
-/// Headers of a request, checked against the bundle.
+/// Tenant, class and deadline of a request, validated against the bundle.
 pub(crate) struct RequestContext {
     pub(crate) bundle: Rc<BundleIndex>,
     pub(crate) tenant: Tenant,
@@ -25,7 +25,7 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// Reads the headers of a caller's request.
+/// Validates the headers of a caller's request.
 pub(crate) fn request_context(app: &App, request: &Request) -> Result<RequestContext, Refusal> {
     let bundle = app.bundle().ok_or_else(|| {
         Refusal::new(Code::Unavailable, "no bundle is in force").retry_after(1_000)
@@ -34,14 +34,14 @@
     let class = header(request, "x-request-class")
         .unwrap_or(&tenant.class)
         .to_owned();
-    let Some(known) = bundle.class(&class) else {
+    let Some(class_settings) = bundle.class(&class) else {
         return Err(Refusal::new(
             Code::BadRequest,
             format!("x-request-class: no class `{class}`"),
         ));
     };
-    let rank = rank_index(known.rank);
-    let deadline_ms = number(request, "x-deadline-ms")?.unwrap_or(known.deadline_ms);
+    let rank = rank_index(class_settings.rank);
+    let deadline_ms = number(request, "x-deadline-ms")?.unwrap_or(class_settings.deadline_ms);
     if deadline_ms == 0 {
         return Err(Refusal::new(
             Code::BadRequest,
@@ -57,7 +57,7 @@
     })
 }
 
-/// Turns a checked body into work.
+/// Creates a completion job from the body of a request.
 pub(crate) fn completion_job(
     app: &App,
     context: &RequestContext,
@@ -93,7 +93,7 @@
             prompt.as_bytes(),
         ),
         model: model.name.clone(),
-        loaded: crate::upstreams::version_to_serve(app, model),
+        model_version: crate::upstreams::version_to_serve(app, model),
         prompt_tokens: (prompt.len() as f64 / BYTES_PER_TOKEN).max(1.0),
         prompt,
         max_tokens,
--- a/crates/entry/src/runner.rs
+++ b/crates/entry/src/runner.rs
@@ -1,4 +1,5 @@
-//! Carries one completion from engines to its caller, whole and once.
+//! Runs one completion: streams tokens from engines to the caller, without gaps or duplicates, across
+//! retries.
 
 mod attempt;
 mod poison;
@@ -15,21 +16,22 @@
 use crate::refusal::{Code, Refusal};
 use attempt::Attempt;
 
-/// Silence between two tokens after which a stream is resumed.
+/// Time without a token after which a stream is resumed.
 const TOKEN_TIMEOUT_MS: u64 = 2_500;
 
-/// One completion, which keeps the model version it was admitted under.
+/// A completion to run. It keeps the model version that was served when it was admitted.
 #[derive(Clone)]
 pub(crate) struct CompletionJob {
     pub(crate) id: String,
-    /// What is asked, the same whenever the caller asks it.
+    /// Hash that identifies the request; the same each time a caller repeats it.
     pub(crate) key: RequestKey,
     pub(crate) member: String,
     pub(crate) share: u32,
     pub(crate) class: String,
     pub(crate) rank: usize,
     pub(crate) model: String,
-    pub(crate) loaded: String,
+    /// `model@version` that the engine must have loaded.
+    pub(crate) model_version: String,
     pub(crate) prompt: String,
     pub(crate) prompt_tokens: f64,
     pub(crate) max_tokens: u32,
@@ -37,19 +39,19 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// What the caller's side gets.
+/// Event of a completion, sent to the task that answers the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum CompletionEvent {
-    /// A token, its number, and the engine and name under which the rest can be had.
+    /// A token, its number from 1, and the engine and request id with which the stream can be resumed.
     Token {
         number: u32,
         text: String,
         engine: String,
         request_id: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End(Usage),
-    /// There is no answer, or no more of it.
+    /// The completion failed, possibly after some tokens.
     Failed(Refusal),
 }
 
@@ -57,18 +59,22 @@
     Complete(Usage),
     CallerGone,
     TooLate,
+    /// The attempt failed and may be retried; the text is the label of the retry metric.
     Retry(&'static str),
 }
 
-/// One completion on its way.
+/// State of a running completion.
 pub(crate) struct CompletionRunner {
     app: Rc<App>,
     job: CompletionJob,
     sender: mpsc::Sender<CompletionEvent>,
+    /// Number of tokens sent to the caller.
     produced: u32,
     text: String,
+    /// Indices of the engines that failed.
     tried: Vec<usize>,
     attempts: u32,
+    /// Whether a request may have reached an engine.
     may_have_run: bool,
 }
 
@@ -90,7 +96,7 @@
         }
     }
 
-    /// Runs to the end; the last event is `End` or `Failed`.
+    /// Runs the completion. Unless the caller disconnects, the last event is `End` or `Failed`.
     pub(crate) async fn run(mut self) {
         self.app.retry_budget.borrow_mut().deposit();
         loop {
@@ -124,7 +130,7 @@
     }
 
     async fn fail(&self, refusal: Refusal) {
-        // What was asked of an engine may have run there, whatever came of it.
+        // A request that reached an engine may have run, whatever its answer was.
         let refusal = if self.may_have_run {
             Refusal {
                 ran: crate::refusal::ExecutionStatus::Unknown,
@@ -140,7 +146,8 @@
         let now_ms = self.app.now_ms();
         let job = &self.job;
         let left_ms = job.deadline_ms.saturating_sub(now_ms);
-        // A caller that has part of its answer gets the rest, even late: it can use nothing else.
+        // A caller that has received part of an answer gets the rest even after the deadline, since
+        // the part alone is useless.
         let left_ms = if self.produced > 0 {
             u64::MAX / 4
         } else {
@@ -158,7 +165,7 @@
         let upstreams = self.app.upstreams.borrow();
         let fleet = self.app.fleet.borrow();
         let mut skip = self.tried.clone();
-        // An engine that has not loaded the version of this request cannot serve it.
+        // Engines that have not loaded the model version of this request cannot serve it.
         skip.extend(
             fleet
                 .indices_of_model(&job.model)
@@ -167,7 +174,7 @@
                 .filter(|&index| {
                     let entry = upstreams.engines.get(&fleet.get(index).name);
                     let report = entry.and_then(|entry| entry.report.as_ref());
-                    report.is_none_or(|report| !report.loaded.contains(&job.loaded))
+                    report.is_none_or(|report| !report.loaded.contains(&job.model_version))
                 }),
         );
         let mut router = self.app.router.borrow_mut();
@@ -175,10 +182,10 @@
         Ok(router.route(now_ms, &fleet, &request, |_| 0.0, &skip, &mut *rng)?)
     }
 
-    /// Engines that could serve instead of one, for the share of time that one may spend.
+    /// Number of other engines that could serve the request, used to divide the time left among attempts.
     fn alternatives(&self, engine: usize) -> usize {
         let fleet = self.app.fleet.borrow();
-        let fit = |index: &&usize| {
+        let is_candidate = |index: &&usize| {
             **index != engine
                 && !self.tried.contains(index)
                 && fleet.get(**index).presence == Presence::Live
@@ -186,7 +193,7 @@
         fleet
             .indices_of_model(&self.job.model)
             .iter()
-            .filter(fit)
+            .filter(is_candidate)
             .count()
     }
 
@@ -227,10 +234,10 @@
             first_token: None,
             timeout,
         };
-        let ended = self.run_attempt(&mut attempt).await;
-        if !matches!(ended, AttemptOutcome::Complete(_)) {
+        let outcome = self.run_attempt(&mut attempt).await;
+        if !matches!(outcome, AttemptOutcome::Complete(_)) {
             engine::cancel(&app, &attempt.address, &attempt.request_id).await;
         }
-        ended
+        outcome
     }
 }
--- a/crates/entry/src/runner/attempt.rs
+++ b/crates/entry/src/runner/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one engine: its stream opened, read, and opened again after a break.
+//! One attempt at an engine: opens its stream, reads it, and resumes it after a failure.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use crate::engine::{self, EngineError, EngineEvent, EngineEvents, EngineRequest};
 use crate::load_guard::LoadGuard;
 
-/// Tokens from which an answer's pace is judged.
+/// Minimum number of tokens from which the output rate of an engine is measured.
 const MIN_PACE_TOKENS: u32 = 8;
 
-/// Times that a stream is resumed on one engine.
+/// Maximum number of resumes on one engine.
 const MAX_RESUMES: u32 = 3;
 
-/// Time for which a caller may leave its answer unread before its work is cancelled.
+/// Time after which a completion is cancelled if its caller does not read the answer.
 const CALLER_STALL_TIMEOUT_MS: u64 = 30_000;
 
-/// One attempt at one engine.
+/// An attempt at an engine.
 pub(super) struct Attempt {
     pub(super) name: String,
     pub(super) address: String,
     pub(super) request_id: String,
     pub(super) load_guard: LoadGuard,
-    /// Predicted time between two tokens, without what the engine's slowness adds.
+    /// Predicted time between two tokens of a healthy engine, in ms.
     pub(super) expected_token_ms: f64,
     pub(super) sent_ms: u64,
     /// Number and time of the first token of this attempt.
@@ -33,27 +33,28 @@
 }
 
 impl CompletionRunner {
-    /// Reads the stream of an attempt to its end, whatever end that is.
+    /// Opens and reads the stream of an attempt until it completes or fails, resuming it as needed.
     pub(super) async fn run_attempt(&mut self, attempt: &mut Attempt) -> AttemptOutcome {
         let mut events = match self.open(attempt).await {
             Ok(events) => events,
-            Err(ended) => return ended,
+            Err(outcome) => return outcome,
         };
         let mut resumes = 0;
         loop {
-            let reason = match self.read(attempt, &mut events).await {
-                Ok(ended) => return ended,
+            let error = match self.read(attempt, &mut events).await {
+                Ok(outcome) => return outcome,
                 Err(EngineError::TooLate) => return AttemptOutcome::TooLate,
                 Err(error) => error,
             };
             log::info!(
                 step = "stream", request_id = attempt.request_id.as_str(),
-                peer = attempt.name.as_str(), number = self.produced; "{reason}"
+                peer = attempt.name.as_str(), number = self.produced; "{error}"
             );
-            // Opening the stream again on an engine that has shown nobody a sign of life would
-            // spend the time that another engine needs.
-            let dead = matches!(reason, EngineError::Timeout { .. }) && !attempt.load_guard.started;
-            if dead || resumes == MAX_RESUMES {
+            // Resuming on an engine that has answered no request since this one was sent would spend
+            // the time that another engine needs.
+            let is_unresponsive =
+                matches!(error, EngineError::Timeout { .. }) && !attempt.load_guard.started;
+            if is_unresponsive || resumes == MAX_RESUMES {
                 return self.fail_attempt(attempt, "stream");
             }
             resumes += 1;
@@ -62,13 +63,13 @@
                 .retries
                 .with_label_values(&["resume"])
                 .inc();
-            let again = engine::resume(
+            let reopened = engine::resume(
                 &self.app,
                 &attempt.address,
                 &attempt.request_id,
                 self.produced,
             );
-            events = match with_timeout(attempt.timeout.timeout_ms, again).await {
+            events = match with_timeout(attempt.timeout.timeout_ms, reopened).await {
                 Ok(events) => events,
                 Err(error) => {
                     self.record_engine_loss(attempt, &error);
@@ -82,7 +83,7 @@
         let generated = self.text.clone();
         let request = EngineRequest {
             request_id: &attempt.request_id,
-            model: &self.job.loaded,
+            model: &self.job.model_version,
             prompt: &self.job.prompt,
             generated: &generated,
             max_tokens: self.job.max_tokens,
@@ -135,7 +136,7 @@
         AttemptOutcome::Retry(reason)
     }
 
-    /// Reads parts until the end; an error means that the stream must be opened again.
+    /// Reads events until the end of the stream. On an error the stream must be resumed.
     async fn read(
         &mut self,
         attempt: &mut Attempt,
@@ -157,17 +158,17 @@
                     return Ok(AttemptOutcome::Complete(usage));
                 }
                 EngineEvent::End(usage) => {
-                    let (whole, have) = (usage.completion_tokens, self.produced);
+                    let (expected, received) = (usage.completion_tokens, self.produced);
                     return Err(EngineError::Broken {
-                        detail: format!("end mark at {whole}, {have} tokens came"),
+                        detail: format!("stream ended after {received} of {expected} tokens"),
                     });
                 }
             }
         }
     }
 
-    /// Waits for the next part: for a first token as long as it can still be in time and the
-    /// engine shows that it lives, later for a bounded silence.
+    /// Waits for the next event. The wait for the first token lasts as long as the answer can still meet
+    /// its deadline and the engine is responsive; for later tokens it is `TOKEN_TIMEOUT_MS`.
     async fn next(
         &self,
         attempt: &Attempt,
@@ -199,18 +200,19 @@
         engine.health.is_silent_since(attempt.sent_ms)
     }
 
-    /// Time for which an answer that has not started can still be in time.
+    /// Time left for the answer to start and still meet its deadline, in ms.
     fn remaining_start_ms(&self) -> u64 {
         let tokens = f64::from(self.job.max_tokens);
-        let until_ms = plan::give_up_ms(
+        let latest_start_ms = plan::give_up_ms(
             &EngineProfile::default(),
             self.job.deadline_ms as f64,
             tokens,
         );
-        (until_ms - self.app.now_ms() as f64).max(0.0) as u64
+        (latest_start_ms - self.app.now_ms() as f64).max(0.0) as u64
     }
 
-    /// Hands one token on, unless the caller has it; `false` when the caller is gone.
+    /// Sends a token to the caller unless it has been sent already. Returns `false` if the caller has
+    /// disconnected or does not read.
     async fn forward_token(
         &mut self,
         attempt: &mut Attempt,
@@ -246,7 +248,8 @@
         Ok(matches!(sent, Ok(Ok(()))))
     }
 
-    /// Compares the pace of the output with what was predicted of an engine in good health.
+    /// Reports the measured time per token, with the prediction for a healthy engine, to the health
+    /// tracking.
     fn record_pace(&self, attempt: &Attempt) {
         let Some((first_token, first_ms)) = attempt.first_token else {
             return;
@@ -256,12 +259,12 @@
             return;
         }
         let now_ms = self.app.now_ms();
-        let pace_ms = now_ms.saturating_sub(first_ms) as f64 / f64::from(tokens);
+        let token_ms = now_ms.saturating_sub(first_ms) as f64 / f64::from(tokens);
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(attempt.load_guard.engine);
         engine
             .health
-            .record_latency(now_ms, attempt.expected_token_ms, pace_ms);
+            .record_latency(now_ms, attempt.expected_token_ms, token_ms);
     }
 
     fn record_first_token(&self, attempt: &mut Attempt) {
@@ -283,7 +286,7 @@
 
 fn ended_early() -> EngineError {
     EngineError::Broken {
-        detail: "ended without its end mark".to_owned(),
+        detail: "stream ended without a final event".to_owned(),
     }
 }
 
@@ -293,9 +296,9 @@
 
 async fn with_timeout<T>(
     limit_ms: u64,
-    step: impl Future<Output = Result<T, EngineError>>,
+    operation: impl Future<Output = Result<T, EngineError>>,
 ) -> Result<T, EngineError> {
     let limit = Duration::from_millis(limit_ms);
-    let done = actix_rt::time::timeout(limit, step).await;
+    let done = actix_rt::time::timeout(limit, operation).await;
     done.unwrap_or_else(|_| Err(timed_out(limit_ms)))
 }
--- a/crates/entry/src/runner/poison.rs
+++ b/crates/entry/src/runner/poison.rs
@@ -1,7 +1,7 @@
-//! What is held against a prompt, and not against the engines that end under it.
+//! Detection of poison requests, which crash the engines that serve them.
 //!
-//! The same rule as on the platform (`view::poison`), by what this instance sees itself: a prompt under which two engines
-//! have ended is asked of no third one.
+//! The same rule as on the platform (`view::poison`), but based only on what this instance observes: a
+//! request during which two engines have crashed is not sent to a third.
 
 use view::{FailureEvidence, UpstreamKey};
 
@@ -11,7 +11,7 @@
 use crate::refusal::{Code, Refusal};
 
 impl CompletionRunner {
-    /// Refuses a prompt under which engines end.
+    /// Refuses a poison request.
     pub(super) fn check_poison(&self) -> Result<(), Refusal> {
         let now_ms = self.app.now_ms();
         let mut tracker = self.app.poison_tracker.borrow_mut();
@@ -23,7 +23,7 @@
         Err(Refusal::new(Code::NoUpstream, text))
     }
 
-    /// The connection ended before the answer began; finds out whether the engine has ended.
+    /// Checks whether the engine has crashed, after its connection failed before the answer began.
     pub(super) async fn probe_engine(&self, attempt: &Attempt) {
         let name = &attempt.request_id;
         if let Err(error) = engine::resume(&self.app, &attempt.address, name, 0).await {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// An engine that broke off was asked again; notes that it has ended if it takes no connection any more.
+    /// Records that an engine has crashed if resuming its stream failed because it refuses connections.
     pub(super) fn record_engine_loss(&self, attempt: &Attempt, error: &EngineError) {
         if !matches!(error, EngineError::NeverSent { .. }) {
             return;
@@ -44,11 +44,11 @@
         tracker.observe(now_ms, FailureEvidence::Ended(upstream));
         log::info!(
             step = "stream", request_id = attempt.request_id.as_str(),
-            peer = attempt.name.as_str(), key:% = request; "engine has ended"
+            peer = attempt.name.as_str(), key:% = request; "engine has crashed"
         );
     }
 
-    /// The answer is whole, so the prompt is none that ends engines.
+    /// Records a complete answer, which shows that the request is not a poison request.
     pub(super) fn record_answered(&self) {
         let mut tracker = self.app.poison_tracker.borrow_mut();
         if tracker.is_tracked(self.job.key) {
