--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who a request is for.
+//! Authentication of callers and operators, and access to request headers.
 
 use actix_http::{HttpMessage, Request};
 use conf::{BundleIndex, Tenant};
@@ -30,7 +30,8 @@
 
 /// The operator whose key the request carries.
 ///
-/// Keys are compared by their SHA-256, so the time of the comparison says nothing of the key.
+/// Keys are compared by their SHA-256 hashes, so the duration of the comparison reveals nothing about
+/// the key.
 pub(crate) fn operator(app: &App, request: &Request) -> Result<String, Refusal> {
     let hash = bearer_hash(request)?;
     let mut operators = app.settings.operator_key_sha256.iter();
@@ -40,12 +41,12 @@
         .ok_or_else(|| Refusal::new(Code::Unauthorized, "authorization: unknown operator key"))
 }
 
-/// A header as text.
+/// The value of a header, if it is valid text.
 pub(crate) fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-/// A header that holds a number.
+/// The value of a numeric header; `None` if it is missing.
 pub(crate) fn number(request: &Request, name: &str) -> Result<Option<u64>, Refusal> {
     let Some(text) = header(request, name) else {
         return Ok(None);
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -14,10 +14,10 @@
 use crate::resume::token;
 use crate::runner::{CompletionEvent, CompletionJob, CompletionRunner};
 
-/// Events on their way to a caller; with a full channel the engine is read no further.
+/// Number of buffered events per caller. When the buffer is full, no more is read from the engine.
 const EVENT_BUFFER: usize = 64;
 
-/// A place among the workspace's requests in flight, given back however the request ends.
+/// A slot among the workspace's requests in flight, released on drop however the request ends.
 pub(crate) struct WorkspaceSlot {
     app: Rc<App>,
     workspace: String,
@@ -99,6 +99,7 @@
     }
 }
 
+/// Response to a completion request that is being run.
 struct CompletionResponse {
     app: Rc<App>,
     job: CompletionJob,
@@ -118,7 +119,7 @@
                 CompletionEvent::Token { text: more, .. } => text.push_str(&more),
                 CompletionEvent::End(usage) => {
                     self.record_answer();
-                    let body = self.metadata.whole(&text, usage);
+                    let body = self.metadata.complete(&text, usage);
                     return Ok(web::text(StatusCode::OK, "application/json", body));
                 }
                 CompletionEvent::Failed(refusal) => return Err(refusal),
@@ -127,7 +128,7 @@
         Err(Refusal::unknown(Code::Upstream, "the answer was lost"))
     }
 
-    /// The status is settled by the first event, so that a refusal is still a refusal.
+    /// Waits for the first event before the status is sent, so that a refusal gets its own status.
     async fn stream(
         self,
         mut events: mpsc::Receiver<CompletionEvent>,
@@ -150,16 +151,16 @@
     ) {
         let mut next = Some(first);
         while let Some(event) = next {
-            let ended = matches!(event, CompletionEvent::End(_) | CompletionEvent::Failed(_));
+            let is_last = matches!(event, CompletionEvent::End(_) | CompletionEvent::Failed(_));
             if matches!(event, CompletionEvent::End(_)) {
                 self.record_answer();
             }
-            // A failed send means that the caller is gone; dropping `events` tells the pump.
+            // A failed send means that the caller has disconnected; dropping `events` stops the runner.
             if sender
                 .send(Bytes::from(self.encode_event(event)))
                 .await
                 .is_err()
-                || ended
+                || is_last
             {
                 return;
             }
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/lookup`: which instances a caller should use.
+//! `GET /v1/lookup`: names the instances that a caller should use.
 
 use once::{IdempotencyKey, InstanceEpoch};
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 
 use crate::app::App;
 
-/// Most instances that one answer names.
+/// Maximum number of instances in an answer.
 const MAX_INSTANCES: usize = 6;
 
-/// What a caller asks.
+/// Query of a lookup.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Query {
     zone: Option<String>,
@@ -22,17 +22,17 @@
     zone: String,
 }
 
-/// The answer.
+/// Answer of a lookup.
 #[derive(Debug, Serialize)]
 pub(crate) struct Lookup {
     instances: Vec<Instance>,
-    /// Time for which the answer may be kept. A leaving instance still serves for as long.
+    /// Time for which the answer may be cached. A leaving instance goes on serving for as long.
     keep_ms: u64,
-    /// What an idempotency key must begin with; none while this instance has no witness.
+    /// Prefix for idempotency keys; `None` while there is no witness for this instance.
     key_prefix: Option<String>,
 }
 
-/// Names instances that serve, the caller's availability zone first, and none that leaves.
+/// Lists ready instances, those of the caller's availability zone first.
 pub(crate) fn lookup(app: &App, query: &Query) -> Lookup {
     let zone = query.zone.as_deref().unwrap_or(&app.settings.zone);
     let peer_table = app.peer_table.borrow();
@@ -60,8 +60,8 @@
     }
 }
 
-/// A key prefix with this instance as home and a witness in another availability zone, if one
-/// is there: a home and a witness that fail together leave outcomes unknown.
+/// Creates a key prefix with this instance as home. The witness is in another availability zone if
+/// possible: if home and witness fail together, the outcome of a call is unknown.
 pub(crate) fn key_prefix(app: &App) -> Option<String> {
     if app.condition.get() != Condition::Ready {
         return None;
--- a/crates/entry/src/openai.rs
+++ b/crates/entry/src/openai.rs
@@ -1,13 +1,13 @@
-//! The JSON that clients of the usual completion API send and expect.
+//! JSON of the OpenAI-compatible completion API.
 
 use serde::{Deserialize, Serialize};
 
 use crate::engine::Usage;
 
-/// Tokens of an answer whose request names no number.
+/// Maximum number of output tokens if the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 128;
 
-/// Which of the two completion calls a request is.
+/// Completion endpoint of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Endpoint {
     /// `/v1/chat/completions`.
@@ -22,7 +22,7 @@
     content: String,
 }
 
-/// Body of a completion request. Fields beyond these are those of other servers and are ignored.
+/// Body of a completion request. Unknown fields are ignored, since clients send those of other servers.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct CompletionRequest {
     pub(crate) model: String,
@@ -35,7 +35,7 @@
 }
 
 impl CompletionRequest {
-    /// The prompt as the engine reads it, or the field that is missing.
+    /// The prompt for the engine, or the name of the field that is missing.
     pub(crate) fn prompt(&self, endpoint: Endpoint) -> Result<String, &'static str> {
         match endpoint {
             Endpoint::Text => self.prompt.clone().ok_or("prompt"),
@@ -84,7 +84,7 @@
     total_tokens: u32,
 }
 
-/// An answer, or one event of it.
+/// A complete answer, or one event of a streamed answer.
 #[derive(Debug, Serialize)]
 struct Completion<'a> {
     id: &'a str,
@@ -94,12 +94,12 @@
     choices: [Choice<'a>; 1],
     #[serde(skip_serializing_if = "Option::is_none")]
     usage: Option<UsageBody>,
-    /// Token with which the rest can be had at another instance.
+    /// Token with which the stream can be resumed at any instance.
     #[serde(skip_serializing_if = "Option::is_none")]
     resume: Option<&'a str>,
 }
 
-/// What all events of an answer share.
+/// Fields that all events of an answer share.
 #[derive(Debug, Clone)]
 pub(crate) struct CompletionMetadata {
     pub(crate) id: String,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The event of one token.
+    /// Encodes the event of a token.
     pub(crate) fn token(&self, number: u32, text: &str, resume: &str) -> String {
         let choice = match self.endpoint {
             Endpoint::Text => Choice {
@@ -151,7 +151,7 @@
         format!("id: {number}\ndata: {}\n\n", to_json(&event))
     }
 
-    /// The events of the end.
+    /// Encodes the final events of a stream.
     pub(crate) fn end(&self, usage: Usage) -> String {
         let choice = match self.endpoint {
             Endpoint::Text => Choice {
@@ -172,8 +172,8 @@
         format!("data: {}\n\ndata: [DONE]\n\n", to_json(&event))
     }
 
-    /// A whole answer.
-    pub(crate) fn whole(&self, text: &str, usage: Usage) -> String {
+    /// Encodes a complete answer.
+    pub(crate) fn complete(&self, text: &str, usage: Usage) -> String {
         let choice = match self.endpoint {
             Endpoint::Text => Choice {
                 text: Some(text),
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when there is no answer.
+//! Refusals and errors as sent to callers.
 
 use actix_http::StatusCode;
 use serde::Serialize;
@@ -6,20 +6,20 @@
 
 use crate::app::App;
 
-/// Instances named to a refused caller.
+/// Maximum number of other instances named in a refusal.
 const MAX_ALTERNATIVES: usize = 3;
 
-/// Whether a call may have taken effect.
+/// Whether a request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ExecutionStatus {
-    /// No byte of it reached an upstream, and none will.
+    /// The request has not run and will not: no byte of it reaches an upstream.
     NotRun,
-    /// It may have, or may yet.
+    /// The request may have run, or may still run.
     Unknown,
 }
 
-/// Why a caller gets no answer.
+/// Reason of a refusal or error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Code {
@@ -31,15 +31,15 @@
     TooSlow,
     /// The key is missing or unknown.
     Unauthorized,
-    /// There is no such thing.
+    /// The path or the named object does not exist.
     NotFound,
     /// The idempotency key was used with another body.
     KeyReused,
     /// The idempotency key is older than records are kept.
     KeyExpired,
-    /// A limit of the workspace or the member.
+    /// A limit of the workspace or the member is exceeded.
     Limited,
-    /// No upstream would finish in time.
+    /// No upstream would finish by the deadline.
     TooLate,
     /// No upstream may serve it now.
     NoUpstream,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The code as the body and the metrics show it.
+    /// Name of the code in bodies and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -84,7 +84,7 @@
     }
 }
 
-/// A refusal, or the news that an outcome is unknown.
+/// A refusal, or an error after which the outcome may be unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) code: Code,
@@ -100,7 +100,7 @@
     code: &'static str,
 }
 
-/// The body of a refusal: the error object that clients of the usual API expect, and our fields.
+/// Body of a refusal: the error object that clients of the completion API expect, and additional fields.
 #[derive(Serialize)]
 struct Body<'a> {
     error: ErrorObject<'a>,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The refusal as JSON, without the parts that only a response has.
+    /// Encodes the refusal for an event stream, without the fields that name other instances.
     pub(crate) fn event(&self) -> String {
         let body = self.body(Vec::new(), None);
         serde_json::to_string(&body).unwrap_or_default()
@@ -169,7 +169,7 @@
         };
         let mut response = web::json(self.code.status(), &self.body(instances, key_prefix));
         if let Some(ms) = self.retry_after_ms {
-            // The header counts whole seconds; the body has the exact time.
+            // The header is in whole seconds, rounded up; the body has the exact time.
             let value = actix_http::header::HeaderValue::from(ms.div_ceil(1_000));
             response
                 .headers_mut()
--- a/crates/entry/src/resume.rs
+++ b/crates/entry/src/resume.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/streams/{token}`: the rest of an answer whose entry instance is gone.
+//! `GET /v1/streams/{token}`: resumes the stream of an answer after its instance has failed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,22 +18,22 @@
 use crate::refusal::{Code, Refusal};
 use crate::request_context::request_context;
 
-/// Between the parts of a token.
+/// Separates the parts of a token.
 const PART: char = '~';
 
-/// Hexadecimal digits that tie a token to its workspace.
+/// Number of hexadecimal digits of the digest that binds a token to its workspace.
 const TAG_DIGITS: usize = 16;
 
-/// Events on their way to a caller.
+/// Number of buffered events per caller.
 const EVENT_BUFFER: usize = 64;
 
-/// Time that the engine may take to answer.
+/// Timeout of the request to the engine.
 const OPEN_TIMEOUT_MS: u64 = 2_000;
 
-/// The token under which the rest of a stream can be had.
+/// Creates the token with which a stream can be resumed.
 ///
-/// It names the engine and the request there, so any instance can serve it without having heard
-/// of the request, and carries a digest by which only the same workspace can use it.
+/// The token names the engine and its request id, so any instance can resume the stream without further
+/// state. It includes a digest, so that only the same workspace can use it.
 pub(crate) fn token(engine: &str, request_id: &str, workspace: &str) -> String {
     let tag = tag(request_id, workspace);
     format!("{engine}{PART}{request_id}{PART}{tag}")
@@ -46,7 +46,7 @@
     digits
 }
 
-/// Answers with the events after `Last-Event-ID`.
+/// Streams the events after `Last-Event-ID`.
 pub(crate) async fn resume(
     app: &Rc<App>,
     request: &Request,
@@ -73,12 +73,14 @@
             .get(engine)
             .map(|engine| engine.address.clone())
     };
-    let gone = || Refusal::unknown(Code::NotFound, "stream: no longer there");
-    let address = address.ok_or_else(gone)?;
+    let stream_gone = || Refusal::unknown(Code::NotFound, "stream: no longer there");
+    let address = address.ok_or_else(stream_gone)?;
     let limit = Duration::from_millis(OPEN_TIMEOUT_MS);
     let opened =
         actix_rt::time::timeout(limit, engine::resume(app, &address, request_id, after)).await;
-    let events = opened.map_err(|_| gone())?.map_err(|_| gone())?;
+    let events = opened
+        .map_err(|_| stream_gone())?
+        .map_err(|_| stream_gone())?;
     let metadata = CompletionMetadata {
         id: format!(
             "cmpl-{}",
@@ -115,7 +117,7 @@
                 metadata.token(number, &text, &token)
             }
             EngineEvent::End(usage) if usage.completion_tokens == produced => metadata.end(usage),
-            // A gap: ending without the end mark lets the caller resume again.
+            // A token is missing. Closing without a final event lets the caller resume again.
             EngineEvent::Token(..) | EngineEvent::End(_) => return,
         };
         if sender.send(Bytes::from(event)).await.is_err() {
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which part answers a request.
+//! Routes requests to their handlers.
 
 use std::rc::Rc;
 
@@ -40,12 +40,12 @@
     version: u64,
 }
 
-/// Answers one request.
+/// Handles a request.
 pub(crate) async fn handle_request(app: Rc<App>, request: Request) -> Response {
     let answered = handle(&app, request).await;
     let mut response = answered.unwrap_or_else(|refusal| refusal.respond(&app));
     if app.condition.get() == Condition::Leaving {
-        // Callers that keep connections open would otherwise stay until the last moment.
+        // Otherwise callers with persistent connections would stay until the instance stops.
         response
             .head_mut()
             .set_connection_type(actix_http::ConnectionType::Close);
@@ -79,7 +79,7 @@
         let text = "this instance has no current state yet";
         return Err(Refusal::new(Code::Unavailable, text).retry_after(500));
     }
-    // Connections that callers keep open outlive the listener.
+    // Persistent connections outlive the listener.
     if app.closed.get() {
         let text = "this instance is leaving and takes nothing new";
         return Err(Refusal::new(Code::Unavailable, text).retry_after(0));
@@ -137,7 +137,7 @@
     Ok(web::json(StatusCode::OK, &models))
 }
 
-/// The bundle in force here and at every instance that is heard, for any member to see.
+/// The bundle in force here and its version at every live instance; available to all members.
 fn in_force(app: &App, request: &Request) -> Result<Response, Refusal> {
     let bundle = app.bundle().ok_or_else(no_bundle)?;
     tenant(&bundle, request)?;
