--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, those that may not be repeated among them.
+//! Calls to plain services, both retryable and at-most-once.
 
 mod at_most_once;
 mod retryable;
@@ -29,13 +29,13 @@
     path: &str,
 ) -> Result<Response, Refusal> {
     let context = request_context(app, &request)?;
-    let Some(known) = context.bundle.service(service) else {
+    let Some(service_settings) = context.bundle.service(service) else {
         let text = format!("service: no service `{service}`");
         return Err(Refusal::new(Code::NotFound, text));
     };
-    let own = header(&request, "x-deadline-ms").map(|_| context.deadline_ms);
-    let deadline_ms = own.unwrap_or(known.deadline_ms);
-    let is_once = known.once_paths.iter().any(|once| once == path);
+    let requested = header(&request, "x-deadline-ms").map(|_| context.deadline_ms);
+    let deadline_ms = requested.unwrap_or(service_settings.deadline_ms);
+    let is_once = service_settings.once_paths.iter().any(|once| once == path);
     let key = if is_once { Some(key(&request)?) } else { None };
     let _slot = WorkspaceSlot::acquire(app, &context.tenant.workspace, context.tenant.in_flight)?;
     let limits = &app.settings.limits;
@@ -72,7 +72,8 @@
         .map_err(|error: once::KeyError| Refusal::new(Code::BadRequest, error.to_string()))
 }
 
-/// Covers the workspace, so that one cannot learn another's answer with a guessed key.
+/// Digest of a call. It includes the workspace, so that a workspace cannot get the answer of another one
+/// by guessing its key.
 fn digest(context: &RequestContext, service: &str, path: &str, body: &[u8]) -> once::BodyDigest {
     let mut hasher = Sha256::new();
     for part in [
--- a/crates/entry/src/call/at_most_once.rs
+++ b/crates/entry/src/call/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: their home, its witness, and the one dispatch.
+//! At-most-once calls: routing to the home, the claim at the witness, and the single dispatch.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::app::App;
 use crate::refusal::{Code, Refusal};
 
-/// Time that a witness or a home may take for a word about a key.
+/// Timeout of a request about a key to a witness.
 const PEER_TIMEOUT_MS: u64 = 800;
 
-/// A call that may not be repeated, wherever it arrived.
+/// Runs an at-most-once call, here if this instance is its home, otherwise at its home.
 pub(super) async fn call_at_most_once(
     app: &Rc<App>,
     key: &IdempotencyKey,
@@ -60,19 +60,19 @@
     }
 }
 
-/// Runs a call at its home, or waits for the run that is under way.
+/// Runs a call as its home, or waits for its end if it is in progress.
 pub(crate) async fn run_at_home(app: &Rc<App>, call: Call) -> CallStatus {
     let Ok(key) = call.key.parse::<IdempotencyKey>() else {
         return CallStatus::bare(CallState::Foreign);
     };
     let now_ms = app.now_ms();
     let deadline_ms = now_ms + call.deadline_ms;
-    let mut ended = app.call_ended.subscribe();
+    let mut call_ended = app.call_ended.subscribe();
     let admission = app.home.borrow_mut().admit(now_ms, &key, call.body_digest);
     match admission {
         Admission::Known(status) => return status,
         Admission::Attach => {}
-        // A task of its own: a caller that leaves must not leave the call half way.
+        // Runs in its own task, so that the call is completed even if the caller disconnects.
         Admission::AskWitness => {
             actix_rt::spawn(run(app.clone(), key.clone(), call));
         }
@@ -84,7 +84,7 @@
             return status;
         }
         let limit = Duration::from_millis(left_ms);
-        let _ = actix_rt::time::timeout(limit, ended.changed()).await;
+        let _ = actix_rt::time::timeout(limit, call_ended.changed()).await;
     }
 }
 
@@ -110,7 +110,7 @@
         .await;
     if let Err(error) = &answer {
         log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
-        // The next key must not name a witness that does not answer.
+        // A witness that does not answer must not be used for new keys.
         app.peer_table
             .borrow_mut()
             .record_failure(&witness.instance);
@@ -118,7 +118,8 @@
     answer.ok()
 }
 
-/// Sends a granted call to one instance of the service, and to another only while nothing was sent.
+/// Sends a granted call to an instance of the service. Another instance is tried only if nothing was
+/// sent.
 async fn dispatch(app: &Rc<App>, key: &IdempotencyKey, call: &Call) {
     let mut tried = Vec::new();
     loop {
@@ -161,7 +162,7 @@
     }
 }
 
-/// A call whose home is another instance: handed to it, or settled by its witness.
+/// Forwards a call to its home. If the home cannot be reached, the witness decides on its status.
 async fn forward_to_home(app: &Rc<App>, key: &IdempotencyKey, call: &Call) -> CallStatus {
     let home = {
         let peer_table = app.peer_table.borrow();
@@ -174,7 +175,7 @@
             Ok(_) => {}
             Err(error) => {
                 log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
-                // The next key must not name it as its witness.
+                // An instance that does not answer must not be used as the witness of new keys.
                 app.peer_table
                     .borrow_mut()
                     .record_failure(&key.home.instance);
@@ -201,11 +202,11 @@
     let Some(address) = address else {
         return CallStatus::bare(CallState::Unknown);
     };
-    let asked = app
+    let result = app
         .peer_client
         .fence(&address, key, call.body_digest, PEER_TIMEOUT_MS)
         .await;
-    asked.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         log::info!(step = error.operation, peer = error.peer.as_str(), key = call.key.as_str(); "{error}");
         app.peer_table.borrow_mut().record_failure(&witness.instance);
         CallStatus::bare(CallState::Unknown)
--- a/crates/entry/src/call/retryable.rs
+++ b/crates/entry/src/call/retryable.rs
@@ -1,4 +1,4 @@
-//! Calls that may be repeated.
+//! Calls that may be retried.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::app::App;
 use crate::refusal::{Code, Refusal};
 
-/// A call that may be repeated: tried elsewhere for as long as its deadline allows.
+/// Runs a call, and retries it at other instances of the service until its deadline.
 pub(super) async fn call_with_retries(app: &Rc<App>, call: &Call) -> Result<Answer, Refusal> {
     let deadline_ms = app.now_ms() + call.deadline_ms;
     let mut tried = Vec::new();
@@ -21,12 +21,12 @@
         let timeout = AttemptTimeout::next(left_ms, alternatives);
         let (Some((name, address)), Some(timeout)) = (chosen, timeout) else {
             let text = format!("service {}: none is left to try", call.service);
-            let ended = if may_have_run {
+            let refusal = if may_have_run {
                 Refusal::unknown(Code::Upstream, text)
             } else {
                 Refusal::new(Code::NoUpstream, text)
             };
-            return Err(ended.retry_after(500));
+            return Err(refusal.retry_after(500));
         };
         let reason = match send(app, call, &name, &address, timeout.timeout_ms).await {
             Ok(answer) => return Ok(answer),
--- a/crates/entry/src/call/send.rs
+++ b/crates/entry/src/call/send.rs
@@ -1,4 +1,4 @@
-//! One send of a call to an instance of a service.
+//! A single attempt of a call at an instance of a service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 
 use crate::app::App;
 
-/// Largest answer of a service, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// How an attempt at one instance of a service ended without an answer.
+/// An attempt ended without an answer.
 pub(super) enum CallError {
-    /// No connection was made: nothing was sent.
+    /// The connection failed, so nothing was sent.
     NeverSent,
-    /// It may have run.
+    /// The call may have run.
     Unknown(String),
 }
 
-/// The instance of a service with the least in flight, nearest first, and how many others fit.
+/// Picks an instance of a service: healthy ones first, then by calls in flight, then by zone. Returns its
+/// name and address, and the number of alternatives.
 pub(super) fn pick_instance(
     app: &App,
     service: &str,
@@ -52,7 +53,7 @@
     (chosen, alternatives)
 }
 
-/// Sends a call, and holds what came of it against the instance.
+/// Sends a call, and records its outcome in the health of the instance.
 pub(super) async fn send(
     app: &Rc<App>,
     call: &Call,
@@ -70,7 +71,7 @@
     let mut upstreams = app.upstreams.borrow_mut();
     if let Some(instance) = upstreams.service_mut(&call.service, name) {
         match &result {
-            // Services differ in what a call takes; only failures tell their health.
+            // The duration of calls varies too much to indicate health, so only failures count.
             Ok(_) => instance.health.record_latency(now_ms, 1.0, 1.0),
             Err(_) => instance.health.record_failure(now_ms),
         }
