--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,4 +1,4 @@
-//! Leases, orders and roles of the groups of engines.
+//! Controls the groups of engines: leases, orders and roles.
 
 mod desired_states;
 
@@ -15,13 +15,13 @@
 use crate::app::App;
 use crate::order_sender::OrderSender;
 
-/// Time between two looks at leases and orders.
+/// Interval at which leases and orders are checked.
 const TICK_MS: u64 = 50;
 
-/// What instances take turns over when a snapshot is due.
+/// Subject of the rank that decides which instance writes a snapshot.
 const SNAPSHOT_SUBJECT: &str = "snapshot";
 
-/// Time after which a snapshot that has not come back from the log is written again.
+/// Time after which a snapshot that was not read back from the log is written again.
 const SNAPSHOT_RETRY_MS: u64 = 10_000;
 
 struct Group {
@@ -30,13 +30,14 @@
     planner: RolePlanner,
 }
 
-/// Control of all groups by one instance.
+/// Controller of all groups in an instance.
 pub(crate) struct Control {
     app: Rc<App>,
     order_sender: OrderSender,
     groups: RefCell<BTreeMap<String, Group>>,
+    /// Offset of the roll of the bundle in force, and when this instance learned of it.
     last_roll: RefCell<(u64, u64)>,
-    /// Offset of the snapshot before the one that was written last, and when to write it again.
+    /// Offset of the most recent snapshot when this instance wrote one, and when to retry.
     snapshot_sent: Cell<(u64, u64)>,
 }
 
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Writes the state into the log before the records it rests on expire.
+    /// Writes a snapshot to the log before the records that the state results from expire.
     ///
-    /// Without it a new instance finds no state once the log has dropped the roll of the bundle in
-    /// force. The first in turn writes; two that both think they are do no harm, as a snapshot
-    /// changes nothing for those who have its records.
+    /// Otherwise a new instance could not derive the state once the log has dropped the roll of the bundle
+    /// in force. The instance with rank 0 writes the snapshot. If two instances do, it is harmless, as a
+    /// snapshot changes nothing for readers that have its records.
     fn write_snapshot(&self) {
         let now_ms = self.app.now_ms();
-        let (since, last) = {
+        let (since_snapshot, last) = {
             let log_reader = self.app.log_reader.borrow();
             (
                 log_reader.state().records_since_snapshot(),
@@ -111,13 +112,13 @@
             )
         };
         let ready = self.app.condition.get() == wire::Condition::Ready && self.app.log_up.get();
-        if since < self.app.settings.platform.snapshot_records || !ready {
+        if since_snapshot < self.app.settings.platform.snapshot_records || !ready {
             return;
         }
-        // One that was written is waited for; once it has come back the next may follow at once,
-        // or a burst of records would outrun the log's retention.
-        let (before, again_ms) = self.snapshot_sent.get();
-        if before == last && now_ms < again_ms {
+        // Wait until the snapshot written last is read back. The next one may follow at once, as a
+        // burst of records could otherwise exceed the log's retention.
+        let (previous, retry_at_ms) = self.snapshot_sent.get();
+        if previous == last && now_ms < retry_at_ms {
             return;
         }
         let me = &self.app.identity.instance;
@@ -137,7 +138,8 @@
             .enqueue_record(me, Body::Snapshot(Box::new(snapshot)), Some(expires_ms));
     }
 
-    /// Takes in what the log says of the leases, as soon as it was read.
+    /// Updates leases and the last roll from the state of the log. Must be called as soon as records were
+    /// read.
     pub(crate) fn observe(&self) {
         let now_ms = self.app.now_ms();
         let log_reader = self.app.log_reader.borrow();
@@ -154,7 +156,7 @@
     }
 
     fn update_lease(&self, name: &str) {
-        // Without the log nothing can be claimed, and a claim that waits would be old.
+        // While the log is down a claim could only be queued, and would be outdated when appended.
         if !self.app.log_up.get() || self.app.condition.get() != wire::Condition::Ready {
             return;
         }
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Gives all leases up, so that others need not wait for them to lapse.
+    /// Releases all leases, so that other instances need not wait for them to expire.
     pub(crate) fn release_leases(&self) {
         let now_ms = self.app.now_ms();
         let me = &self.app.identity.instance;
--- a/crates/entry/src/control/desired_states.rs
+++ b/crates/entry/src/control/desired_states.rs
@@ -1,18 +1,19 @@
-//! What the engines of a group should be doing, from the bundle in force, their reports and the forecast.
+//! Derives the desired states of the engines of a group from the bundle in force, their reports and the
+//! forecast.
 
 use lease::DesiredState;
 use wire::OrderKind;
 
 use super::Control;
 
-/// Loads under way at once in a group, so that the weight store's rate is shared out.
+/// Maximum number of concurrent model loads in a group, which limits the load on the weight store.
 const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// Time after a roll for which old versions stay loaded for requests admitted under them.
+/// Time after a roll for which old model versions stay loaded, for requests that still use them.
 const OLD_VERSION_RETENTION_MS: u64 = 30_000;
 
 impl Control {
-    /// What the engines of a group should be doing: versions first, then roles.
+    /// Desired states of the engines of a group. Roles change only when all model versions are right.
     pub(super) fn desired_states(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let mut desired_states = self.missing_loads(name);
         desired_states.extend(self.outdated_loads(name, now_ms));
@@ -44,8 +45,8 @@
                 let model = bundle.model(&engine.model)?;
                 let argument = format!("{}@{}", model.name, model.version);
                 let report = upstreams.engines.get(&engine.name)?.report.as_ref()?;
-                let has = report.loaded.contains(&argument);
-                (!has).then(|| DesiredState {
+                let is_loaded = report.loaded.contains(&argument);
+                (!is_loaded).then(|| DesiredState {
                     engine: engine.name.clone(),
                     kind: OrderKind::Load,
                     argument,
@@ -56,19 +57,20 @@
             .collect()
     }
 
-    /// Versions that no bundle in force names, once every instance has moved on for a while.
+    /// Unloads of versions that the bundle in force does not name, once all instances use this bundle and
+    /// `OLD_VERSION_RETENTION_MS` has passed.
     fn outdated_loads(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
         let version = bundle.bundle().version;
-        let moved_on = self
+        let all_updated = self
             .app
             .peer_table
             .borrow()
             .live(now_ms)
             .all(|beat| beat.bundle_version >= version);
-        if !moved_on || now_ms < self.last_roll.borrow().1 + OLD_VERSION_RETENTION_MS {
+        if !all_updated || now_ms < self.last_roll.borrow().1 + OLD_VERSION_RETENTION_MS {
             return Vec::new();
         }
         let upstreams = self.app.upstreams.borrow();
@@ -97,8 +99,9 @@
         desired_states
     }
 
-    /// Engines whose role differs from their last order: a stray order reached them, or they
-    /// were restarted. Giving the last order again, under a new number, puts them right.
+    /// Roles of engines that differ from their last order, because a late order of an earlier lease
+    /// holder reached them or they were restarted. The last order is placed again with a new fencing
+    /// token.
     fn lost_roles(&self, name: &str) -> Vec<DesiredState> {
         let log_reader = self.app.log_reader.borrow();
         let upstreams = self.app.upstreams.borrow();
@@ -110,8 +113,9 @@
             .filter_map(|(engine, entry)| {
                 let last = log_reader.state().last_order(engine)?;
                 let report = entry.report.as_ref()?;
-                let role = last.placed.kind == OrderKind::Role && last.settled && last.done;
-                let is_lost = role && !report.changing && report.role != last.placed.argument;
+                let was_ordered = last.placed.kind == OrderKind::Role && last.settled && last.done;
+                let is_lost =
+                    was_ordered && !report.changing && report.role != last.placed.argument;
                 is_lost.then(|| DesiredState {
                     engine: engine.clone(),
                     kind: OrderKind::Role,
@@ -136,11 +140,11 @@
             .filter(|engine| engine.group == name)
             .filter_map(|engine| fleet.index_of(&engine.name))
             .collect();
-        // The forecast is for the whole model; this group takes its share.
-        let all = indices.first().map_or(1, |&index| {
+        // The forecast is for the whole model; this group gets a share in proportion to its engines.
+        let engines_of_model = indices.first().map_or(1, |&index| {
             fleet.indices_of_model(&fleet.get(index).model).len()
         });
-        let share = indices.len() as f64 / all.max(1) as f64;
+        let share = indices.len() as f64 / engines_of_model.max(1) as f64;
         let forecast = self
             .app
             .forecast
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to other instances, and the answers to what they ask.
+//! Heartbeats to other instances, and the handler of their remote calls.
 
 use std::rc::Rc;
 
@@ -9,14 +9,14 @@
 
 use crate::app::App;
 
-/// Beats of which one tells the load: at 250 ms between beats once a second, which costs a third
-/// of the bytes and, as `bench views` shows, no goodput.
+/// Every how many heartbeats the load is included. With heartbeats every 250 ms that is once a second,
+/// which takes a third of the bytes without reducing goodput.
 const LOAD_INTERVAL_BEATS: u64 = 4;
 
-/// Time between two ticks after which this process counts as having been paused.
+/// Number of heartbeat intervals between two ticks above which the process was paused.
 const PAUSE_THRESHOLD_BEATS: u64 = 4;
 
-/// Sends heartbeats to a few instances at each tick.
+/// Sends heartbeats to some instances at each tick, and expires records of calls.
 pub(crate) async fn send(app: Rc<App>) {
     let period_ms = app.settings.membership.beat_ms;
     let mut ticks = app.timers.every(period_ms);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Counts the prompts that all instances expect into the predictions for each model.
+/// Applies the request rates forecast by all instances to the predictions for each model.
 fn apply_forecast(app: &App, now_ms: u64) {
     let Some(bundle) = app.bundle() else {
         return;
@@ -59,12 +59,12 @@
     }
 }
 
-/// Tells all other instances at once, as on leaving.
+/// Sends a heartbeat to all other instances, as when leaving.
 pub(crate) async fn send_to_all(app: &Rc<App>) {
     let targets: Vec<String> = {
         let peer_table = app.peer_table.borrow();
-        let known = peer_table.all().map(|known| known.peer_address.clone());
-        known.filter(|address| !address.is_empty()).collect()
+        let addresses = peer_table.all().map(|peer| peer.peer_address.clone());
+        addresses.filter(|address| !address.is_empty()).collect()
     };
     let sends = targets
         .into_iter()
@@ -76,7 +76,7 @@
     let own = own_heartbeat(&app);
     let limit_ms = app.settings.membership.suspect_ms;
     match app.peer_client.exchange(&peer, &own, limit_ms).await {
-        Ok(theirs) => receive_heartbeat(&app, theirs),
+        Ok(beat) => receive_heartbeat(&app, beat),
         Err(error) => log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}"),
     }
 }
@@ -126,7 +126,7 @@
     let now_ms = app.now_ms();
     if let Some(loads) = &beat.sent {
         let mut fleet = app.fleet.borrow_mut();
-        // An engine that is not told of any more has nothing of that peer's left.
+        // An engine that the heartbeat does not list has no load from that peer any more.
         for engine in fleet.iter_mut() {
             engine.record_peer_load(now_ms, &beat.instance, Outstanding::default());
         }
@@ -146,21 +146,21 @@
         output: load.output_tokens as f64,
         ..Outstanding::default()
     };
-    for (own, theirs) in outstanding.waiting.iter_mut().zip(&load.waiting) {
-        *own = *theirs as f64;
+    for (count, reported) in outstanding.waiting.iter_mut().zip(&load.waiting) {
+        *count = *reported as f64;
     }
-    for (own, theirs) in outstanding.prompt.iter_mut().zip(&load.prompt_tokens) {
-        *own = *theirs as f64;
+    for (tokens, reported) in outstanding.prompt.iter_mut().zip(&load.prompt_tokens) {
+        *tokens = *reported as f64;
     }
     outstanding
 }
 
-/// Answers other instances from the shared state.
+/// Handles the remote calls of other instances.
 pub(crate) struct PeerHandler(pub(crate) Rc<App>);
 
 impl peer::Handler for PeerHandler {
-    fn exchange(&self, theirs: Beat) -> Beat {
-        receive_heartbeat(&self.0, theirs);
+    fn exchange(&self, beat: Beat) -> Beat {
+        receive_heartbeat(&self.0, beat);
         own_heartbeat(&self.0)
     }
 
--- a/crates/entry/src/instance_list.rs
+++ b/crates/entry/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances.
+//! Polls the platform's list of live and leaving instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::app::App;
 
-/// Time between two reads of the list.
+/// Interval between reads of the list.
 const POLL_INTERVAL_MS: u64 = 500;
 
-/// Time that an answer may take.
+/// Timeout of a read.
 const TIMEOUT_MS: u64 = 1_500;
 
-/// Largest list, in bytes: 2,300 instances at about 250 bytes, with room.
+/// Maximum size of the list, in bytes. 2,300 instances at about 250 bytes take 575 kB.
 const MAX_LIST_BYTES: usize = 8 << 20;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Default)]
@@ -33,7 +33,7 @@
     Service,
 }
 
-/// One entry of the list, as the platform writes it.
+/// An entry of the list, as the platform encodes it.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct ListEntry {
     pub(crate) name: String,
@@ -44,11 +44,11 @@
     pub(crate) zone: String,
     #[serde(default)]
     pub(crate) serves: String,
-    #[serde(default)]
-    pub(crate) standing: ListedState,
+    #[serde(default, rename = "standing")]
+    pub(crate) state: ListedState,
 }
 
-/// Reads the list again and again.
+/// Reads the list at a fixed interval.
 pub(crate) async fn poll_list(app: Rc<App>) {
     let mut ticks = app.timers.every(POLL_INTERVAL_MS);
     loop {
@@ -87,7 +87,7 @@
             peer_address: entry.peer_address.clone(),
             zone: entry.zone.clone(),
             last_heartbeat: None,
-            leaving: entry.standing == ListedState::Leaving,
+            leaving: entry.state == ListedState::Leaving,
         });
     app.peer_table.borrow_mut().apply_list(app.now_ms(), peers);
     let upstreams = list
--- a/crates/entry/src/log_follower.rs
+++ b/crates/entry/src/log_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the log, appends to it, and learns from peers while it is down.
+//! Reads the log and appends to it, and fetches records from peers while it is down.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,20 +10,21 @@
 
 use crate::app::App;
 
-/// Time for which the log may hold back an answer while there is nothing new.
+/// Time for which a read waits at the log for new records.
 const LONG_POLL_MS: u64 = 1_000;
 
-/// Time that a peer may take.
+/// Timeout of a request to a peer.
 const PEER_TIMEOUT_MS: u64 = 1_000;
 
-/// Time after a failed append before it is tried again.
+/// Delay before a failed append is retried.
 const APPEND_RETRY_MS: u64 = 200;
 
-/// Reads the log on and on, and peers while the log does not answer.
+/// Reads the log continuously, and reads from peers while the log is down.
 pub(crate) async fn follow(app: Rc<App>) {
     loop {
         let from = app.log_reader.borrow().read_offset();
-        // The first read asks what there is; later ones wait for what is new.
+        // The first read must not wait, so that the instance becomes ready at once; later ones wait for
+        // new records.
         let wait_ms = if app.log_up.get() { LONG_POLL_MS } else { 0 };
         match app.log.read(from, wait_ms).await {
             Ok(page) => {
@@ -33,9 +34,9 @@
                 let applied = app.log_reader.borrow_mut().apply_page(&page);
                 handle_applied(&app, &applied);
                 if app.log_reader.borrow().needs_snapshot() {
-                    // The log has lost what came before and holds no snapshot that fits: without
-                    // a peer's state this instance would never serve.
-                    learn_from_peer(&app).await;
+                    // The log has dropped records and holds no usable snapshot. Without the state of a
+                    // peer this instance might never become ready.
+                    fetch_from_peer(&app).await;
                 } else if caught_up {
                     become_ready(&app, "log");
                 }
@@ -45,23 +46,23 @@
                     log::warn!(step = error.operation, peer = error.peer.as_str(); "log is down: {error}");
                 }
                 app.metrics.log_up.set(0);
-                learn_from_peer(&app).await;
+                fetch_from_peer(&app).await;
                 app.timers.sleep(app.settings.platform.poll_ms).await;
             }
         }
     }
 }
 
-/// Asks one peer for what it has read back. A peer that knows less changes nothing.
-async fn learn_from_peer(app: &Rc<App>) {
+/// Fetches the records that a random peer has read. A peer that is less up to date changes nothing.
+async fn fetch_from_peer(app: &Rc<App>) {
     let peer = {
         let peer_table = app.peer_table.borrow();
-        let known = peer_table
+        let reachable = peer_table
             .all()
-            .filter(|known| !known.peer_address.is_empty());
+            .filter(|peer| !peer.peer_address.is_empty());
         let mut rng = app.rng.borrow_mut();
-        known
-            .map(|known| known.peer_address.clone())
+        reachable
+            .map(|peer| peer.peer_address.clone())
             .choose(&mut *rng)
     };
     let Some(peer) = peer else {
@@ -94,7 +95,7 @@
         );
         handle_applied(app, &applied);
     }
-    // A peer that has nothing yet must not make this instance ready with nothing.
+    // A peer without a bundle must not make this instance ready without one.
     if app.log_reader.borrow().state().in_force().is_some() {
         become_ready(app, &peer);
     }
@@ -109,7 +110,7 @@
     }
 }
 
-/// Acts on records that were folded in.
+/// Reacts to records that were applied.
 fn handle_applied(app: &Rc<App>, applied: &[AppliedRecord]) {
     for record in applied {
         let origin = &record.record.origin;
@@ -134,7 +135,7 @@
     }
 }
 
-/// Takes the bundle in force into use. Requests under way keep the one they were admitted under.
+/// Activates the bundle in force. Requests in progress keep the bundle they were admitted with.
 fn activate_bundle(app: &App) {
     let log_reader = app.log_reader.borrow();
     let Some(state) = log_reader.state().in_force() else {
@@ -144,7 +145,7 @@
     if current.is_some_and(|bundle| bundle.digest() == state.published.digest) {
         return;
     }
-    // The bundle was checked before it was published, by an instance of perhaps another version.
+    // The bundle was validated before it was published, but possibly by another software version.
     match conf::parse_bundle(&state.published.text, "bundle") {
         Ok(bundle) => {
             let version = state.published.version;
@@ -158,7 +159,7 @@
     }
 }
 
-/// Appends what the instance has to say, one batch at a time.
+/// Appends queued records to the log, one batch at a time.
 pub(crate) async fn append(app: Rc<App>) {
     loop {
         let batch = app.outbox.borrow_mut().next_batch(app.now_ms());
--- a/crates/entry/src/order_sender.rs
+++ b/crates/entry/src/order_sender.rs
@@ -1,4 +1,4 @@
-//! Gives orders to engines, from a thread of its own at which the lease guard is aimed.
+//! Sends orders to engines from a dedicated thread, the target of the lease guard's signal.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::OrderKind;
 
-/// What became of sending an order.
+/// HTTP status of the answer to an order, or why there is none.
 pub(crate) type SendResult = Result<u16, String>;
 
 struct SendTask {
@@ -30,14 +30,14 @@
     argument: &'a str,
 }
 
-/// The ordering thread.
+/// Handle of the thread that sends orders.
 #[derive(Clone)]
 pub(crate) struct OrderSender {
     tasks: mpsc::UnboundedSender<SendTask>,
 }
 
 impl OrderSender {
-    /// Starts the thread.
+    /// Starts the thread; fails if the guard cannot be set up.
     pub(crate) async fn start(clock: Clock) -> std::io::Result<Self> {
         let (tasks, receiver) = mpsc::unbounded_channel();
         let (ready, started) = oneshot::channel();
@@ -45,11 +45,11 @@
             actix_rt::spawn(serve(clock, receiver, ready));
         });
         let started = started.await;
-        started.unwrap_or_else(|_| Err(std::io::Error::other("the ordering thread ended")))?;
+        started.unwrap_or_else(|_| Err(std::io::Error::other("the order thread ended")))?;
         Ok(Self { tasks })
     }
 
-    /// Sends one order and gives the status of the answer.
+    /// Sends an order and returns the status of the answer.
     pub(crate) async fn send(&self, order: OutgoingOrder, address: String) -> SendResult {
         let (reply, answer) = oneshot::channel();
         let task = SendTask {
@@ -58,11 +58,11 @@
             reply,
         };
         if self.tasks.send(task).is_err() {
-            return Err("the ordering thread has ended".to_owned());
+            return Err("the order thread has ended".to_owned());
         }
         answer
             .await
-            .unwrap_or_else(|_| Err("the ordering thread has ended".to_owned()))
+            .unwrap_or_else(|_| Err("the order thread has ended".to_owned()))
     }
 }
 
@@ -79,7 +79,7 @@
         }
     };
     let _ = ready.send(Ok(()));
-    // One at a time: the guard has one slot.
+    // One at a time: the guard can watch only one connection.
     while let Some(task) = tasks.recv().await {
         let sent = send(&guard, clock, &task.order, &task.address).await;
         let _ = task.reply.send(sent);
@@ -114,7 +114,7 @@
         },
         argument: &order.argument,
     };
-    // The connection is closed after the exchange, so none outlives its lease in a pool.
+    // The connection is closed after the exchange, so that no pooled connection outlives its lease.
     let request = client
         .post(format!("http://{address}/orders"))
         .force_close();
@@ -124,7 +124,7 @@
     status.map_err(|error| error.to_string())
 }
 
-/// Connects as usual, then puts the connection under the guard before a byte is written.
+/// Connector that arms the guard for each connection before a byte is written.
 #[derive(Clone)]
 struct GuardedConnector {
     guard: Rc<ConnectionGuard>,
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams: where they are, how loaded they are and what they report.
+//! Upstreams: their addresses, load and reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,19 +12,19 @@
 use crate::app::App;
 use crate::instance_list::{ListEntry, ListEntryKind, ListedState};
 
-/// Time between two reads of an engine's report.
+/// Interval between reads of an engine's report.
 const REPORT_INTERVAL_MS: u64 = 250;
 
-/// Time that a report may take.
+/// Timeout of a read of a report.
 const REPORT_TIMEOUT_MS: u64 = 1_000;
 
-/// Time of one way to an upstream in another availability zone, from the brief.
+/// One-way network delay to an upstream in another availability zone, in ms.
 const CROSS_ZONE_DELAY_MS: f64 = 1.2;
 
-/// Reports missed in a row after which an engine counts as gone.
+/// Number of consecutive failed reads after which an engine is considered gone.
 const MAX_MISSED_REPORTS: u32 = 3;
 
-/// An engine besides what routing knows of it.
+/// Data of an engine that the router does not need.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EngineEntry {
     pub(crate) address: String,
@@ -34,7 +34,7 @@
     missed: u32,
 }
 
-/// One instance of a plain service.
+/// An instance of a plain service.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceEntry {
     pub(crate) name: String,
@@ -45,7 +45,7 @@
     pub(crate) health: Health,
 }
 
-/// All upstreams by name.
+/// All upstreams, by name.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Upstreams {
     pub(crate) engines: BTreeMap<String, EngineEntry>,
@@ -53,7 +53,7 @@
 }
 
 impl Upstreams {
-    /// Groups of engines that leases are over.
+    /// Groups of engines; each has a lease.
     pub(crate) fn groups(&self) -> BTreeSet<String> {
         self.engines
             .values()
@@ -61,7 +61,7 @@
             .collect()
     }
 
-    /// An instance of a service by name, to be changed.
+    /// An instance of a service, by name.
     pub(crate) fn service_mut(&mut self, service: &str, name: &str) -> Option<&mut ServiceEntry> {
         let instances = self.services.get_mut(service)?;
         instances.iter_mut().find(|instance| instance.name == name)
@@ -79,17 +79,17 @@
     age_ms: u64,
 }
 
-/// Takes in the platform's list of upstreams.
+/// Applies the platform's list of upstreams.
 pub(crate) fn apply_list(app: &App, list: impl Iterator<Item = ListEntry>) {
     let mut upstreams = app.upstreams.borrow_mut();
-    let mut seen = BTreeSet::new();
+    let mut listed_engines = BTreeSet::new();
     let previous = std::mem::take(&mut upstreams.services);
     for listed in list {
-        let leaving = listed.standing == ListedState::Leaving;
+        let leaving = listed.state == ListedState::Leaving;
         let same_zone = listed.zone == app.settings.zone;
         match listed.kind {
             ListEntryKind::Engine => {
-                seen.insert(listed.name.clone());
+                listed_engines.insert(listed.name.clone());
                 add_engine(app, &mut upstreams, listed, same_zone, leaving);
             }
             ListEntryKind::Service => {
@@ -118,7 +118,7 @@
     let mut fleet = app.fleet.borrow_mut();
     for engine in fleet
         .iter_mut()
-        .filter(|engine| !seen.contains(&engine.name))
+        .filter(|engine| !listed_engines.contains(&engine.name))
     {
         engine.presence = Presence::Gone;
         upstreams.engines.remove(&engine.name);
@@ -132,8 +132,8 @@
     same_zone: bool,
     leaving: bool,
 ) {
-    // One group for each model and availability zone: small enough for one holder, and a zone
-    // that is cut off loses only its own.
+    // One group per model and availability zone: small enough for one lease holder, and a partitioned
+    // zone affects only its own groups.
     let group = format!("{}/{}", listed.serves, listed.zone);
     let entry = upstreams.engines.entry(listed.name.clone()).or_default();
     entry.address = listed.address;
@@ -150,7 +150,7 @@
     app.fleet.borrow_mut().add(engine);
 }
 
-/// Reads every engine's report again and again.
+/// Reads the reports of all engines at a fixed interval.
 pub(crate) async fn poll_reports(app: Rc<App>) {
     let mut ticks = app.timers.every(REPORT_INTERVAL_MS);
     while ticks.next().await.is_some() {
@@ -184,14 +184,14 @@
     }
 }
 
-fn apply_report(app: &App, name: &str, wire: ReportBody) {
+fn apply_report(app: &App, name: &str, body: ReportBody) {
     let drained = app.log_reader.borrow().state().is_drained(name);
     let mut upstreams = app.upstreams.borrow_mut();
     let Some(entry) = upstreams.engines.get_mut(name) else {
         return;
     };
     entry.missed = 0;
-    // A load goes on beside the work; only a role change takes the engine away.
+    // An engine goes on serving while it loads a model; only a role change interrupts it.
     let role_order = app
         .log_reader
         .borrow()
@@ -209,22 +209,22 @@
     if let Some(index) = fleet.index_of(name) {
         let engine = fleet.get_mut(index);
         engine.presence = presence;
-        engine.role = wire.role;
+        engine.role = body.role;
         let mut queued = [0.0; RANKS];
-        for (mine, theirs) in queued.iter_mut().zip(&wire.queued) {
-            *mine = *theirs;
+        for (queued, reported) in queued.iter_mut().zip(&body.queued) {
+            *queued = *reported;
         }
         engine.record_report(LoadReport {
-            at_ms: app.now_ms().saturating_sub(wire.age_ms),
+            at_ms: app.now_ms().saturating_sub(body.age_ms),
             queued,
-            running: wire.running,
+            running: body.running,
         });
     }
     entry.report = Some(EngineReport {
-        role: wire.role.to_string(),
-        loaded: wire.loaded,
-        changing: wire.changing,
-        fencing_token: wire.order,
+        role: body.role.to_string(),
+        loaded: body.loaded,
+        changing: body.changing,
+        fencing_token: body.order,
     });
 }
 
@@ -244,7 +244,7 @@
     }
 }
 
-/// Applies a drain or its end at once, without waiting for the next report.
+/// Applies new drains at once, without waiting for the next reports.
 pub(crate) fn apply_drains(app: &App) {
     let log_reader = app.log_reader.borrow();
     let mut fleet = app.fleet.borrow_mut();
@@ -255,10 +255,10 @@
     }
 }
 
-/// `model@version` for a new request.
+/// Returns the `model@version` to use for a new request.
 ///
-/// While a roll is under way the version before it goes on being served until enough engines
-/// have loaded the new one; a request keeps the version that it was given here.
+/// During a rollout the previous version is served until enough engines have loaded the new one. A
+/// request keeps the version that is returned here.
 pub(crate) fn version_to_serve(app: &App, model: &conf::Model) -> String {
     let wanted = format!("{}@{}", model.name, model.version);
     let mut serving = app.served_versions.borrow_mut();
