--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API, by which operators publish, roll, withdraw and drain.
+//! Administration API, with which operators manage bundles and drains, and inspect the deployment.
 
 use std::rc::Rc;
 
@@ -12,13 +12,13 @@
 use crate::auth::operator;
 use crate::refusal::{Code, Refusal};
 
-/// Time for a record to come back from the log.
+/// Timeout for reading a record back from the log.
 const CONFIRM_TIMEOUT_MS: u64 = 5_000;
 
-/// Largest bundle, in bytes: 12,000 workspaces at about 200 bytes, with room.
+/// Maximum size of a bundle, in bytes. 12,000 workspaces at about 200 bytes take 2.4 MB.
 const MAX_BUNDLE_BYTES: usize = 8 << 20;
 
-/// Most entries of one page of the audit trail.
+/// Maximum number of entries in a page of the audit trail or of workspaces.
 const PAGE_ENTRIES: usize = 200;
 
 #[derive(Serialize)]
@@ -109,7 +109,7 @@
     after: String,
 }
 
-/// Answers a request under `/admin/v1/`.
+/// Handles a request under `/admin/v1/`.
 pub(crate) async fn handle(
     app: &Rc<App>,
     mut request: Request,
@@ -352,7 +352,7 @@
     web::json(StatusCode::OK, &status)
 }
 
-/// The newest entries first, a page at a time.
+/// A page of the audit trail, newest entries first.
 fn audit(app: &App, query: &AuditQuery) -> Response {
     let log_reader = app.log_reader.borrow();
     let before = query.before.unwrap_or(u64::MAX);
@@ -374,7 +374,7 @@
     web::json(StatusCode::OK, &views)
 }
 
-/// Workspaces in the order of their names, a page at a time.
+/// A page of workspaces, sorted by name.
 fn workspaces(app: &App, query: &WorkspaceQuery) -> Result<Response, Refusal> {
     let bundle = app.bundle();
     let bundle = bundle.ok_or_else(|| Refusal::new(Code::Unavailable, "no bundle is in force"))?;
--- a/crates/entry/src/app.rs
+++ b/crates/entry/src/app.rs
@@ -1,4 +1,4 @@
-//! State that all parts of an instance share, on one thread.
+//! State that all parts of an instance share on its single thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,13 +22,13 @@
 use crate::metrics::Metrics;
 use crate::upstreams::Upstreams;
 
-/// Time that a connection to an upstream may take to be made.
+/// Timeout of a connection attempt to an upstream.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// What became of a record, and where it is.
+/// Offset and outcome of a record that was read back from the log.
 pub(crate) type Confirmation = (u64, Outcome);
 
-/// State that all parts of an instance share.
+/// Shared state of an instance.
 pub(crate) struct App {
     pub(crate) settings: Settings,
     pub(crate) identity: Identity,
@@ -42,12 +42,13 @@
     pub(crate) log_reader: RefCell<LogReader>,
     pub(crate) outbox: RefCell<Outbox>,
     pub(crate) outbox_ready: Notify,
+    /// Writers that wait for their records to be read back, by sequence number.
     pub(crate) confirmations: RefCell<HashMap<u64, oneshot::Sender<Confirmation>>>,
     pub(crate) bundle: RefCell<Option<Rc<BundleIndex>>>,
     pub(crate) peer_table: RefCell<PeerTable>,
     pub(crate) fleet: RefCell<Fleet>,
     pub(crate) upstreams: RefCell<Upstreams>,
-    /// `model@version` that new requests are sent to, by model.
+    /// `model@version` that serves new requests, by model.
     pub(crate) served_versions: RefCell<HashMap<String, String>>,
     pub(crate) router: RefCell<Router>,
     pub(crate) forecast: RefCell<Forecast>,
@@ -58,12 +59,13 @@
     pub(crate) witness: RefCell<Witness>,
     pub(crate) call_ended: watch::Sender<u64>,
     pub(crate) condition: Cell<Condition>,
-    /// The grace of a leaving instance is over: it only ends what it holds.
+    /// Whether the grace period of a leaving instance is over, so that it takes no new requests.
     pub(crate) closed: Cell<bool>,
     pub(crate) log_up: Cell<bool>,
+    /// Source of the state with which the instance became ready: `log` or the address of a peer.
     pub(crate) learned_from: RefCell<String>,
     pub(crate) in_flight: Cell<usize>,
-    /// What acts on leases and orders, to be told of records that were folded in.
+    /// Controller of leases and orders, which is notified of applied records.
     pub(crate) control: RefCell<Weak<Control>>,
     pub(crate) metrics: Metrics,
     pub(crate) rng: RefCell<Pcg64>,
@@ -130,7 +132,7 @@
         self.clock.now_ms()
     }
 
-    /// Queues a record for the log and gives its sequence number.
+    /// Queues a record for the log and returns its sequence number.
     pub(crate) fn enqueue_record(&self, actor: &str, body: Body, expires_ms: Option<u64>) -> u64 {
         let sequence = self
             .outbox
@@ -140,9 +142,9 @@
         sequence
     }
 
-    /// Queues a record and waits until it was read back; `None` when that takes too long.
+    /// Queues a record and waits until it is read back from the log.
     ///
-    /// The record may then still take effect.
+    /// Returns `None` on a timeout, after which the record may still take effect.
     pub(crate) async fn append_and_wait(
         &self,
         actor: &str,
@@ -162,7 +164,7 @@
         self.bundle.borrow().clone()
     }
 
-    /// A random name that no other request has.
+    /// Creates a unique random request id.
     pub(crate) fn request_id(&self) -> String {
         let number: u128 = rand::Rng::random(&mut *self.rng.borrow_mut());
         format!("{number:032x}")
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,22 +1,22 @@
-//! Why an instance cannot start.
+//! Errors on starting an instance.
 
 use derive_more::{Display, Error};
 
-/// An instance cannot start or go on.
+/// An instance cannot start.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// An address cannot be listened on.
     #[display("listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address that cannot be used.
         address: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The thread that gives orders cannot be set up.
+    /// The thread that sends orders cannot be set up.
     #[display("order guard: {source}")]
     Guard {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -1,4 +1,4 @@
-//! The life of an instance: starting, serving, leaving.
+//! Starts, runs and stops an instance.
 
 use std::rc::Rc;
 
@@ -12,10 +12,10 @@
 use crate::control::Control;
 use crate::{Error, Result, heartbeats, instance_list, log_follower, routes, upstreams};
 
-/// Time between two looks at whether all requests have ended.
+/// Interval at which a stopping instance checks for remaining requests and records.
 const DRAIN_POLL_MS: u64 = 20;
 
-/// Time for last records, such as released leases, to reach the log.
+/// Time to append the last records, such as released leases, to the log.
 const FLUSH_TIMEOUT_MS: u64 = 1_000;
 
 /// A running entry instance.
@@ -75,23 +75,23 @@
         })
     }
 
-    /// Where callers and operators connect.
+    /// Address for callers and operators.
     pub fn caller_address(&self) -> String {
         self.callers.address().to_string()
     }
 
-    /// Where other instances connect.
+    /// Address for other instances.
     pub fn peer_address(&self) -> String {
         self.peers.address().to_string()
     }
 
-    /// Whether it serves.
+    /// Whether the instance serves requests.
     pub fn is_ready(&self) -> bool {
         self.app.condition.get() == Condition::Ready
     }
 
-    /// Leaves as planned: is handed out no more, serves callers that still hold its address for
-    /// the grace period, then takes nothing new and ends what it holds.
+    /// Shuts down gracefully: the instance is no longer named to callers, goes on serving for the grace
+    /// period, then takes no new requests and waits for those in progress.
     pub async fn stop(&self) {
         log::info!(step = "stop"; "leaving");
         self.app.condition.set(Condition::Leaving);
@@ -108,10 +108,10 @@
         while !self.app.outbox.borrow().is_empty() && self.app.now_ms() < flush_deadline_ms {
             timers.sleep(DRAIN_POLL_MS).await;
         }
-        log::info!(step = "stop"; "gone");
+        log::info!(step = "stop"; "stopped");
     }
 
-    /// Ends at once, as a crash would: connections are cut and nothing more is done.
+    /// Stops at once, as a crash would: closes all connections and aborts all tasks.
     pub fn kill(&self) {
         self.callers.kill();
         self.peers.kill();
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! An entry instance: callers, administration and upstreams.
+//! An entry instance: serves callers, the administration API and peers, and sends requests to upstreams.
 //!
-//! One thread owns all state of an instance, so no lock stands on the path of a request; orders
-//! to engines alone leave from a thread of their own, at which the lease guard is aimed. See
+//! One thread owns all state of an instance, so that requests need no locks. Only orders to engines are
+//! sent from a separate thread, which is the target of the lease guard's signal. See
 //! docs/ARCHITECTURE.md.
 
 mod admin;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,31 +1,31 @@
-//! Metrics, the first of which are answers in time beside answers at all.
+//! Metrics of an instance. Answers that met their deadline are counted separately from late ones.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
 
-/// Buckets of times from a fraction of a ms to a minute, in seconds.
+/// Histogram buckets from 0.1 ms to one minute, in seconds.
 const TIME_BUCKETS: [f64; 14] = [
     0.000_1, 0.000_25, 0.000_5, 0.001, 0.005, 0.02, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0,
 ];
 
-/// All metrics of an instance; docs/OPERATIONS.md has a table of them.
+/// All metrics of an instance. docs/OPERATIONS.md lists them.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Answers by class, and whether they came in time.
+    /// Answers by class and by whether they met their deadline.
     pub(crate) answers: IntCounterVec,
     /// Refusals by code.
     pub(crate) refusals: IntCounterVec,
     /// Calls that ended without a known outcome.
     pub(crate) unknown_outcomes: IntCounterVec,
-    /// Answers that belonged to another request, or came after their request was over.
+    /// Answers that belonged to another request, and repeated tokens.
     pub(crate) stray_answers: IntCounterVec,
-    /// Attempts beyond a request's first, by reason.
+    /// Retries, by reason.
     pub(crate) retries: IntCounterVec,
     /// Time to the first token.
     pub(crate) first_token: HistogramVec,
-    /// Time that the instance itself spent on a request.
+    /// Time spent on a request within the instance.
     pub(crate) processing_time: HistogramVec,
     /// Requests in flight.
     pub(crate) in_flight: IntGauge,
@@ -33,13 +33,13 @@
     pub(crate) bundle_version: IntGauge,
     /// First log offset that is not applied.
     pub(crate) log_offset: IntGauge,
-    /// Records since the last snapshot.
+    /// Records since the most recent snapshot.
     pub(crate) records_since_snapshot: IntGauge,
-    /// Whether the log answers.
+    /// Whether the log is reachable.
     pub(crate) log_up: IntGauge,
     /// Leases held, by group.
     pub(crate) leases_held: IntGaugeVec,
-    /// Orders given, by kind.
+    /// Orders sent, by kind.
     pub(crate) orders: IntCounterVec,
 }
 
@@ -101,17 +101,17 @@
         }
     }
 
-    /// All metrics in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::error!("metrics cannot be written: {error}");
+            log::error!("cannot encode metrics: {error}");
         }
         text
     }
 }
 
-/// Names and labels are constants of this file, so a failure here is a mistake in it.
+/// Registers a metric. Names and labels are constants of this file, so a failure is a bug in it.
 fn register<M: prometheus::core::Collector + Clone + 'static>(
     registry: &Registry,
     metric: prometheus::Result<M>,
