--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -30,8 +30,8 @@
 
 /// The operator whose key the request carries.
 ///
-/// Keys are compared by their SHA-256 hashes, so the duration of the comparison reveals nothing about
-/// the key.
+/// Keys are compared by their SHA-256 hashes, so the duration of the comparison reveals nothing
+/// about the key.
 pub(crate) fn operator(app: &App, request: &Request) -> Result<String, Refusal> {
     let hash = bearer_hash(request)?;
     let mut operators = app.settings.operator_key_sha256.iter();
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -72,8 +72,8 @@
         .map_err(|error: once::KeyError| Refusal::new(Code::BadRequest, error.to_string()))
 }
 
-/// Digest of a call. It includes the workspace, so that a workspace cannot get the answer of another one
-/// by guessing its key.
+/// Digest of a call. It includes the workspace, so that a workspace cannot get the answer of
+/// another one by guessing its key.
 fn digest(context: &RequestContext, service: &str, path: &str, body: &[u8]) -> once::BodyDigest {
     let mut hasher = Sha256::new();
     for part in [
--- a/crates/entry/src/call/at_most_once.rs
+++ b/crates/entry/src/call/at_most_once.rs
@@ -118,8 +118,8 @@
     answer.ok()
 }
 
-/// Sends a granted call to an instance of the service. Another instance is tried only if nothing was
-/// sent.
+/// Sends a granted call to an instance of the service. Another instance is tried only if nothing
+/// was sent.
 async fn dispatch(app: &Rc<App>, key: &IdempotencyKey, call: &Call) {
     let mut tried = Vec::new();
     loop {
--- a/crates/entry/src/call/send.rs
+++ b/crates/entry/src/call/send.rs
@@ -19,8 +19,8 @@
     Unknown(String),
 }
 
-/// Picks an instance of a service: healthy ones first, then by calls in flight, then by zone. Returns its
-/// name and address, and the number of alternatives.
+/// Picks an instance of a service: healthy ones first, then by calls in flight, then by zone.
+/// Returns its name and address, and the number of alternatives.
 pub(super) fn pick_instance(
     app: &App,
     service: &str,
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -155,7 +155,8 @@
             if matches!(event, CompletionEvent::End(_)) {
                 self.record_answer();
             }
-            // A failed send means that the caller has disconnected; dropping `events` stops the runner.
+            // A failed send means that the caller has disconnected; dropping `events` stops the
+            // runner.
             if sender
                 .send(Bytes::from(self.encode_event(event)))
                 .await
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -99,9 +99,9 @@
 
     /// Writes a snapshot to the log before the records that the state results from expire.
     ///
-    /// Otherwise a new instance could not derive the state once the log has dropped the roll of the bundle
-    /// in force. The instance with rank 0 writes the snapshot. If two instances do, it is harmless, as a
-    /// snapshot changes nothing for readers that have its records.
+    /// Otherwise a new instance could not derive the state once the log has dropped the roll of the
+    /// bundle in force. The instance with rank 0 writes the snapshot. If two instances do, it is
+    /// harmless, as a snapshot changes nothing for readers that have its records.
     fn write_snapshot(&self) {
         let now_ms = self.app.now_ms();
         let (since_snapshot, last) = {
@@ -138,8 +138,8 @@
             .enqueue_record(me, Body::Snapshot(Box::new(snapshot)), Some(expires_ms));
     }
 
-    /// Updates leases and the last roll from the state of the log. Must be called as soon as records were
-    /// read.
+    /// Updates leases and the last roll from the state of the log. Must be called as soon as
+    /// records were read.
     pub(crate) fn observe(&self) {
         let now_ms = self.app.now_ms();
         let log_reader = self.app.log_reader.borrow();
--- a/crates/entry/src/control/desired_states.rs
+++ b/crates/entry/src/control/desired_states.rs
@@ -1,5 +1,5 @@
-//! Derives the desired states of the engines of a group from the bundle in force, their reports and the
-//! forecast.
+//! Derives the desired states of the engines of a group from the bundle in force, their reports and
+//! the forecast.
 
 use lease::DesiredState;
 use wire::OrderKind;
@@ -13,7 +13,8 @@
 const OLD_VERSION_RETENTION_MS: u64 = 30_000;
 
 impl Control {
-    /// Desired states of the engines of a group. Roles change only when all model versions are right.
+    /// Desired states of the engines of a group. Roles change only when all model versions are
+    /// right.
     pub(super) fn desired_states(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let mut desired_states = self.missing_loads(name);
         desired_states.extend(self.outdated_loads(name, now_ms));
@@ -57,8 +58,8 @@
             .collect()
     }
 
-    /// Unloads of versions that the bundle in force does not name, once all instances use this bundle and
-    /// `OLD_VERSION_RETENTION_MS` has passed.
+    /// Unloads of versions that the bundle in force does not name, once all instances use this
+    /// bundle and `OLD_VERSION_RETENTION_MS` has passed.
     fn outdated_loads(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
@@ -100,8 +101,8 @@
     }
 
     /// Roles of engines that differ from their last order, because a late order of an earlier lease
-    /// holder reached them or they were restarted. The last order is placed again with a new fencing
-    /// token.
+    /// holder reached them or they were restarted. The last order is placed again with a new
+    /// fencing token.
     fn lost_roles(&self, name: &str) -> Vec<DesiredState> {
         let log_reader = self.app.log_reader.borrow();
         let upstreams = self.app.upstreams.borrow();
@@ -140,7 +141,8 @@
             .filter(|engine| engine.group == name)
             .filter_map(|engine| fleet.index_of(&engine.name))
             .collect();
-        // The forecast is for the whole model; this group gets a share in proportion to its engines.
+        // The forecast is for the whole model; this group gets a share in proportion to its
+        // engines.
         let engines_of_model = indices.first().map_or(1, |&index| {
             fleet.indices_of_model(&fleet.get(index).model).len()
         });
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -9,8 +9,8 @@
 
 use crate::app::App;
 
-/// Every how many heartbeats the load is included. With heartbeats every 250 ms that is once a second,
-/// which takes a third of the bytes without reducing goodput.
+/// Every how many heartbeats the load is included. With heartbeats every 250 ms that is once a
+/// second, which takes a third of the bytes without reducing goodput.
 const LOAD_INTERVAL_BEATS: u64 = 4;
 
 /// Number of heartbeat intervals between two ticks above which the process was paused.
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -90,8 +90,8 @@
         self.app.condition.get() == Condition::Ready
     }
 
-    /// Shuts down gracefully: the instance is no longer named to callers, goes on serving for the grace
-    /// period, then takes no new requests and waits for those in progress.
+    /// Shuts down gracefully: the instance is no longer named to callers, goes on serving for the
+    /// grace period, then takes no new requests and waits for those in progress.
     pub async fn stop(&self) {
         log::info!(step = "stop"; "leaving");
         self.app.condition.set(Condition::Leaving);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,8 @@
-//! An entry instance: serves callers, the administration API and peers, and sends requests to upstreams.
+//! An entry instance: serves callers, the administration API and peers, and sends requests to
+//! upstreams.
 //!
-//! One thread owns all state of an instance, so that requests need no locks. Only orders to engines are
-//! sent from a separate thread, which is the target of the lease guard's signal. See
+//! One thread owns all state of an instance, so that requests need no locks. Only orders to engines
+//! are sent from a separate thread, which is the target of the lease guard's signal. See
 //! docs/ARCHITECTURE.md.
 
 mod admin;
--- a/crates/entry/src/log_follower.rs
+++ b/crates/entry/src/log_follower.rs
@@ -23,8 +23,8 @@
 pub(crate) async fn follow(app: Rc<App>) {
     loop {
         let from = app.log_reader.borrow().read_offset();
-        // The first read must not wait, so that the instance becomes ready at once; later ones wait for
-        // new records.
+        // The first read must not wait, so that the instance becomes ready at once; later ones wait
+        // for new records.
         let wait_ms = if app.log_up.get() { LONG_POLL_MS } else { 0 };
         match app.log.read(from, wait_ms).await {
             Ok(page) => {
@@ -34,8 +34,8 @@
                 let applied = app.log_reader.borrow_mut().apply_page(&page);
                 handle_applied(&app, &applied);
                 if app.log_reader.borrow().needs_snapshot() {
-                    // The log has dropped records and holds no usable snapshot. Without the state of a
-                    // peer this instance might never become ready.
+                    // The log has dropped records and holds no usable snapshot. Without the state
+                    // of a peer this instance might never become ready.
                     fetch_from_peer(&app).await;
                 } else if caught_up {
                     become_ready(&app, "log");
--- a/crates/entry/src/openai.rs
+++ b/crates/entry/src/openai.rs
@@ -22,7 +22,8 @@
     content: String,
 }
 
-/// Body of a completion request. Unknown fields are ignored, since clients send those of other servers.
+/// Body of a completion request. Unknown fields are ignored, since clients send those of other
+/// servers.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct CompletionRequest {
     pub(crate) model: String,
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -100,7 +100,8 @@
     code: &'static str,
 }
 
-/// Body of a refusal: the error object that clients of the completion API expect, and additional fields.
+/// Body of a refusal: the error object that clients of the completion API expect, and additional
+/// fields.
 #[derive(Serialize)]
 struct Body<'a> {
     error: ErrorObject<'a>,
--- a/crates/entry/src/resume.rs
+++ b/crates/entry/src/resume.rs
@@ -32,8 +32,8 @@
 
 /// Creates the token with which a stream can be resumed.
 ///
-/// The token names the engine and its request id, so any instance can resume the stream without further
-/// state. It includes a digest, so that only the same workspace can use it.
+/// The token names the engine and its request id, so any instance can resume the stream without
+/// further state. It includes a digest, so that only the same workspace can use it.
 pub(crate) fn token(engine: &str, request_id: &str, workspace: &str) -> String {
     let tag = tag(request_id, workspace);
     format!("{engine}{PART}{request_id}{PART}{tag}")
--- a/crates/entry/src/runner.rs
+++ b/crates/entry/src/runner.rs
@@ -1,5 +1,5 @@
-//! Runs one completion: streams tokens from engines to the caller, without gaps or duplicates, across
-//! retries.
+//! Runs one completion: streams tokens from engines to the caller, without gaps or duplicates,
+//! across retries.
 
 mod attempt;
 mod poison;
@@ -42,7 +42,8 @@
 /// Event of a completion, sent to the task that answers the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum CompletionEvent {
-    /// A token, its number from 1, and the engine and request id with which the stream can be resumed.
+    /// A token, its number from 1, and the engine and request id with which the stream can be
+    /// resumed.
     Token {
         number: u32,
         text: String,
@@ -182,7 +183,8 @@
         Ok(router.route(now_ms, &fleet, &request, |_| 0.0, &skip, &mut *rng)?)
     }
 
-    /// Number of other engines that could serve the request, used to divide the time left among attempts.
+    /// Number of other engines that could serve the request, used to divide the time left among
+    /// attempts.
     fn alternatives(&self, engine: usize) -> usize {
         let fleet = self.app.fleet.borrow();
         let is_candidate = |index: &&usize| {
--- a/crates/entry/src/runner/attempt.rs
+++ b/crates/entry/src/runner/attempt.rs
@@ -50,8 +50,8 @@
                 step = "stream", request_id = attempt.request_id.as_str(),
                 peer = attempt.name.as_str(), number = self.produced; "{error}"
             );
-            // Resuming on an engine that has answered no request since this one was sent would spend
-            // the time that another engine needs.
+            // Resuming on an engine that has answered no request since this one was sent would
+            // spend the time that another engine needs.
             let is_unresponsive =
                 matches!(error, EngineError::Timeout { .. }) && !attempt.load_guard.started;
             if is_unresponsive || resumes == MAX_RESUMES {
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Waits for the next event. The wait for the first token lasts as long as the answer can still meet
-    /// its deadline and the engine is responsive; for later tokens it is `TOKEN_TIMEOUT_MS`.
+    /// Waits for the next event. The wait for the first token lasts as long as the answer can still
+    /// meet its deadline and the engine is responsive; for later tokens it is `TOKEN_TIMEOUT_MS`.
     async fn next(
         &self,
         attempt: &Attempt,
@@ -211,8 +211,8 @@
         (latest_start_ms - self.app.now_ms() as f64).max(0.0) as u64
     }
 
-    /// Sends a token to the caller unless it has been sent already. Returns `false` if the caller has
-    /// disconnected or does not read.
+    /// Sends a token to the caller unless it has been sent already. Returns `false` if the caller
+    /// has disconnected or does not read.
     async fn forward_token(
         &mut self,
         attempt: &mut Attempt,
--- a/crates/entry/src/runner/poison.rs
+++ b/crates/entry/src/runner/poison.rs
@@ -1,7 +1,7 @@
 //! Detection of poison requests, which crash the engines that serve them.
 //!
-//! The same rule as on the platform (`view::poison`), but based only on what this instance observes: a
-//! request during which two engines have crashed is not sent to a third.
+//! The same rule as on the platform (`view::poison`), but based only on what this instance
+//! observes: a request during which two engines have crashed is not sent to a third.
 
 use view::{FailureEvidence, UpstreamKey};
 
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Records that an engine has crashed if resuming its stream failed because it refuses connections.
+    /// Records that an engine has crashed if resuming its stream failed because it refuses
+    /// connections.
     pub(super) fn record_engine_loss(&self, attempt: &Attempt, error: &EngineError) {
         if !matches!(error, EngineError::NeverSent { .. }) {
             return;
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -132,8 +132,8 @@
     same_zone: bool,
     leaving: bool,
 ) {
-    // One group per model and availability zone: small enough for one lease holder, and a partitioned
-    // zone affects only its own groups.
+    // One group per model and availability zone: small enough for one lease holder, and a
+    // partitioned zone affects only its own groups.
     let group = format!("{}/{}", listed.serves, listed.zone);
     let entry = upstreams.engines.entry(listed.name.clone()).or_default();
     entry.address = listed.address;
--- a/crates/feed/src/audit.rs
+++ b/crates/feed/src/audit.rs
@@ -6,8 +6,8 @@
 
 use crate::Outcome;
 
-/// Number of entries kept: about four days at 990 changes a day. Older ones are only in the platform's
-/// archive of the log, if it keeps one.
+/// Number of entries kept: about four days at 990 changes a day. Older ones are only in the
+/// platform's archive of the log, if it keeps one.
 const MAX_ENTRIES: usize = 4096;
 
 /// The most recent audit entries, oldest first.
--- a/crates/feed/src/bundles.rs
+++ b/crates/feed/src/bundles.rs
@@ -18,8 +18,9 @@
 impl Bundles {
     /// Accepts a bundle that is based on the newest one.
     ///
-    /// If two operators publish bundles with the same base, the first in log order becomes the newest
-    /// version. The second is refused at every instance, with a message that names the winner.
+    /// If two operators publish bundles with the same base, the first in log order becomes the
+    /// newest version. The second is refused at every instance, with a message that names the
+    /// winner.
     pub(crate) fn publish(
         &mut self,
         offset: u64,
--- a/crates/feed/src/leases.rs
+++ b/crates/feed/src/leases.rs
@@ -16,9 +16,9 @@
 impl Leases {
     /// Grants a claim that supersedes the newest record of the lease.
     ///
-    /// The log has no conditional append. Instead, every reader compares the superseded offset: of two
-    /// concurrent claims, or of a concurrent claim and renewal, only the first in the log supersedes
-    /// the newest record.
+    /// The log has no conditional append. Instead, every reader compares the superseded offset: of
+    /// two concurrent claims, or of a concurrent claim and renewal, only the first in the log
+    /// supersedes the newest record.
     pub(crate) fn claim(&mut self, offset: u64, origin: &Origin, claim: &LeaseClaimed) -> Outcome {
         let newest = self
             .leases
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,8 +1,8 @@
 //! State machine over the platform's log, and the client of the log service.
 //!
-//! The order of the log decides all conflicts in a deployment: every instance applies the same records
-//! in the same order, so all of them accept and refuse the same ones. The state machine must therefore
-//! not depend on clocks or random numbers. See docs/design/log.md.
+//! The order of the log decides all conflicts in a deployment: every instance applies the same
+//! records in the same order, so all of them accept and refuse the same ones. The state machine
+//! must therefore not depend on clocks or random numbers. See docs/design/log.md.
 
 mod audit;
 mod bundles;
--- a/crates/feed/src/log_reader.rs
+++ b/crates/feed/src/log_reader.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Replaces the state with a snapshot from the log or from a peer, unless it is not newer than the
-    /// state. Returns whether it was installed.
+    /// Replaces the state with a snapshot from the log or from a peer, unless it is not newer than
+    /// the state. Returns whether it was installed.
     ///
     /// Going back to a lower offset would put an older bundle in force again.
     pub fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
--- a/crates/feed/src/outbox.rs
+++ b/crates/feed/src/outbox.rs
@@ -15,9 +15,9 @@
 
 /// Numbers and batches the records of one incarnation.
 ///
-/// Only one batch is in flight at a time, and a batch whose answer was lost is retried. Readers drop
-/// sequence numbers that they have seen, so each record takes effect once. If the next batch were sent
-/// before the retry, the older records could be appended after newer ones and be dropped.
+/// Only one batch is in flight at a time, and a batch whose answer was lost is retried. Readers
+/// drop sequence numbers that they have seen, so each record takes effect once. If the next batch
+/// were sent before the retry, the older records could be appended after newer ones and be dropped.
 #[derive(Debug)]
 pub struct Outbox {
     writer: String,
@@ -41,8 +41,8 @@
 
     /// Queues a record and returns its sequence number.
     ///
-    /// A record that has not been sent by `expires_ms` is dropped, such as the renewal of a lease that
-    /// has expired.
+    /// A record that has not been sent by `expires_ms` is dropped, such as the renewal of a lease
+    /// that has expired.
     pub fn push(&mut self, actor: &str, wall_ms: u64, body: Body, expires_ms: Option<u64>) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -12,9 +12,9 @@
 /// Interval, in records, at which inactive writers are removed.
 const CLEANUP_INTERVAL: u64 = 4096;
 
-/// Number of records after which an inactive writer is removed. A duplicate that is delayed for longer
-/// is not recognized, but is refused all the same: a lease record of that age supersedes an outdated
-/// offset, and a bundle record has an outdated base.
+/// Number of records after which an inactive writer is removed. A duplicate that is delayed for
+/// longer is not recognized, but is refused all the same: a lease record of that age supersedes an
+/// outdated offset, and a bundle record has an outdated base.
 const WRITER_RETENTION: u64 = 4 * CLEANUP_INTERVAL;
 
 /// Outcome of applying a record.
--- a/crates/lease/src/append_lease.rs
+++ b/crates/lease/src/append_lease.rs
@@ -19,8 +19,8 @@
 impl AppendLeaseTimes {
     /// Limits for orders to engines.
     ///
-    /// The send window covers a slow answer of the store and a query to the engine before the send. The
-    /// kernel drops a connection whose bytes stay unacknowledged for 4 s.
+    /// The send window covers a slow answer of the store and a query to the engine before the send.
+    /// The kernel drops a connection whose bytes stay unacknowledged for 4 s.
     pub fn for_orders(lease_ms: u64) -> Self {
         Self {
             send_window_ms: 1_500,
@@ -31,9 +31,9 @@
 
     /// Limits for calls to the platform's API.
     ///
-    /// Each call has its own connection, which is reset on a timeout and drops the bytes queued for a
-    /// link. Bytes that still arrive do so when a partition heals or a suspended sender resumes, which
-    /// these limits do not cover.
+    /// Each call has its own connection, which is reset on a timeout and drops the bytes queued for
+    /// a link. Bytes that still arrive do so when a partition heals or a suspended sender resumes,
+    /// which these limits do not cover.
     pub fn for_api_calls(lease_ms: u64) -> Self {
         Self {
             send_window_ms: 1_000,
@@ -134,7 +134,8 @@
         self.last_other_ms = Some(since_boot_ms);
     }
 
-    /// Returns the offset at which the log must end for an append, or `None` if this holder must wait.
+    /// Returns the offset at which the log must end for an append, or `None` if this holder must
+    /// wait.
     pub fn append_offset(&self, since_boot_ms: u64) -> Option<u64> {
         let quiet_ms = self.times.quiet_ms();
         let is_quiet = |last_other_ms: u64| since_boot_ms >= last_other_ms + quiet_ms;
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -19,14 +19,15 @@
 pub struct LeaseTimes {
     /// Validity of a claim or renewal, counted from before it was sent.
     pub ttl_ms: u64,
-    /// Time that a candidate waits in addition to the TTL, counted from when it read the last record.
+    /// Time that a candidate waits in addition to the TTL, counted from when it read the last
+    /// record.
     pub margin_ms: u64,
 }
 
 /// Permission to send orders to a group until a time on the holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Authority {
-    /// Log offset of the claim, used as the fencing token.
+    /// Log offset of the claim. Renewals and orders name it to show which claim they rest on.
     pub fence: u64,
     /// Time on the holder's monotonic clock at which the permission ends.
     pub expires_ms: u64,
@@ -68,10 +69,10 @@
 /// Claims, renews and releases the lease over one group.
 ///
 /// Two rules exclude two holders at the same time, even with paused processes, partitions and lost
-/// messages. The holder counts the TTL from before it queued a record that it has since read back. A
-/// candidate counts TTL and margin from after it read the newest record, and its claim names that
-/// record, so the claim fails if the holder has renewed since. A record is read after it is sent, so
-/// the candidate's wait ends after the holder's lease.
+/// messages. The holder counts the TTL from before it queued a record that it has since read back.
+/// A candidate counts TTL and margin from after it read the newest record, and its claim names that
+/// record, so the claim fails if the holder has renewed since. A record is read after it is sent,
+/// so the candidate's wait ends after the holder's lease.
 #[derive(Debug)]
 pub struct Elector {
     identity: Identity,
@@ -128,7 +129,7 @@
             self.sent = None;
             return;
         }
-        // The TTL must be counted from the send of this record. An earlier record that was retried
+        // The TTL must be counted from the send of this record. An earlier record that was given up
         // and appended late may have been read by a candidate long ago; counting it from a later
         // send would let both act at the same time.
         let Some(sent) = self.sent.filter(|sent| sent.sequence == lease.sequence) else {
@@ -143,8 +144,8 @@
 
     /// Returns the record to append, for an instance with the given `rank` among the live ones.
     ///
-    /// Ranks stagger the claims, with rank 0 first. Instances may disagree on them; the log decides.
-    /// After the record is queued, `record_sent` must be called with its sequence number.
+    /// Ranks stagger the claims, with rank 0 first. Instances may disagree on them; the log
+    /// decides. After the record is queued, `record_sent` must be called with its sequence number.
     pub fn poll(&mut self, now_ms: u64, rank: u64) -> LeaseAction {
         if self.has_resigned || self.is_append_pending(now_ms) {
             return LeaseAction::Wait;
@@ -160,8 +161,8 @@
             .is_some_and(|sent| now_ms < sent.at_ms + self.times.ttl_ms)
     }
 
-    /// A holder whose lease has expired may still renew: the newest record shows that nobody else has
-    /// claimed it.
+    /// A holder whose lease has expired may still renew: the newest record shows that nobody else
+    /// has claimed it.
     fn poll_holder(&self, now_ms: u64, fence: u64) -> LeaseAction {
         let renew_at_ms = self.held_authority.map_or(0, |held_authority| {
             held_authority.expires_ms - self.times.ttl_ms + self.times.ttl_ms / RENEWAL_DIVISOR
@@ -201,7 +202,8 @@
             .filter(|held_authority| now_ms < held_authority.expires_ms)
     }
 
-    /// Stops claiming and renewing. Returns the fencing token to release if the lease is held.
+    /// Stops claiming and renewing. Returns the offset of the claim to release if the lease is
+    /// held.
     pub fn resign(&mut self, now_ms: u64) -> Option<u64> {
         self.has_resigned = true;
         let held = self
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -1,9 +1,9 @@
 //! Cuts a connection when the lease expires, even if the process is paused at that time.
 //!
 //! Some engines ignore fencing tokens. For them it is not enough to check the lease before a write:
-//! the process may be suspended between the check and the write, and would send a stale order when it
-//! resumes. A POSIX timer that signals the sending thread closes this gap. See docs/design/orders.md
-//! for what it does and does not prevent.
+//! the process may be suspended between the check and the write, and would send a stale order when
+//! it resumes. A POSIX timer that signals the sending thread closes this gap. See
+//! docs/design/orders.md for what it does and does not prevent.
 
 use std::io;
 use std::os::fd::{AsRawFd, RawFd};
@@ -22,8 +22,8 @@
 pub const TCP_USER_TIMEOUT_MS: u64 = 400;
 
 thread_local! {
-    /// Descriptor of the socket that the signal handler cuts. A thread sends one order at a time, so
-    /// one descriptor is enough. The handler may only read this value and call `connect`. The
+    /// Descriptor of the socket that the signal handler cuts. A thread sends one order at a time,
+    /// so one descriptor is enough. The handler may only read this value and call `connect`. The
     /// initializer is constant and the value has no destructor, so a signal cannot interrupt a lazy
     /// initialization.
     static GUARDED_SOCKET: AtomicI32 = const { AtomicI32::new(NO_SOCKET) };
@@ -32,9 +32,9 @@
 /// A POSIX timer that signals the thread that created it.
 ///
 /// Prevents a holder that is paused past its lease with a half-written order from sending the rest,
-/// which could conflict with its successor's order. The timer expires during the pause, and the kernel
-/// delivers a pending signal before the thread runs in user space again, so the handler cuts the
-/// connection before the next write.
+/// which could conflict with its successor's order. The timer expires during the pause, and the
+/// kernel delivers a pending signal before the thread runs in user space again, so the handler cuts
+/// the connection before the next write.
 #[derive(Debug)]
 pub struct ConnectionGuard {
     timer: libc::timer_t,
@@ -47,8 +47,8 @@
     thread: std::marker::PhantomData<*const ()>,
 }
 
-/// Signal handler that disconnects the guarded socket. Unlike `shutdown`, `connect` with `AF_UNSPEC`
-/// also drops the bytes queued in the kernel.
+/// Signal handler that disconnects the guarded socket. Unlike `shutdown`, `connect` with
+/// `AF_UNSPEC` also drops the bytes queued in the kernel.
 extern "C" fn disconnect_guarded(_signal: libc::c_int) {
     let socket = GUARDED_SOCKET.with(|guarded| guarded.load(Ordering::SeqCst));
     if socket == NO_SOCKET {
--- a/crates/lease/src/order_scheduler.rs
+++ b/crates/lease/src/order_scheduler.rs
@@ -9,8 +9,8 @@
 /// Interval at which an unfinished order is sent again.
 const RESEND_MS: u64 = 1_000;
 
-/// Time after which an unfinished order is abandoned, so that an engine that was unreachable can get
-/// a new order. Longer than the longest role change or model load.
+/// Time after which an unfinished order is abandoned, so that an engine that was unreachable can
+/// get a new order. Longer than the longest role change or model load.
 const ABANDON_AFTER_MS: u64 = 120_000;
 
 /// State that an engine last reported.
@@ -72,9 +72,10 @@
 
 /// Decides which orders to place, send and settle.
 ///
-/// An order that is open in the log is resent, whichever instance placed it, until the engine reports
-/// it done or it is abandoned. Only then is another order placed for that engine. A new lease holder
-/// therefore never sends an order that conflicts with one that its predecessor may still be sending.
+/// An order that is open in the log is resent, whichever instance placed it, until the engine
+/// reports it done or it is abandoned. Only then is another order placed for that engine. A new
+/// lease holder therefore never sends an order that conflicts with one that its predecessor may
+/// still be sending.
 #[derive(Debug, Default)]
 pub struct OrderScheduler {
     attempts: BTreeMap<String, Attempt>,
@@ -82,7 +83,8 @@
 }
 
 impl OrderScheduler {
-    /// Returns the next actions under a valid lease: first for open orders, then for unmet desired states.
+    /// Returns the next actions under a valid lease: first for open orders, then for unmet desired
+    /// states.
     pub fn next_actions<'a>(
         &mut self,
         now_ms: u64,
--- a/crates/lease/tests/append_lease.rs
+++ b/crates/lease/tests/append_lease.rs
@@ -44,8 +44,8 @@
     Some(lease.record_append(now_ms, offset))
 }
 
-/// The first instance on an empty log may append at once. A second one that has read that order waits
-/// until it cannot be in flight any more, and then gets a greater token.
+/// The first instance on an empty log may append at once. A second one that has read that order
+/// waits until it cannot be in flight any more, and then gets a greater token.
 #[test]
 fn a_successor_waits_and_has_a_greater_token() {
     let mut log = Log::default();
@@ -64,8 +64,8 @@
     assert!(later.fence > given.fence);
 }
 
-/// Two instances have read the same empty log and append at the same time. Only one append meets the
-/// condition, so the other instance sends nothing.
+/// Two instances have read the same empty log and append at the same time. Only one append meets
+/// the condition, so the other instance sends nothing.
 #[test]
 fn only_one_of_two_concurrent_appends_is_permitted() {
     let mut log = Log::default();
@@ -91,8 +91,8 @@
     assert!(!permit.is_valid(9_000));
 }
 
-/// The answer to an append is lost, or records were dropped before they were read. The end of the log
-/// is then unknown, and nothing may be appended until it is read again.
+/// The answer to an append is lost, or records were dropped before they were read. The end of the
+/// log is then unknown, and nothing may be appended until it is read again.
 #[test]
 fn nothing_is_appended_to_an_unread_log() {
     let log = Log::default();
@@ -172,8 +172,8 @@
     })]
 
     /// With lost and late answers, suspensions and restarts, and with several instances that order:
-    /// sent tokens only increase, none is sent twice, and orders of two holders are at least the lease
-    /// apart even if the first was in flight for the longest possible time.
+    /// sent tokens only increase, none is sent twice, and orders of two holders are at least the
+    /// lease apart even if the first was in flight for the longest possible time.
     #[test]
     fn orders_of_two_holders_do_not_overlap(steps in steps()) {
         check_one_holder_at_a_time(AppendLeaseTimes::for_orders(LEASE_MS), IN_FLIGHT_MS, steps)?;
--- a/crates/once/src/epoch.rs
+++ b/crates/once/src/epoch.rs
@@ -10,8 +10,8 @@
 /// Epoch counter of one incarnation of an instance.
 ///
 /// A key contains the epochs of its home and of its witness at the time it was issued. Each of them
-/// checks only its own epoch, so clocks of different processes are never compared. A key that is issued
-/// with an outdated epoch merely expires earlier.
+/// checks only its own epoch, so clocks of different processes are never compared. A key that is
+/// issued with an outdated epoch merely expires earlier.
 #[derive(Debug, Clone, Copy)]
 pub struct EpochCounter {
     start_ms: u64,
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -78,12 +78,12 @@
         Admission::AskWitness
     }
 
-    /// Records the witness's verdict, or `None` if it did not answer in time. Returns whether the call
-    /// must be dispatched now, which is true at most once for each key.
+    /// Records the witness's verdict, or `None` if it did not answer in time. Returns whether the
+    /// call must be dispatched now, which is true at most once for each key.
     ///
-    /// Without a grant the home closes the key. If the witness granted it and only the answer was lost,
-    /// other instances get the status `unknown` from the witness, which is safe although the call has
-    /// not run.
+    /// Without a grant the home closes the key. If the witness granted it and only the answer was
+    /// lost, other instances get the status `unknown` from the witness, which is safe although the
+    /// call has not run.
     pub fn record_verdict(&mut self, key: &IdempotencyKey, verdict: Option<ClaimVerdict>) -> bool {
         let Some(record) = self.records.get_mut(&key.to_string()) else {
             return false;
--- a/crates/once/src/witness.rs
+++ b/crates/once/src/witness.rs
@@ -23,9 +23,9 @@
 
 /// Records of the keys whose witness is this incarnation.
 ///
-/// The first request for a key decides: a claim by the home grants it, a fence by any other instance
-/// closes it. The decision never changes, so a home that is slow, paused or partitioned cannot run a
-/// call that was reported to a caller as not run.
+/// The first request for a key decides: a claim by the home grants it, a fence by any other
+/// instance closes it. The decision never changes, so a home that is slow, paused or partitioned
+/// cannot run a call that was reported to a caller as not run.
 #[derive(Debug)]
 pub struct Witness {
     instance: String,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Handles a request of an instance that cannot reach the home: returns the status of the call, and
-    /// closes the key if it is not recorded yet.
+    /// Handles a request of an instance that cannot reach the home: returns the status of the call,
+    /// and closes the key if it is not recorded yet.
     pub fn fence(&mut self, now_ms: u64, key: &IdempotencyKey, digest: BodyDigest) -> CallStatus {
         if !self.is_witness(key) {
             return CallStatus::bare(CallState::Foreign);
--- a/crates/once/tests/keys.rs
+++ b/crates/once/tests/keys.rs
@@ -47,8 +47,8 @@
 
 #[test]
 fn a_retry_after_its_record_is_dropped_is_refused() {
-    // The caller retries after the record was dropped. If the key were treated as new, the call would
-    // run a second time; it must be refused because its epoch is too old.
+    // The caller retries after the record was dropped. If the key were treated as new, the call
+    // would run a second time; it must be refused because its epoch is too old.
     let epochs = EpochCounter::new(0);
     let mut home = Home::new("home", 1, epochs);
     assert_eq!(home.admit(0, &key(1), [0; 32]), Admission::AskWitness);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership of the fleet, and remote calls between instances.
 //!
-//! Membership is derived from heartbeats and from the platform's list, which may be outdated. Remote
-//! calls use Cap'n Proto RPC over TCP. See docs/design/membership.md.
+//! Membership is derived from heartbeats and from the platform's list, which may be outdated.
+//! Remote calls use Cap'n Proto RPC over TCP. See docs/design/membership.md.
 
 mod client;
 mod error;
--- a/crates/peer/src/peer_table.rs
+++ b/crates/peer/src/peer_table.rs
@@ -38,8 +38,8 @@
 /// All other instances.
 ///
 /// The platform's list provides candidates and their addresses. Only a heartbeat received directly
-/// from an instance makes it eligible to be named to callers, so an outdated list cannot keep a failed
-/// instance eligible for longer than `suspect_ms`.
+/// from an instance makes it eligible to be named to callers, so an outdated list cannot keep a
+/// failed instance eligible for longer than `suspect_ms`.
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     settings: MembershipSettings,
@@ -93,17 +93,19 @@
         peer.last_heartbeat = Some((now_ms, beat));
     }
 
-    /// Records that a call to an instance failed: it is not named to callers until its next heartbeat.
+    /// Records that a call to an instance failed: it is not named to callers until its next
+    /// heartbeat.
     pub fn record_failure(&mut self, instance: &str) {
         if let Some(peer) = self.peers.get_mut(instance) {
             peer.last_heartbeat = None;
         }
     }
 
-    /// Records that this process was paused until `now_ms`, which invalidates all earlier heartbeats.
+    /// Records that this process was paused until `now_ms`, which invalidates all earlier
+    /// heartbeats.
     ///
-    /// Otherwise a resumed instance would name failed instances to callers: heartbeats look recent on a
-    /// clock that stopped during the pause, or are read late from a full socket buffer.
+    /// Otherwise a resumed instance would name failed instances to callers: heartbeats look recent
+    /// on a clock that stopped during the pause, or are read late from a full socket buffer.
     pub fn record_pause(&mut self, now_ms: u64) {
         self.paused_until_ms = now_ms;
     }
@@ -139,8 +141,8 @@
 
     /// Address of an incarnation of an instance, if a heartbeat of it was received.
     ///
-    /// The heartbeat need not be recent: an instance that is not named to callers may still be called,
-    /// and `record_failure` clears its heartbeat if the call fails.
+    /// The heartbeat need not be recent: an instance that is not named to callers may still be
+    /// called, and `record_failure` clears its heartbeat if the call fails.
     pub fn address(&self, instance: &str, incarnation: u64) -> Option<&str> {
         let peer = self.peers.get(instance)?;
         let heartbeat = peer.last_heartbeat.as_ref();
@@ -149,13 +151,13 @@
         reachable.then_some(peer.peer_address.as_str())
     }
 
-    /// Addresses that get the next heartbeat: a fixed number at random, so that the cost does not grow
-    /// with the fleet.
+    /// Addresses that get the next heartbeat: a fixed number at random, so that the cost does not
+    /// grow with the fleet.
     ///
-    /// In a large fleet all but one are in the own availability zone, which shares callers and engines;
-    /// the other one keeps zones informed about each other. In a small fleet the targets are chosen
-    /// from all zones, as instances of other zones would otherwise miss heartbeats for longer than
-    /// `suspect_ms`.
+    /// In a large fleet all but one are in the own availability zone, which shares callers and
+    /// engines; the other one keeps zones informed about each other. In a small fleet the targets
+    /// are chosen from all zones, as instances of other zones would otherwise miss heartbeats for
+    /// longer than `suspect_ms`.
     pub fn heartbeat_targets(&self, zone: &str, rng: &mut impl Rng) -> Vec<String> {
         let reachable = self
             .peers
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -17,7 +17,8 @@
 pub trait Handler: 'static {
     /// Processes a heartbeat and returns this instance's own.
     fn exchange(&self, beat: Beat) -> Beat;
-    /// Returns the records from an offset on, the next offset, and a snapshot if records are missing.
+    /// Returns the records from an offset on, the next offset, and a snapshot if records are
+    /// missing.
     fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>);
     /// Decides as witness whether a key's home may dispatch its call.
     fn claim(&self, key: &IdempotencyKey, digest: BodyDigest) -> ClaimVerdict;
--- a/crates/peer/tests/peer_table.rs
+++ b/crates/peer/tests/peer_table.rs
@@ -65,8 +65,8 @@
 
 #[test]
 fn a_resumed_instance_names_no_peer_before_its_next_heartbeat() {
-    // After a pause, heartbeats from before it may look recent, because the clock may have stopped or
-    // they were still in a socket buffer. The instance would name peers that have failed since.
+    // After a pause, heartbeats from before it may look recent, because the clock may have stopped
+    // or they were still in a socket buffer. The instance would name peers that have failed since.
     let mut peers = fleet(&["a", "b"]);
     peers.record_pause(100);
     assert!(ready_names(&peers, 150).is_empty());
