--- a/crates/entry/src/booking.rs
+++ b/crates/entry/src/load_guard.rs
@@ -1,15 +1,17 @@
-//! Work that this instance has put on an engine.
+//! Accounting of this instance's load on an engine.
 
 use std::rc::Rc;
 
 use plan::Choice;
 
 use crate::app::App;
-use crate::pump::Work;
+use crate::runner::CompletionJob;
 
-/// Keeps the engine's own load right however an attempt ends.
-pub(crate) struct Booking {
+/// Adds a request to this instance's load on an engine, and removes it on drop however the attempt
+/// ends.
+pub(crate) struct LoadGuard {
     app: Rc<App>,
+    /// Index of the engine in the fleet.
     pub(crate) engine: usize,
     rank: usize,
     prompt: f64,
@@ -17,26 +19,26 @@
     pub(crate) started: bool,
 }
 
-impl Booking {
-    /// Books a request that is about to be sent.
-    pub(crate) fn new(app: &Rc<App>, work: &Work, choice: &Choice, output: f64) -> Self {
+impl LoadGuard {
+    /// Adds a request that is about to be sent.
+    pub(crate) fn new(app: &Rc<App>, job: &CompletionJob, choice: &Choice, output: f64) -> Self {
         let prompt = choice.uncached_tokens;
         let mut fleet = app.fleet.borrow_mut();
         fleet
             .get_mut(choice.engine)
-            .record_sent(app.now_ms(), work.rank, prompt, output);
+            .record_sent(app.now_ms(), job.rank, prompt, output);
         Self {
             app: app.clone(),
             engine: choice.engine,
-            rank: work.rank,
+            rank: job.rank,
             prompt,
             output,
             started: false,
         }
     }
 
-    /// Its first token came.
-    pub(crate) fn start(&mut self) {
+    /// Records the first token; later calls have no effect.
+    pub(crate) fn record_first_token(&mut self) {
         if !std::mem::replace(&mut self.started, true) {
             let mut fleet = self.app.fleet.borrow_mut();
             fleet
@@ -46,7 +48,7 @@
     }
 }
 
-impl Drop for Booking {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         let mut fleet = self.app.fleet.borrow_mut();
         let engine = fleet.get_mut(self.engine);
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams: where they are, how loaded they are and what they report.
+//! Upstreams: their addresses, load and reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,21 +10,21 @@
 use serde::Deserialize;
 
 use crate::app::App;
-use crate::platform::{Kind, Listed, Standing};
+use crate::instance_list::{ListEntry, ListEntryKind, ListedState};
 
-/// Time between two reads of an engine's report.
-const REPORT_MS: u64 = 250;
+/// Interval between reads of an engine's report.
+const REPORT_INTERVAL_MS: u64 = 250;
 
-/// Time that a report may take.
-const ANSWER_MS: u64 = 1_000;
+/// Timeout of a read of a report.
+const REPORT_TIMEOUT_MS: u64 = 1_000;
 
-/// Time of one way to an upstream in another availability zone, from the brief.
-const OTHER_ZONE_MS: f64 = 1.2;
+/// One-way network delay to an upstream in another availability zone, in ms.
+const CROSS_ZONE_DELAY_MS: f64 = 1.2;
 
-/// Reports missed in a row after which an engine counts as gone.
-const MISSED: u32 = 3;
+/// Number of consecutive failed reads after which an engine is considered gone.
+const MAX_MISSED_REPORTS: u32 = 3;
 
-/// An engine besides what routing knows of it.
+/// Data of an engine that the router does not need.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EngineEntry {
     pub(crate) address: String,
@@ -34,18 +34,18 @@
     missed: u32,
 }
 
-/// One instance of a plain service.
+/// An instance of a plain service.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceEntry {
     pub(crate) name: String,
     pub(crate) address: String,
     pub(crate) leaving: bool,
-    pub(crate) near: bool,
+    pub(crate) same_zone: bool,
     pub(crate) in_flight: u32,
     pub(crate) health: Health,
 }
 
-/// All upstreams by name.
+/// All upstreams, by name.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Upstreams {
     pub(crate) engines: BTreeMap<String, EngineEntry>,
@@ -53,7 +53,7 @@
 }
 
 impl Upstreams {
-    /// Groups of engines that leases are over.
+    /// Groups of engines; each has a lease.
     pub(crate) fn groups(&self) -> BTreeSet<String> {
         self.engines
             .values()
@@ -61,7 +61,7 @@
             .collect()
     }
 
-    /// An instance of a service by name, to be changed.
+    /// An instance of a service, by name.
     pub(crate) fn service_mut(&mut self, service: &str, name: &str) -> Option<&mut ServiceEntry> {
         let instances = self.services.get_mut(service)?;
         instances.iter_mut().find(|instance| instance.name == name)
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct WireReport {
+struct ReportBody {
     role: Role,
     loaded: Vec<String>,
     changing: bool,
@@ -79,21 +79,21 @@
     age_ms: u64,
 }
 
-/// Takes in the platform's list of upstreams.
-pub(crate) fn listed(app: &App, list: impl Iterator<Item = Listed>) {
+/// Applies the platform's list of upstreams.
+pub(crate) fn apply_list(app: &App, list: impl Iterator<Item = ListEntry>) {
     let mut upstreams = app.upstreams.borrow_mut();
-    let mut seen = BTreeSet::new();
-    let before = std::mem::take(&mut upstreams.services);
+    let mut listed_engines = BTreeSet::new();
+    let previous = std::mem::take(&mut upstreams.services);
     for listed in list {
-        let leaving = listed.standing == Standing::Leaving;
-        let near = listed.zone == app.settings.zone;
+        let leaving = listed.state == ListedState::Leaving;
+        let same_zone = listed.zone == app.settings.zone;
         match listed.kind {
-            Kind::Engine => {
-                seen.insert(listed.name.clone());
-                add_engine(app, &mut upstreams, listed, near, leaving);
+            ListEntryKind::Engine => {
+                listed_engines.insert(listed.name.clone());
+                add_engine(app, &mut upstreams, listed, same_zone, leaving);
             }
-            Kind::Service => {
-                let known = before.get(&listed.serves).and_then(|instances| {
+            ListEntryKind::Service => {
+                let known = previous.get(&listed.serves).and_then(|instances| {
                     instances
                         .iter()
                         .find(|instance| instance.name == listed.name)
@@ -102,7 +102,7 @@
                     name: listed.name,
                     address: listed.address,
                     leaving,
-                    near,
+                    same_zone,
                     in_flight: known.map_or(0, |known| known.in_flight),
                     health: known.map_or_else(Health::default, |known| known.health),
                 };
@@ -112,22 +112,28 @@
                     .or_default()
                     .push(entry);
             }
-            Kind::Entry => {}
+            ListEntryKind::Entry => {}
         }
     }
     let mut fleet = app.fleet.borrow_mut();
     for engine in fleet
         .iter_mut()
-        .filter(|engine| !seen.contains(&engine.name))
+        .filter(|engine| !listed_engines.contains(&engine.name))
     {
         engine.presence = Presence::Gone;
         upstreams.engines.remove(&engine.name);
     }
 }
 
-fn add_engine(app: &App, upstreams: &mut Upstreams, listed: Listed, near: bool, leaving: bool) {
-    // One group for each model and availability zone: small enough for one holder, and a zone
-    // that is cut off loses only its own.
+fn add_engine(
+    app: &App,
+    upstreams: &mut Upstreams,
+    listed: ListEntry,
+    same_zone: bool,
+    leaving: bool,
+) {
+    // One group per model and availability zone: small enough for one lease holder, and a
+    // partitioned zone affects only its own groups.
     let group = format!("{}/{}", listed.serves, listed.zone);
     let entry = upstreams.engines.entry(listed.name.clone()).or_default();
     entry.address = listed.address;
@@ -139,14 +145,14 @@
         &group,
         EngineProfile::default(),
     );
-    engine.one_way_delay_ms = if near { 0.0 } else { OTHER_ZONE_MS };
+    engine.one_way_delay_ms = if same_zone { 0.0 } else { CROSS_ZONE_DELAY_MS };
     engine.presence = Presence::Gone;
     app.fleet.borrow_mut().add(engine);
 }
 
-/// Reads every engine's report again and again.
-pub(crate) async fn watch_reports(app: Rc<App>) {
-    let mut ticks = app.timers.every(REPORT_MS);
+/// Reads the reports of all engines at a fixed interval.
+pub(crate) async fn poll_reports(app: Rc<App>) {
+    let mut ticks = app.timers.every(REPORT_INTERVAL_MS);
     while ticks.next().await.is_some() {
         let engines: Vec<(String, String)> = app
             .upstreams
@@ -157,37 +163,37 @@
             .collect();
         let reads = engines
             .into_iter()
-            .map(|(name, address)| read(&app, name, address));
+            .map(|(name, address)| read_report(&app, name, address));
         futures_util::future::join_all(reads).await;
     }
 }
 
-async fn read(app: &App, name: String, address: String) {
+async fn read_report(app: &App, name: String, address: String) {
     let url = format!("http://{address}/report");
     let request = app
         .client
         .get(url)
-        .timeout(Duration::from_millis(ANSWER_MS));
+        .timeout(Duration::from_millis(REPORT_TIMEOUT_MS));
     let report = match request.send().await {
-        Ok(mut response) => response.json::<WireReport>().await.ok(),
+        Ok(mut response) => response.json::<ReportBody>().await.ok(),
         Err(_) => None,
     };
     match report {
-        Some(report) => reported(app, &name, report),
-        None => missed(app, &name),
+        Some(report) => apply_report(app, &name, report),
+        None => record_missed_report(app, &name),
     }
 }
 
-fn reported(app: &App, name: &str, wire: WireReport) {
-    let drained = app.cursor.borrow().state().is_drained(name);
+fn apply_report(app: &App, name: &str, body: ReportBody) {
+    let drained = app.log_reader.borrow().state().is_drained(name);
     let mut upstreams = app.upstreams.borrow_mut();
     let Some(entry) = upstreams.engines.get_mut(name) else {
         return;
     };
     entry.missed = 0;
-    // A load goes on beside the work; only a role change takes the engine away.
+    // An engine goes on serving while it loads a model; only a role change interrupts it.
     let role_order = app
-        .cursor
+        .log_reader
         .borrow()
         .state()
         .last_order(name)
@@ -200,88 +206,88 @@
         Presence::Live
     };
     let mut fleet = app.fleet.borrow_mut();
-    if let Some(place) = fleet.index_of(name) {
-        let engine = fleet.get_mut(place);
+    if let Some(index) = fleet.index_of(name) {
+        let engine = fleet.get_mut(index);
         engine.presence = presence;
-        engine.role = wire.role;
+        engine.role = body.role;
         let mut queued = [0.0; RANKS];
-        for (mine, theirs) in queued.iter_mut().zip(&wire.queued) {
-            *mine = *theirs;
+        for (queued, reported) in queued.iter_mut().zip(&body.queued) {
+            *queued = *reported;
         }
         engine.record_report(LoadReport {
-            at_ms: app.now_ms().saturating_sub(wire.age_ms),
+            at_ms: app.now_ms().saturating_sub(body.age_ms),
             queued,
-            running: wire.running,
+            running: body.running,
         });
     }
     entry.report = Some(EngineReport {
-        role: wire.role.to_string(),
-        loaded: wire.loaded,
-        changing: wire.changing,
-        fencing_token: wire.order,
+        role: body.role.to_string(),
+        loaded: body.loaded,
+        changing: body.changing,
+        fencing_token: body.order,
     });
 }
 
-fn missed(app: &App, name: &str) {
+fn record_missed_report(app: &App, name: &str) {
     let mut upstreams = app.upstreams.borrow_mut();
     let Some(entry) = upstreams.engines.get_mut(name) else {
         return;
     };
     entry.missed += 1;
-    if entry.missed < MISSED {
+    if entry.missed < MAX_MISSED_REPORTS {
         return;
     }
     entry.report = None;
     let mut fleet = app.fleet.borrow_mut();
-    if let Some(place) = fleet.index_of(name) {
-        fleet.get_mut(place).presence = Presence::Gone;
+    if let Some(index) = fleet.index_of(name) {
+        fleet.get_mut(index).presence = Presence::Gone;
     }
 }
 
-/// Applies a drain or its end at once, without waiting for the next report.
-pub(crate) fn drains_changed(app: &App) {
-    let cursor = app.cursor.borrow();
+/// Applies new drains at once, without waiting for the next reports.
+pub(crate) fn apply_drains(app: &App) {
+    let log_reader = app.log_reader.borrow();
     let mut fleet = app.fleet.borrow_mut();
     for engine in fleet.iter_mut() {
-        if cursor.state().is_drained(&engine.name) && engine.presence != Presence::Gone {
+        if log_reader.state().is_drained(&engine.name) && engine.presence != Presence::Gone {
             engine.presence = Presence::Leaving;
         }
     }
 }
 
-/// `model@version` for a new request.
+/// Returns the `model@version` to use for a new request.
 ///
-/// While a roll is under way the version before it goes on being served until enough engines
-/// have loaded the new one; a request keeps the version that it was given here.
-pub(crate) fn serving(app: &App, model: &conf::Model) -> String {
+/// During a rollout the previous version is served until enough engines have loaded the new one. A
+/// request keeps the version that is returned here.
+pub(crate) fn version_to_serve(app: &App, model: &conf::Model) -> String {
     let wanted = format!("{}@{}", model.name, model.version);
-    let mut serving = app.serving.borrow_mut();
+    let mut serving = app.served_versions.borrow_mut();
     let current = serving.get(&model.name);
     if current.is_some_and(|current| *current == wanted) {
         return wanted;
     }
     let upstreams = app.upstreams.borrow();
     let fleet = app.fleet.borrow();
-    let places = fleet.indices_of_model(&model.name).iter();
-    let live = places.filter(|&&place| fleet.get(place).presence == Presence::Live);
+    let indices = fleet.indices_of_model(&model.name).iter();
+    let live = indices.filter(|&&index| fleet.get(index).presence == Presence::Live);
     let loaded: Vec<&[String]> = live
-        .filter_map(|&place| {
+        .filter_map(|&index| {
             upstreams
                 .engines
-                .get(&fleet.get(place).name)?
+                .get(&fleet.get(index).name)?
                 .report
                 .as_ref()
         })
         .map(|report| report.loaded.as_slice())
         .collect();
-    let having = |version: &String| {
+    let count_loaded = |version: &String| {
         loaded
             .iter()
             .filter(|loaded| loaded.contains(version))
             .count()
     };
-    let with_current = current.map_or(0, having);
-    if !plan::should_switch_version(loaded.len(), having(&wanted), with_current) {
+    let with_current = current.map_or(0, count_loaded);
+    if !plan::should_switch_version(loaded.len(), count_loaded(&wanted), with_current) {
         return current.cloned().unwrap_or(wanted);
     }
     serving.insert(model.name.clone(), wanted.clone());
