--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! Passes requests on to upstreams.
+//! A reverse proxy that balances requests over upstreams.
 //!
-//! An instance follows a configuration and a list of upstreams that it is told; callers connect
-//! to it, and it places each request, sends it, and passes the answer on. The names that a
-//! deployment uses on the wire come from a [`dialect::Dialect`]. See docs/design/platform.md.
+//! An instance follows the configuration and the list of upstreams in the store. Callers connect to it; it
+//! chooses an upstream for each request, sends the request and streams the answer back. A
+//! [`dialect::Dialect`] supplies the header and path names of a deployment. See docs/design/platform.md.
 
 pub mod access;
 pub mod answer;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! What one instance knows, and who may change it.
+//! The state of one instance.
 
 mod limits;
 mod list;
@@ -30,74 +30,74 @@
 use crate::snapshot::{LastQuery, Snapshot};
 use crate::upstreams::Upstreams;
 
-/// Lines in a second on requests that went well: two or three for each at the usual load.
-const SERVED_LINES: u32 = 60;
+/// Log lines per second about requests that succeed: two or three for each request at the usual load.
+const SUCCESS_LINES_PER_S: u32 = 60;
 
-/// Lines in a second on requests that did not; all of them but in a storm.
-const FAILED_LINES: u32 = 200;
+/// Log lines per second about requests that fail; only a burst of failures exceeds it.
+const FAILURE_LINES_PER_S: u32 = 200;
 
-/// What an instance is told of itself.
+/// Settings of one instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the instance, unique in the fleet.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub address: std::net::SocketAddr,
-    /// Where other instances tell it of their load.
+    /// Address for gossip and snapshots; without one the instance receives neither.
     pub peer: Option<std::net::SocketAddr>,
-    /// Where some instances can be asked before any is known.
+    /// Peers to ask for a snapshot before any member is known.
     pub seeds: Vec<std::net::SocketAddr>,
-    /// Bound on repeated sends.
+    /// Limit on retries.
     pub retry_budget: RetryBudgetSettings,
-    /// Longest time that callers may keep an answer of the directory, in ms.
+    /// How long callers may cache the addresses of instances, in ms.
     pub addresses_ttl_ms: u64,
-    /// Time by which orders of two instances to one engine must be apart, in ms.
+    /// Minimum time between orders that two instances send to one engine, in ms.
     pub lease_ms: u64,
-    /// Speed of its link.
+    /// Bandwidth of the instance's link, in Mbit/s.
     pub link_mbps: u32,
-    /// What one instance does for all.
+    /// Singleton tasks that the deployment has.
     pub singleton_tasks: singleton_tasks::TaskSettings,
 }
 
-/// How far a process has come on its way out.
+/// Lifecycle phase of a process; it only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Phase {
-    /// It serves.
+    /// Serves requests.
     #[default]
     Serving,
-    /// It is not handed out any more, and serves who still comes.
+    /// No longer offered to callers, but still accepts connections: callers cache its address.
     Leaving,
-    /// It takes no new connections and finishes what it has.
+    /// Accepts no new connections and finishes the requests in flight.
     Closing,
 }
 
 /// The state of one instance.
 pub struct Relay {
-    /// Settings.
+    /// Settings of this instance.
     pub settings: RefCell<Settings>,
-    /// Names on the wire.
+    /// Header and path names of the deployment.
     pub dialect: Rc<dyn Dialect>,
-    /// Clock that all times go by, begun with the process.
+    /// Monotonic clock, 0 at the start of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// Upstreams.
+    /// Upstreams in use.
     pub upstreams: RefCell<Upstreams>,
-    /// Instances.
+    /// Known instances, this one included.
     pub members: RefCell<Members>,
-    /// Requests whose answers are not out yet.
+    /// Requests whose answers are not complete yet.
     pub in_flight: Rc<Cell<usize>>,
-    /// Prompt parts to be told to other instances.
+    /// Cached prompt parts to announce in the next gossip datagrams.
     pub(crate) prefix_news: RefCell<Vec<PrefilledPart>>,
-    /// What others told, and what goes on to them.
+    /// Gossip received from peers and waiting to be sent to them.
     pub(crate) gossip: RefCell<GossipState>,
-    /// When other instances were last asked.
+    /// When a peer was last asked for a snapshot.
     pub last_query: LastQuery,
-    /// Lines on requests that went well.
+    /// Rate limit of log lines about requests that succeed.
     pub success_log_limit: LogRateLimit,
-    /// Lines on requests that did not.
+    /// Rate limit of log lines about requests that fail.
     pub failure_log_limit: LogRateLimit,
     ranks: RefCell<HubRanking>,
     ranks_seen: Cell<(u64, u64)>,
@@ -105,28 +105,28 @@
     beat: Cell<u64>,
     config: RefCell<Option<Rc<Config>>>,
     retries: RefCell<HashMap<String, FleetRetryBudget>>,
-    /// What answers and requests have taught.
+    /// Estimates learned from requests and answers.
     pub learned: Learned,
     suspects: RefCell<PoisonTracker>,
-    /// Orders to engines.
+    /// Role orders to engines.
     pub role_orders: RoleOrders,
-    /// What one instance does for all.
+    /// Tasks that one instance performs for the fleet.
     pub singleton_tasks: SingletonTasks,
-    /// How far the list of upstreams was read.
+    /// Log position up to which the list of upstreams was applied.
     pub list_position: RefCell<LogFollower>,
-    /// What the list last said.
+    /// Entries of the list as last read, to tell new ones from rewritten ones.
     pub(crate) last_listed: RefCell<ListedEntries>,
-    /// How far the configuration was read.
+    /// Log position up to which the configuration was applied.
     pub config_position: RefCell<LogFollower>,
 }
 
 impl Relay {
-    /// An instance that knows nothing yet.
+    /// Creates an instance without configuration, upstreams or members.
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Rc<Self> {
         let metrics = Metrics::new(&settings.name, &settings.zone);
         let upstreams = Upstreams::new(&settings.zone, clock);
-        let orders = RoleOrders::new(settings.lease_ms);
-        let duties = SingletonTasks::new(settings.lease_ms);
+        let role_orders = RoleOrders::new(settings.lease_ms);
+        let singleton_tasks = SingletonTasks::new(settings.lease_ms);
         let own = InstanceKey::of(&settings.name);
         Rc::new(Self {
             settings: RefCell::new(settings),
@@ -138,8 +138,8 @@
             prefix_news: RefCell::default(),
             gossip: RefCell::default(),
             last_query: LastQuery::default(),
-            success_log_limit: LogRateLimit::new("served", SERVED_LINES),
-            failure_log_limit: LogRateLimit::new("failed", FAILED_LINES),
+            success_log_limit: LogRateLimit::new("served", SUCCESS_LINES_PER_S),
+            failure_log_limit: LogRateLimit::new("failed", FAILURE_LINES_PER_S),
             ranks: RefCell::default(),
             ranks_seen: Cell::default(),
             phase: Cell::default(),
@@ -149,39 +149,39 @@
             retries: RefCell::default(),
             learned: Learned::default(),
             suspects: RefCell::default(),
-            role_orders: orders,
-            singleton_tasks: duties,
+            role_orders,
+            singleton_tasks,
             list_position: RefCell::new(LogFollower::new(own)),
             last_listed: RefCell::default(),
             config_position: RefCell::new(LogFollower::new(own)),
         })
     }
 
-    /// Time on the instance's clock.
+    /// Time since the start of the process, in ms.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// How far it is on its way out.
+    /// Current lifecycle phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Goes on to a later phase.
+    /// Enters a later phase; an earlier or the same one changes nothing.
     pub fn enter(&self, phase: Phase) {
         if phase > self.phase.get() {
             self.phase.set(phase);
             match phase {
                 Phase::Serving => {}
-                Phase::Leaving => log::info!("not handed out any more"),
+                Phase::Leaving => log::info!("leaving: no longer offered to callers"),
                 Phase::Closing => {
-                    log::info!(busy = self.in_flight.get(); "no new connections any more");
+                    log::info!(busy = self.in_flight.get(); "closing: accepting no new connections");
                 }
             }
         }
     }
 
-    /// Whether callers may be sent here: only with a configuration can anything be served.
+    /// Whether callers may be sent here; without a configuration no request can be served.
     pub fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving && self.config.borrow().is_some()
     }
@@ -191,7 +191,7 @@
         self.config.borrow().clone()
     }
 
-    /// Takes a version into force unless a newer one is; gives whether it was taken.
+    /// Puts a version into force and returns true, unless that version or a newer one is in force.
     pub fn configure(&self, config: Config) -> bool {
         let mut current = self.config.borrow_mut();
         if current
@@ -203,7 +203,7 @@
         log::info!(
             version = config.version, routes = config.route_count(), keys = config.access.key_count(),
             workspaces = config.access.workspaces().len();
-            "configuration taken"
+            "configuration applied"
         );
         self.metrics
             .config_version
@@ -213,7 +213,7 @@
         true
     }
 
-    /// All metrics as text, those of the moment included.
+    /// All metrics in the text format, after setting the gauges to their current values.
     pub fn metrics_text(&self) -> Vec<u8> {
         let metrics = &self.metrics;
         let now_ms = self.now_ms();
@@ -239,16 +239,16 @@
             .set(self.poison_requests().len().cast_signed() as i64);
         let terms = self.settings.borrow().retry_budget;
         let share = self.share();
-        for (service, repeats) in self.retries.borrow_mut().iter_mut() {
-            let left = repeats.remaining(now_ms, &terms, &share);
+        for (service, retries) in self.retries.borrow_mut().iter_mut() {
+            let left = retries.remaining(now_ms, &terms, &share);
             metrics
                 .retries_left
                 .with_label_values(&[service])
                 .set(left as i64);
         }
-        let budgets = [&self.success_log_limit, &self.failure_log_limit];
-        let left_out = budgets.map(|budget| (budget.kind(), budget.dropped()));
-        for (kind, lines) in left_out
+        let limits = [&self.success_log_limit, &self.failure_log_limit];
+        let dropped = limits.map(|limit| (limit.kind(), limit.dropped()));
+        for (kind, lines) in dropped
             .into_iter()
             .chain([("slow_reader", lines_dropped())])
         {
@@ -260,7 +260,7 @@
         metrics.text()
     }
 
-    /// What this instance knows, for another one.
+    /// The snapshot for a peer that asks.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             config: self.config().map(|config| (&*config).into()),
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Limits of a service's engines; nothing is known of what is not configured.
+    /// Limits of a service's engines; all zero if none are configured.
     pub fn engine_limits(&self, service: &str) -> EngineLimits {
         let config = self.config.borrow();
         let service = config.as_ref().and_then(|config| config.service(service));
@@ -284,13 +284,13 @@
             .unwrap_or_default()
     }
 
-    /// Instances that serve now, among which connections are split.
+    /// Number of instances that serve now; connection limits are divided by it.
     pub fn instance_count(&self) -> usize {
         self.members.borrow().reachable_count()
     }
 }
 
-/// Age of what this instance could tell another one, if it has taken in all that it knows of.
+/// Age of a log's content for a snapshot; none while records are known to be missing.
 fn known_age_ms(followed: &LogFollower) -> Option<u64> {
     let is_behind = followed.is_behind();
     age_ms(followed).filter(|_| !is_behind)
--- a/crates/relay/src/relay/limits.rs
+++ b/crates/relay/src/relay/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name for all instances together, and this instance's part of them.
+//! Rate limits that upstreams announce for the whole fleet, and this instance's share of them.
 
 use plan::InstancePosition;
 use view::{GossipMessage, UpstreamLimit};
@@ -7,7 +7,7 @@
 use crate::upstream::Upstream;
 
 impl Relay {
-    /// Upstreams that name a limit.
+    /// Number of upstreams that announce a rate limit.
     pub(super) fn limited(&self) -> usize {
         let now_ms = self.now_ms();
         let upstreams = self.upstreams.borrow();
@@ -17,12 +17,12 @@
         limited.count()
     }
 
-    /// An answer of an upstream named a limit, or none.
+    /// Records the rate limit that an answer announces, or that it announces none, and gossips a change.
     pub fn record_rate_limit(&self, upstream: &Upstream, per_s: Option<f64>) {
         let day_ms = self.singleton_tasks.fleet_ms();
         let learned = upstream.limit().observe(self.now_ms(), day_ms, per_s);
         if learned.is_changed {
-            note_changed(upstream, per_s, "answer");
+            log_limit_changed(upstream, per_s, "answer");
         }
         if let Some(at_ms) = learned.gossip_as_of_ms {
             self.gossip.borrow_mut().add_limit(UpstreamLimit {
@@ -33,51 +33,53 @@
         }
     }
 
-    /// Takes in limits that other instances were told.
-    pub(super) fn take_limits(&self, now_ms: u64, told: &GossipMessage) {
+    /// Applies rate limits that peers observed, and passes on those that are newer than the known ones.
+    pub(super) fn apply_limits(&self, now_ms: u64, message: &GossipMessage) {
         let upstreams = self.upstreams.borrow();
-        for word in &told.limits {
-            let Some(upstream) = upstreams.get_by_key(word.upstream) else {
+        for observed in &message.limits {
+            let Some(upstream) = upstreams.get_by_key(observed.upstream) else {
                 continue;
             };
             let before = upstream.limit().per_s(now_ms);
             if !upstream
                 .limit()
-                .apply_from_peer(now_ms, word.at_ms, word.per_s)
+                .apply_from_peer(now_ms, observed.at_ms, observed.per_s)
             {
                 continue;
             }
-            if before != word.per_s {
-                note_changed(upstream, word.per_s, "another instance");
+            if before != observed.per_s {
+                log_limit_changed(upstream, observed.per_s, "another instance");
             }
-            self.gossip.borrow_mut().forward_limit(*word, told.kind);
+            self.gossip
+                .borrow_mut()
+                .forward_limit(*observed, message.kind);
         }
     }
 
-    /// Whether a request may go to an upstream now, within the limit that it names.
+    /// Whether this instance's share of an upstream's rate limit allows one more request now.
     pub fn has_rate_capacity(&self, upstream: &Upstream) -> bool {
         let now_ms = self.now_ms();
-        let part_per_s = self.part_per_s(now_ms, upstream);
-        part_per_s.is_none_or(|part| upstream.limit().has_room(now_ms, part))
+        let share_per_s = self.share_per_s(now_ms, upstream);
+        share_per_s.is_none_or(|share| upstream.limit().has_room(now_ms, share))
     }
 
-    /// Takes the place of one request at an upstream, within the limit that it names.
+    /// Takes one request from this instance's share of an upstream's rate limit; false if none is left.
     ///
-    /// Whatever is sent for a caller passes here, first or again, to be read or to be run: an upstream counts them alike.
+    /// Every send for a caller takes one, also retries and separate prefills: the upstream counts them alike.
     pub fn take_rate_capacity(&self, upstream: &Upstream) -> bool {
         let now_ms = self.now_ms();
-        let part_per_s = self.part_per_s(now_ms, upstream);
-        part_per_s.is_none_or(|part| upstream.limit().take(now_ms, part))
+        let share_per_s = self.share_per_s(now_ms, upstream);
+        share_per_s.is_none_or(|share| upstream.limit().take(now_ms, share))
     }
 
-    /// This instance's part of an upstream's limit, if that names one.
-    fn part_per_s(&self, now_ms: u64, upstream: &Upstream) -> Option<f64> {
+    /// This instance's share of an upstream's rate limit, if it announces one.
+    fn share_per_s(&self, now_ms: u64, upstream: &Upstream) -> Option<f64> {
         let per_s = upstream.limit().per_s(now_ms)?;
         Some(self.position().share_per_s(per_s, upstream.key.0.into()))
     }
 
     fn position(&self) -> InstancePosition {
-        self.look_at_ranks();
+        self.update_ranks();
         let ranks = self.ranks.borrow();
         InstancePosition {
             rank: ranks.rank,
@@ -86,9 +88,9 @@
     }
 }
 
-fn note_changed(upstream: &Upstream, per_s: Option<f64>, origin: &str) {
+fn log_limit_changed(upstream: &Upstream, per_s: Option<f64>, origin: &str) {
     log::info!(
         upstream = upstream.id, limit_per_s:? = per_s, origin;
-        "upstream's limit changed"
+        "upstream's rate limit changed"
     );
 }
--- a/crates/relay/src/relay/list.rs
+++ b/crates/relay/src/relay/list.rs
@@ -1,8 +1,8 @@
-//! How an instance takes in the list of upstreams, from whomever it comes.
+//! Updates of the list of upstreams.
 //!
-//! Records are read, the whole list is read, changes are told, and other instances are asked for theirs. Answers
-//! overtake each other, so whatever comes has its place in the log, and counts only beyond what was taken in
-//! before: else an older one would bring back an upstream that left. See docs/design/views.md.
+//! Updates come from records and whole lists read from the store, from gossip and from snapshots of peers, and
+//! may arrive out of order. Each carries its log position and is applied only beyond the position reached
+//! before; otherwise an older update would bring back an upstream that left. See docs/design/views.md.
 
 use view::polling::{FreshnessBounds, ReaderRole};
 use view::{GossipedChange, ListChange, LogPosition, UpstreamEntry};
@@ -11,47 +11,47 @@
 use crate::upstream::Upstream;
 use crate::upstreams::{Effect, Unconfirmed};
 
-/// Where a change of the list of upstreams came from.
+/// Source of a change to the list of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// A record of the log that this instance read.
+    /// A log record that this instance read.
     Read,
-    /// The whole list, read at once.
+    /// The whole list, read from the store.
     Whole,
-    /// A record that another instance read, and told.
+    /// A log record that a peer read and gossiped.
     Told,
-    /// The list of another instance that was asked.
+    /// The snapshot of a peer.
     Asked,
-    /// An entry that lapsed with the store and did not come back in time.
+    /// An unconfirmed entry that did not come back in time.
     Lapse,
 }
 
-/// What a read of the list brought.
+/// Result of reading records of the list.
 #[derive(Debug, Clone)]
 pub struct ChangesRead {
-    /// Changes, each with the offset of its record.
+    /// Changes in log order, each with the offset of its record.
     pub changes: Vec<(u64, ListChange)>,
     /// Offset after the last record.
     pub next: u64,
-    /// Offset at which the log ended; beyond `next` if one answer could not bring all.
+    /// End of the log at the time of the read; beyond `next` if one response could not hold all records.
     pub end: u64,
 }
 
 impl Relay {
-    /// Time for which a change of the list of upstreams may have gone unnoticed; nothing if the list
-    /// was never read.
+    /// Time for which a change of the list of upstreams may have gone unnoticed, in ms; none if the
+    /// list was never read.
     pub fn list_age_ms(&self) -> Option<u64> {
         age_ms(&self.list_position.borrow())
     }
 
-    /// Takes in a change of the list of upstreams.
+    /// Applies one change to the list of upstreams and logs its effect.
     pub fn apply_change(&self, change: ListChange, origin: Origin) {
         let id = changed_id(&change);
         let effect = self.upstreams.borrow_mut().apply(self.now_ms(), change);
         self.note_effect(&id, effect, origin);
     }
 
-    /// Takes in the whole list of upstreams.
+    /// Replaces the list of upstreams: those missing in `entries` are gone.
     pub fn replace_list(&self, entries: Vec<UpstreamEntry>, origin: Origin) {
         let effects = self.upstreams.borrow_mut().replace(self.now_ms(), entries);
         for (id, effect) in effects {
@@ -59,68 +59,69 @@
         }
     }
 
-    /// Takes over what another instance doubts of the list that it told.
-    pub fn mark_unconfirmed(&self, doubts: &[Unconfirmed]) {
+    /// Marks the entries that a peer's snapshot names as unconfirmed.
+    pub fn mark_unconfirmed(&self, unconfirmed: &[Unconfirmed]) {
         self.upstreams
             .borrow_mut()
-            .mark_unconfirmed(self.now_ms(), doubts);
+            .mark_unconfirmed(self.now_ms(), unconfirmed);
     }
 
-    /// Another instance told a change, which counts if nothing before it was missed.
-    pub(super) fn take_change(&self, now_ms: u64, news: &GossipedChange) {
-        if !self.list_position.borrow_mut().apply_change(news) {
+    /// Applies a change that a peer gossiped, unless it is known already or one before it is missing here.
+    pub(super) fn apply_gossiped_change(&self, now_ms: u64, gossiped: &GossipedChange) {
+        if !self.list_position.borrow_mut().apply_change(gossiped) {
             return;
         }
-        self.last_listed.borrow_mut().apply(&news.change);
-        let (change, doubt_ms) = (news.change.clone(), news.unconfirmed_ms.into());
+        self.last_listed.borrow_mut().apply(&gossiped.change);
+        let (change, may_have_lapsed_ms) =
+            (gossiped.change.clone(), gossiped.unconfirmed_ms.into());
         let id = changed_id(&change);
-        let effect = self
-            .upstreams
-            .borrow_mut()
-            .apply_from_peer(now_ms, change, doubt_ms);
+        let effect =
+            self.upstreams
+                .borrow_mut()
+                .apply_from_peer(now_ms, change, may_have_lapsed_ms);
         self.note_effect(&id, effect, Origin::Told);
         self.gossip
             .borrow_mut()
-            .add_list_change(now_ms, news.clone());
+            .add_list_change(now_ms, gossiped.clone());
     }
 
-    /// Another instance told where the list stands.
-    pub(super) fn take_mark(&self, since_boot_ms: u64, mark: &LogPosition) {
+    /// Records the log position that a peer gossiped for the list.
+    pub(super) fn apply_list_position(&self, since_boot_ms: u64, position: &LogPosition) {
         let mut list = self.list_position.borrow_mut();
-        let was_sure = list.knows_last_change();
-        list.receive_position(since_boot_ms, mark);
-        if !was_sure && list.knows_last_change() {
+        let knew_last_change = list.knows_last_change();
+        list.receive_position(since_boot_ms, position);
+        if !knew_last_change && list.knows_last_change() {
             log::info!(
-                changed = mark.last_change, taken = list.last_applied_change(), mark_age_ms = mark.age_ms,
-                reader:? = mark.read_id.reader;
-                "last change of the list heard of"
+                changed = position.last_change, taken = list.last_applied_change(), mark_age_ms = position.age_ms,
+                reader:? = position.read_id.reader;
+                "latest change of the list of upstreams learned from a peer"
             );
         }
     }
 
-    /// The list of upstreams could not be read.
+    /// Handles a failed read of the list of upstreams.
     ///
-    /// While others vouch for it, the store is there and only turns this instance away: nothing can have
-    /// lapsed with it, and doubting that entries have left would keep leaving upstreams in use.
+    /// While peers confirm a recent list, the store is available and rejects only this instance. Nothing can
+    /// have lapsed then, and treating entries that go as unconfirmed would keep leaving upstreams in use.
     pub fn list_read_failed(&self, bounds: &FreshnessBounds) {
-        let most_ms = bounds.max_list_age_ms(ReaderRole::Other);
-        if self.list_age_ms().is_none_or(|age_ms| age_ms >= most_ms) {
+        let max_age_ms = bounds.max_list_age_ms(ReaderRole::Other);
+        if self.list_age_ms().is_none_or(|age_ms| age_ms >= max_age_ms) {
             self.upstreams.borrow_mut().store_unreachable(self.now_ms());
         }
     }
 
-    /// The store holds an older copy of the list, and what upstreams wrote lately is written again.
+    /// Handles a store that was restored from an older copy of the list.
     ///
-    /// An upstream that came lately is missing in the copy though it lives. Dropped at once, it would be out of
-    /// use until its next heartbeat.
+    /// An upstream that joined after the copy is missing from it until its next heartbeat. Its entry becomes
+    /// unconfirmed, so that it is not dropped for that time.
     pub fn list_rolled_back(&self) {
         self.upstreams.borrow_mut().store_unreachable(self.now_ms());
     }
 
-    /// The whole list was read, as it stood at `as_of_ms` up to the offset `next`.
+    /// Applies the whole list as it stood at `as_of_ms`, up to the offset `next`.
     ///
-    /// Another instance may have told more while the answer was on its way. The entries in it are older
-    /// then, and would bring back an upstream whose entry went; the record that says so would not be read again.
+    /// Gossip may have brought later changes while the response was on its way. The response is dropped then:
+    /// it could bring back an upstream whose entry went, and the record of that would not be read again.
     pub fn take_whole_list(&self, as_of_ms: u64, next: u64, entries: Vec<UpstreamEntry>) {
         let is_older = self
             .list_position
@@ -137,8 +138,8 @@
             .record_snapshot(as_of_ms, next);
     }
 
-    /// Records of the list were read, as it stood at `as_of_ms`. What another instance told while they were on
-    /// their way is passed over, as with the whole list.
+    /// Applies records of the list as it stood at `as_of_ms`. Records that gossip has brought meanwhile are
+    /// skipped, for the same reason as in [`Relay::take_whole_list`].
     pub fn take_changes(&self, as_of_ms: u64, read: ChangesRead) {
         let (from, mut before) = {
             let list = self.list_position.borrow();
@@ -152,12 +153,12 @@
             if offset < from {
                 continue;
             }
-            if let Some(after) = self.read_change(before, offset, change) {
+            if let Some(after) = self.apply_record(before, offset, change) {
                 changed = Some(after);
                 before = after;
             }
         }
-        // What one answer could not bring may hold news, and is read at once.
+        // Records that did not fit into the response may hold changes, so they are read at once.
         if read.next < read.end {
             changed = Some(read.end);
         }
@@ -166,61 +167,60 @@
             .record_read(as_of_ms, read.next, changed);
     }
 
-    /// Takes in a change that was read at an offset, `before` being the one after the last change before it;
-    /// gives the offset after it if it says something new.
-    fn read_change(&self, before: u64, offset: u64, change: ListChange) -> Option<u64> {
-        let is_news = self.last_listed.borrow_mut().apply(&change);
-        let doubt_ms = self.upstreams.borrow().may_have_lapsed_ms(self.now_ms());
+    /// Applies and gossips the change of the record at `offset`. `before` is the offset after the last
+    /// record with a real change. Returns the offset after this one if it is a real change, not a heartbeat.
+    fn apply_record(&self, before: u64, offset: u64, change: ListChange) -> Option<u64> {
+        let is_real_change = self.last_listed.borrow_mut().apply(&change);
+        let may_have_lapsed_ms = self.upstreams.borrow().may_have_lapsed_ms(self.now_ms());
         self.apply_change(change.clone(), Origin::Read);
         let after = offset + 1;
-        let news = GossipedChange {
+        let gossiped = GossipedChange {
             previous_offset: before,
             offset: after,
             change,
-            unconfirmed_ms: doubt_ms as u32,
+            unconfirmed_ms: may_have_lapsed_ms as u32,
         };
-        is_news.then(|| {
+        is_real_change.then(|| {
             self.gossip
                 .borrow_mut()
-                .add_list_change(self.now_ms(), news);
+                .add_list_change(self.now_ms(), gossiped);
             after
         })
     }
 
-    /// Drops what lapsed from the list and did not come back.
+    /// Removes unconfirmed upstreams whose entries did not come back in time.
     pub fn remove_lapsed(&self) {
-        let left = self.upstreams.borrow_mut().remove_lapsed(self.now_ms());
-        for id in left {
+        let removed = self.upstreams.borrow_mut().remove_lapsed(self.now_ms());
+        for id in removed {
             self.note_effect(&id, Effect::Left, Origin::Lapse);
         }
     }
 
-    /// Another incarnation answered at an upstream's address, so the one known is gone.
+    /// Removes an upstream at whose address another incarnation answered.
     pub fn remove_replaced(&self, upstream: &Upstream) {
         self.upstreams.borrow_mut().remove_replaced(&upstream.id);
         self.note_left(&upstream.id);
         log::info!(upstream = upstream.id; "upstream replaced by another incarnation");
     }
 
-    /// Writes a line on what became of an upstream, and forgets what rested on one that ended.
+    /// Logs what became of an upstream, and notes for failure attribution that an incarnation ended.
     fn note_effect(&self, id: &str, effect: Effect, origin: Origin) {
-        let what = match effect {
+        let message = match effect {
             Effect::Unchanged => return,
             Effect::Joined => "upstream joined",
             Effect::Changed => "upstream changed",
             Effect::Left => "upstream left",
-            Effect::Unconfirmed => "upstream's entry lapsed with the store",
+            Effect::Unconfirmed => "upstream's entry is gone and may have lapsed with the store",
         };
-        self.line_on_upstream(id, what, origin);
-        // One that joins may do so under the id of one that has ended, if it was kept through a restart.
+        self.log_upstream(id, message, origin);
+        // An upstream that restarted under its old id shows only as one that joined.
         if matches!(effect, Effect::Joined | Effect::Left) {
             self.note_left(id);
         }
     }
 
-    /// Writes what became of an upstream, and what that rests on: where the change came from, how far the
-    /// list was taken in before it, and as of when.
-    fn line_on_upstream(&self, id: &str, what: &str, origin: Origin) {
+    /// Logs a change of an upstream with its origin, and the log position and age of the list before it.
+    fn log_upstream(&self, id: &str, message: &str, origin: Origin) {
         let upstreams = self.upstreams.borrow();
         let entry = upstreams.get(id).map(|upstream| upstream.entry());
         let list = self.list_position.borrow();
@@ -232,7 +232,7 @@
             list_next = list.next_offset().unwrap_or_default(),
             list_taken = list.last_applied_change(),
             list_age_ms = age_ms(&list).unwrap_or(u64::MAX);
-            "{what}"
+            "{message}"
         );
     }
 }
--- a/crates/relay/src/relay/peers.rs
+++ b/crates/relay/src/relay/peers.rs
@@ -1,4 +1,4 @@
-//! What an instance tells others of itself, and takes in of what they tell.
+//! Gossip with peers: what this instance announces, and how it applies what peers announce.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,37 +13,37 @@
 use super::Relay;
 use crate::{role_orders, singleton_tasks};
 
-/// Time after which the order of instances is looked at again without a new record, in ms: a fraction of
-/// the time in which one counts as silent.
-const RANKS_MS: u64 = 200;
+/// Interval at which instances are ranked again although no member record changed, in ms. It is a fraction
+/// of the time after which an instance counts as silent.
+const RANKS_MAX_AGE_MS: u64 = 200;
 
 impl Relay {
-    /// How this instance follows the store's logs.
+    /// The reader role in which this instance follows the store's logs.
     pub fn reader_role(&self) -> ReaderRole {
-        // One that knows nobody yet has read everything itself just now, and soon hears from others.
+        // An instance that knows no member yet has just read everything itself, and soon receives gossip.
         if !self.members.borrow().has_members() {
             return ReaderRole::Other;
         }
-        self.look_at_ranks();
+        self.update_ranks();
         let ranks = self.ranks.borrow();
         reader_role(ranks.rank, ranks.instances, ranks.hubs.len())
     }
 
-    /// Sees to it that the ranks are those of the moment.
-    pub(super) fn look_at_ranks(&self) {
+    /// Ranks the instances again if a member changed or the ranks are too old.
+    pub(super) fn update_ranks(&self) {
         let members = self.members.borrow();
         let now_ms = self.now_ms();
-        let seen = (members.version(), now_ms / RANKS_MS);
+        let seen = (members.version(), now_ms / RANKS_MAX_AGE_MS);
         if self.ranks_seen.replace(seen) != seen {
             let own = &self.settings.borrow().name;
             *self.ranks.borrow_mut() = HubRanking::of(own, &members);
         }
     }
 
-    /// The heartbeat to be written now, which other instances are told of too.
+    /// The heartbeat to write to the store now; it is gossiped too.
     pub fn heartbeat(&self) -> Member {
-        // A process that starts anew must not seem older than it was before, or its word would be
-        // passed over; the time of day may have been set back meanwhile.
+        // Peers ignore a heartbeat number below one they know. The wall clock may have been set back
+        // since the previous process wrote its last one.
         let own = self.settings.borrow().name.clone();
         let before = self
             .members
@@ -58,10 +58,10 @@
         member
     }
 
-    /// A heartbeat of this instance stands in the store.
+    /// Records that a heartbeat of this instance is in the store.
     ///
-    /// It does not count as knowing the instances: one that has read nobody else's yet would take itself
-    /// for the only one.
+    /// It is ignored while no member is known: an instance that has not read the others' heartbeats yet
+    /// would take itself for the only one.
     pub fn heartbeat_stored(&self, member: Member) {
         let mut members = self.members.borrow_mut();
         if members.has_members() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What the instance would say of itself now.
+    /// The member record of this instance as of now, with the number of its last heartbeat.
     pub fn own_member(&self) -> Member {
         let settings = self.settings.borrow();
         Member {
@@ -83,40 +83,44 @@
         }
     }
 
-    /// What other instances are to be told now, and where they are.
+    /// The gossip datagrams to send now, each with the address of its receiver.
+    ///
+    /// Also drops gossip from silent peers and removes unconfirmed upstreams whose time is up.
     pub fn due_gossip(&self) -> Vec<(SocketAddr, GossipMessage)> {
         let now_ms = self.now_ms();
         let expired = self.gossip.borrow_mut().expire(now_ms);
-        self.take_loads(&expired);
+        self.apply_loads(&expired);
         self.remove_lapsed();
-        self.note_poisonous();
-        let own = self.own();
+        self.log_new_poison_requests();
+        let own = self.local_state();
         let key = InstanceKey::of(&own.member.name);
         if own.member.ready && self.members.borrow().has_members() {
             self.members.borrow_mut().record_self_alive(now_ms, key);
         }
-        self.look_at_ranks();
+        self.update_ranks();
         let ranks = self.ranks.borrow();
         let mut out = self.gossip.borrow_mut().tick(now_ms, own, &ranks);
-        let keepers = ranks.hubs.iter().take(singleton_tasks::LEADER_CANDIDATES);
-        let keepers: Vec<SocketAddr> = keepers.filter_map(|keeper| keeper.gossip_address).collect();
-        self.singleton_tasks.add_tallies(now_ms, &mut out, &keepers);
+        let candidates = ranks.hubs.iter().take(singleton_tasks::LEADER_CANDIDATES);
+        let candidates: Vec<SocketAddr> = candidates.filter_map(|hub| hub.gossip_address).collect();
+        self.singleton_tasks
+            .add_tallies(now_ms, &mut out, &candidates);
         out
     }
 
-    /// Instances before this one in the order in which they take parts for the others.
+    /// Rank of this instance, 0 first: low ranks are hubs, log readers and leader candidates.
     pub fn rank(&self) -> usize {
-        self.look_at_ranks();
+        self.update_ranks();
         self.ranks.borrow().rank
     }
 
-    fn own(&self) -> LocalState {
+    /// What this instance announces about itself.
+    fn local_state(&self) -> LocalState {
         let now_ms = self.now_ms();
         let since_boot_ms = since_boot_ms();
-        let duty = self.reader_role();
-        let reads_for_others = duty.is_reader();
+        let reader_role = self.reader_role();
+        let reads_for_others = reader_role.is_reader();
         let upstreams = self.upstreams.borrow();
-        let mark =
+        let position =
             |log: &RefCell<LogFollower>| log.borrow().position(since_boot_ms, reads_for_others);
         LocalState {
             member: self.own_member(),
@@ -127,93 +131,89 @@
                 .filter_map(|each| each.own_role_change(now_ms))
                 .collect(),
             demand: self.role_orders.demand(now_ms),
-            last_order_token: role_orders::leader_fence(self, duty),
+            last_order_token: role_orders::leader_fence(self, reader_role),
             last_task_token: singleton_tasks::leader_fence(self),
             clock_ms: unix_ms(),
             fleet_clock_ms: self.singleton_tasks.fleet_ms(),
-            list_position: mark(&self.list_position),
-            config_position: mark(&self.config_position),
+            list_position: position(&self.list_position),
+            config_position: position(&self.config_position),
             poison: self.poison_requests(),
         }
     }
 
-    /// Another instance told something.
-    pub fn receive_gossip(&self, told: &GossipMessage, peer: SocketAddr) {
+    /// Applies a gossip datagram of a peer.
+    pub fn receive_gossip(&self, message: &GossipMessage, peer: SocketAddr) {
         let now_ms = self.now_ms();
-        self.take_members(now_ms, told);
-        let heard = self.gossip.borrow_mut().receive(now_ms, told, peer);
-        self.take_loads(&heard);
-        self.take_news(now_ms, told);
-        self.take_fates(now_ms, told);
-        self.take_limits(now_ms, told);
+        self.apply_members(now_ms, message);
+        let changed = self.gossip.borrow_mut().receive(now_ms, message, peer);
+        self.apply_loads(&changed);
+        self.apply_log_changes(now_ms, message);
+        self.apply_attributions(now_ms, message);
+        self.apply_limits(now_ms, message);
         self.singleton_tasks
-            .receive_gossip(self.settings.borrow().singleton_tasks, told);
+            .receive_gossip(self.settings.borrow().singleton_tasks, message);
         let upstreams = self.upstreams.borrow();
-        for turning in &told.role_changes {
-            if let Some(upstream) = upstreams.get_by_key(turning.upstream) {
-                upstream.begin_role_change(
-                    now_ms,
-                    turning.stage,
-                    turning.remaining_ms.into(),
-                    false,
-                );
+        for change in &message.role_changes {
+            if let Some(upstream) = upstreams.get_by_key(change.upstream) {
+                upstream.begin_role_change(now_ms, change.stage, change.remaining_ms.into(), false);
             }
         }
-        for read in &told.prefilled_parts {
-            if let Some(upstream) = upstreams.get_by_key(read.upstream) {
+        for part in &message.prefilled_parts {
+            if let Some(upstream) = upstreams.get_by_key(part.upstream) {
                 let kv_tokens = self.engine_limits(&upstream.service).kv_tokens;
-                let tokens = f64::from(read.tokens);
-                upstream.note_cached_part(read.part, tokens, read.progress, kv_tokens as f64);
+                let tokens = f64::from(part.tokens);
+                upstream.note_cached_part(part.part, tokens, part.progress, kv_tokens as f64);
             }
         }
     }
 
-    fn take_members(&self, now_ms: u64, told: &GossipMessage) {
+    fn apply_members(&self, now_ms: u64, message: &GossipMessage) {
         let mut members = self.members.borrow_mut();
-        for member in &told.members {
+        for member in &message.members {
             if members.receive_heartbeat(now_ms, member) {
                 self.gossip.borrow_mut().add_member(now_ms, member.clone());
             }
         }
-        for key in &told.alive {
+        for key in &message.alive {
             members.record_alive(now_ms, *key);
         }
     }
 
-    fn take_loads(&self, heard: &ChangedLoads) {
-        let shared = self.gossip.borrow();
+    /// Updates what peers have outstanding at the upstreams in `changed`, or clears it if no gossip arrives.
+    fn apply_loads(&self, changed: &ChangedLoads) {
+        let gossip = self.gossip.borrow();
         let upstreams = self.upstreams.borrow();
-        if !shared.has_senders() {
+        if !gossip.has_senders() {
             upstreams.iter().for_each(|each| each.set_peer_load(None));
             return;
         }
-        for upstream in heard
+        for upstream in changed
             .upstreams
             .iter()
             .filter_map(|key| upstreams.get_by_key(*key))
         {
-            upstream.set_peer_load(Some(shared.load(upstream.key)));
+            upstream.set_peer_load(Some(gossip.load(upstream.key)));
         }
     }
 
-    fn take_news(&self, now_ms: u64, told: &GossipMessage) {
+    fn apply_log_changes(&self, now_ms: u64, message: &GossipMessage) {
         let since_boot_ms = since_boot_ms();
-        for news in &told.list_changes {
-            self.take_change(now_ms, news);
+        for change in &message.list_changes {
+            self.apply_gossiped_change(now_ms, change);
         }
-        if let Some(mark) = &told.list_position {
-            self.take_mark(since_boot_ms, mark);
+        if let Some(position) = &message.list_position {
+            self.apply_list_position(since_boot_ms, position);
         }
-        if let Some(mark) = &told.config_position {
+        if let Some(position) = &message.config_position {
             self.config_position
                 .borrow_mut()
-                .receive_position(since_boot_ms, mark);
+                .receive_position(since_boot_ms, position);
         }
     }
 }
 
-/// Time of day; a clock set before 1970 counts as 0, and the caller goes by what it knows of its own
-/// earlier records instead.
+/// Wall clock in ms since 1970, or 0 if it is set before that; callers that need an increasing value also
+/// compare with their earlier records.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/relay/src/relay/poison.rs
+++ b/crates/relay/src/relay/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end the upstreams that run them, as far as this instance knows.
+//! Poison requests: requests that terminate the upstreams that run them.
 
 use serde::{Deserialize, Serialize};
 use view::poison::RETENTION_MS;
@@ -9,17 +9,18 @@
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 
-/// What the store is told of a request under which upstreams end.
+/// Record of a poison request in the store.
 ///
-/// Were all instances killed at once, each would otherwise have to lose upstreams again to find it out.
+/// Without it, each instance would have to lose upstreams again to detect the request once all of them had
+/// been killed at the same time.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct PoisonRecord {
-    /// Time of day at which it was found out, in ms.
+    /// Wall clock time at which the request was detected, in ms since 1970.
     pub found_unix_ms: u64,
 }
 
 impl Relay {
-    /// Whether it is being found out if one more upstream has ended under a request that has met one end.
+    /// Whether the health check that decides if one more upstream ended under a suspected request is running.
     pub fn is_attribution_pending(&self, call: &Call) -> bool {
         let deciding = self.suspects.borrow().undecided_upstreams(call.key);
         let upstreams = self.upstreams.borrow();
@@ -29,7 +30,7 @@
             .any(|upstream| upstream.is_health_check_running())
     }
 
-    /// Refuses a request under which upstreams end, as far as is known now; see [`crate::attribution::ensure_not_poison`].
+    /// Returns a refusal for a known poison request; see [`crate::attribution::ensure_not_poison`].
     pub fn check_poison(&self, call: &Call) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
@@ -40,25 +41,25 @@
         Err(Refusal::new(Reason::PoisonRequest))
     }
 
-    /// Something was seen that tells whether a request or its upstream is to blame.
-    pub fn record_attribution(&self, fate: FailureEvidence) {
+    /// Records evidence on whether a request or its upstream caused a loss, and gossips it if it is new.
+    pub fn record_attribution(&self, evidence: FailureEvidence) {
         let now_ms = self.now_ms();
-        if self.suspects.borrow_mut().observe(now_ms, fate) {
-            self.gossip.borrow_mut().add_evidence(fate);
+        if self.suspects.borrow_mut().observe(now_ms, evidence) {
+            self.gossip.borrow_mut().add_evidence(evidence);
         }
     }
 
-    /// An incarnation of an upstream is no longer used.
+    /// Notes that the last removed incarnation of an upstream ended: evidence against requests it had lost.
     pub(super) fn note_left(&self, id: &str) {
-        let left = self.upstreams.borrow().last_removed(id);
-        if let Some(upstream) = left {
+        let removed = self.upstreams.borrow().last_removed(id);
+        if let Some(upstream) = removed {
             self.suspects
                 .borrow_mut()
                 .upstream_unlisted(self.now_ms(), upstream);
         }
     }
 
-    /// A request was answered whole by an upstream.
+    /// Clears a suspected request that an upstream answered completely.
     pub fn record_answered(&self, call: &Call) {
         let is_suspected = self.suspects.borrow().is_tracked(call.key);
         if is_suspected {
@@ -66,12 +67,12 @@
         }
     }
 
-    /// The requests under which upstreams end, those that came last.
+    /// Known poison requests, the most recent first, at most as many as gossip carries.
     pub fn poison_requests(&self) -> Vec<RequestKey> {
         self.suspects.borrow().recent_poison(self.now_ms())
     }
 
-    /// Another instance, or the store, says that upstreams end under these requests.
+    /// Records poison requests that a peer or the store names.
     pub fn learn_poison_requests(&self, requests: &[RequestKey]) {
         let now_ms = self.now_ms();
         let mut suspects = self.suspects.borrow_mut();
@@ -80,24 +81,24 @@
         }
     }
 
-    /// Requests that were found out here and of which the store does not know yet.
+    /// Poison requests detected here that are not in the store yet.
     pub fn unsaved_poison_requests(&self) -> Vec<RequestKey> {
         self.suspects.borrow().unsaved(self.now_ms())
     }
 
-    /// Whether there are other instances, and none of them says what it knows.
+    /// Whether there are other instances but no gossip arrives from any of them.
     pub fn hears_no_peer(&self) -> bool {
         !self.gossip.borrow().has_senders() && self.instance_count() > 1
     }
 
-    /// What the store is told of such a request.
+    /// The record for the store of a poison request detected now.
     pub fn poison_record(&self) -> PoisonRecord {
         PoisonRecord {
             found_unix_ms: unix_ms(),
         }
     }
 
-    /// The store says that upstreams ended under a request.
+    /// Applies a record from the store, unless the request is old enough to be forgotten.
     pub fn load_poison_record(&self, request: RequestKey, record: PoisonRecord) {
         if unix_ms() < record.found_unix_ms.saturating_add(RETENTION_MS) {
             self.learn_poison_requests(&[request]);
@@ -105,32 +106,35 @@
         }
     }
 
-    /// The store may have lost what it knew, and is to be told again.
+    /// Marks saved poison requests as unsaved: the store may have lost their records.
     pub fn poison_records_may_be_lost(&self) {
         self.suspects.borrow_mut().mark_all_unsaved();
     }
 
-    /// The store knows of such a request.
+    /// Notes that the store has the record of a poison request.
     pub fn poison_request_saved(&self, request: RequestKey) {
         self.suspects.borrow_mut().mark_saved(request);
     }
 
-    /// Writes a line on each request that is refused from now on.
-    pub(super) fn note_poisonous(&self) {
+    /// Logs each request that has become known as a poison request.
+    pub(super) fn log_new_poison_requests(&self) {
         let found = self.suspects.borrow_mut().take_new_poison(self.now_ms());
         for (request, upstreams_lost) in found {
-            log::warn!(key:% = request, upstreams_lost; "request refused from now on: upstreams end under it");
+            log::warn!(key:% = request, upstreams_lost; "request refused from now on: it terminates upstreams");
         }
     }
 
-    pub(super) fn take_fates(&self, now_ms: u64, told: &GossipMessage) {
+    /// Applies the failure attributions and poison requests that a peer gossiped.
+    pub(super) fn apply_attributions(&self, now_ms: u64, message: &GossipMessage) {
         let mut suspects = self.suspects.borrow_mut();
-        for fate in &told.evidence {
-            if suspects.receive(now_ms, *fate) {
-                self.gossip.borrow_mut().forward_evidence(*fate, told.kind);
+        for evidence in &message.evidence {
+            if suspects.receive(now_ms, *evidence) {
+                self.gossip
+                    .borrow_mut()
+                    .forward_evidence(*evidence, message.kind);
             }
         }
-        for request in &told.poison {
+        for request in &message.poison {
             suspects.mark_poison(now_ms, *request);
         }
     }
--- a/crates/relay/src/relay/retries.rs
+++ b/crates/relay/src/relay/retries.rs
@@ -1,4 +1,4 @@
-//! The bound on requests that reach a service more than once, as this instance keeps its part of it.
+//! The retry budget of each service, of which this instance takes its share.
 
 use plan::BudgetShare;
 
@@ -6,32 +6,32 @@
 use crate::call::Call;
 
 impl Relay {
-    /// Counts a first send to a service.
+    /// Counts the first send of a request to a service, which adds to the retry budget.
     pub fn count_first_send(&self, service: &str) {
         let terms = self.settings.borrow().retry_budget;
         let mut all = self.retries.borrow_mut();
-        let repeats = all.entry(service.to_owned()).or_default();
-        repeats.record_first_send(self.now_ms(), &terms);
+        let retries = all.entry(service.to_owned()).or_default();
+        retries.record_first_send(self.now_ms(), &terms);
     }
 
-    /// Takes one repeat from the budget of a service.
+    /// Takes one retry from a service's budget; false if none is left.
     pub fn take_retry(&self, service: &str) -> bool {
-        // An instance that has just started does not know among how many the budget is split;
-        // were all to take it whole, a restart of many during a failure would break the bound.
+        // An instance that has just started does not know how many instances share the budget. If each
+        // took all of it, restarting many of them during an outage would exceed the limit.
         if !self.members.borrow().has_members() {
             return false;
         }
         let terms = self.settings.borrow().retry_budget;
         let share = self.share();
         let mut all = self.retries.borrow_mut();
-        let repeats = all.entry(service.to_owned()).or_default();
-        let may = repeats.try_retry(self.now_ms(), &terms, &share);
-        let labels = [outcome_of(may)];
+        let retries = all.entry(service.to_owned()).or_default();
+        let is_taken = retries.try_retry(self.now_ms(), &terms, &share);
+        let labels = [outcome_label(is_taken)];
         self.metrics.retries.with_label_values(&labels).inc();
-        may
+        is_taken
     }
 
-    /// Its share in the fixed allowance.
+    /// This instance's share of the part of the budget that does not depend on the request rate.
     pub(super) fn share(&self) -> BudgetShare {
         BudgetShare {
             instances: self.members.borrow().share_count(),
@@ -39,57 +39,56 @@
         }
     }
 
-    /// Whether a request may reach its service once more, which takes a repeat from the budget unless this is
-    /// the first time.
+    /// Whether a request may be sent to its service; all but its first arrival there take a retry from the budget.
     ///
-    /// Asked before each send. What became of the one before counts, whether or not it was meant to be a repeat: a
-    /// prompt that its reader rejects is one more arrival, and engines that reject all prompts would get
-    /// every request twice.
+    /// To be called before each send. Every earlier send that reached the service counts, also a prompt that its
+    /// prefill engine rejected: otherwise engines that reject all prompts would get every request twice.
     pub fn may_send(&self, call: &Call) -> bool {
-        self.may_arrive_times(call, 1)
+        self.may_send_times(call, 1)
     }
 
-    /// Whether a request may have its prompt read apart and then reach its service for its output.
+    /// Whether a request may be sent to a separate prefill engine and then to a decode engine.
     ///
-    /// Only the first read is free, so one that follows takes a repeat beside that of the output.
+    /// Only the first accepted prefill is free; a later one takes a retry in addition to that of the decode.
     pub fn may_prefill_apart(&self, call: &Call) -> bool {
-        !call.prefill_accepted.get() || self.may_arrive_times(call, 2)
+        !call.prefill_accepted.get() || self.may_send_times(call, 2)
     }
 
-    fn may_arrive_times(&self, call: &Call, times: u32) -> bool {
-        (0..times).all(|earlier| self.covers(call, call.arrivals() + earlier))
+    fn may_send_times(&self, call: &Call, times: u32) -> bool {
+        (0..times).all(|earlier| self.is_send_allowed(call, call.arrivals() + earlier))
     }
 
-    /// Whether the arrival after `arrivals` of a request is covered, or can be by one more repeat.
-    fn covers(&self, call: &Call, arrivals: u32) -> bool {
+    /// Whether a request that has arrived `arrivals` times may arrive once more; takes a retry if none
+    /// that it took before covers that.
+    fn is_send_allowed(&self, call: &Call, arrivals: u32) -> bool {
         if arrivals < call.allowed_arrivals.get() {
             return true;
         }
-        let may = self.take_retry(&call.service);
+        let is_taken = self.take_retry(&call.service);
         call.allowed_arrivals
-            .set(call.allowed_arrivals.get() + u32::from(may));
-        self.note_repeat(call, may);
-        may
+            .set(call.allowed_arrivals.get() + u32::from(is_taken));
+        self.log_retry(call, is_taken);
+        is_taken
     }
 
-    fn note_repeat(&self, call: &Call, may: bool) {
+    fn log_retry(&self, call: &Call, is_taken: bool) {
         let now_ms = self.now_ms();
         if !self.failure_log_limit.take(now_ms) {
             return;
         }
         let terms = self.settings.borrow().retry_budget;
         let mut all = self.retries.borrow_mut();
-        let repeats = all.entry(call.service.clone()).or_default();
-        let (first, again) = repeats.counts(now_ms, &terms);
+        let retries = all.entry(call.service.clone()).or_default();
+        let (first, again) = retries.counts(now_ms, &terms);
         log::info!(
-            request = call.id(), service = call.service, outcome = outcome_of(may), first, again,
+            request = call.id(), service = call.service, outcome = outcome_label(is_taken), first, again,
             instances = self.share().instances;
-            "repeat"
+            "retry"
         );
     }
 }
 
-/// What became of a repeat, for lines and metrics.
-fn outcome_of(may: bool) -> &'static str {
-    if may { "taken" } else { "refused" }
+/// Label of a retry's outcome in log lines and metrics.
+fn outcome_label(is_taken: bool) -> &'static str {
+    if is_taken { "taken" } else { "refused" }
 }
