--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -7,15 +7,15 @@
 use keys::{KeyHash, Keyring};
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated of the requests on a route.
+/// Which requests on a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum RouteKind {
     /// Idempotent: may run more than once.
     Safe,
-    /// Runs at most once.
+    /// Must run at most once.
     #[default]
     Unsafe,
-    /// Answered by a stream of events.
+    /// Answered by a stream of events; retried if [`Route::resumable`].
     Stream,
 }
 
@@ -24,41 +24,41 @@
 pub struct Target {
     /// Service name.
     pub service: String,
-    /// Weight beside the other targets.
+    /// Share of requests relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// A route: which requests it matches, and how they are served.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: String,
-    /// Host that it belongs to, in lower case and without a port.
+    /// Host that it matches, in lower case and without a port.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Path prefix that it matches; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Which requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Upper bound on the time from a request's arrival to its deadline, in ms.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most.
+    /// Time within which an answer counts as in time, in ms.
     pub goal_ms: u64,
-    /// Rank, 0 first.
+    /// Priority at upstreams, 0 first.
     pub priority: u8,
     /// Services that may run the requests.
     pub targets: Vec<Target>,
-    /// Most upstreams to which one request may be sent.
+    /// Largest number of upstreams to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another upstream.
+    /// Whether a broken stream may continue at another upstream.
     pub resumable: bool,
-    /// Longest pause between two events of a stream that is still on time.
+    /// Longest pause between two events with which a stream counts as in time, in ms.
     pub gap_goal_ms: u64,
-    /// Whether it serves callers without a key.
+    /// Whether callers need no key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request may be retried although it may have run.
     pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -67,10 +67,9 @@
         }
     }
 
-    /// The service of one request, drawn by weight from its `draw`.
+    /// The service of one request, chosen by weight with the hash `draw`; none if all weights are 0.
     ///
-    /// The draw comes from the request's id, so that a second look at the same request finds the
-    /// same service.
+    /// The hash is one of the request's id, so that the same request always gets the same service.
     pub fn service(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|each| u64::from(each.weight)).sum();
         let mut at = draw.checked_rem(total)?;
@@ -85,69 +84,69 @@
     }
 }
 
-/// What is known of a service beside its upstreams.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Service {
     /// Connections that one upstream accepts from all instances together.
     pub max_connections: usize,
-    /// Set for services of model engines.
+    /// Limits of each engine, for services of model engines.
     pub engine: Option<EngineLimits>,
-    /// Set for services whose upstreams are ordered.
+    /// Scaling terms, for services whose engines the fleet leader orders from the platform.
     #[serde(default)]
     pub scale: Option<scale::ScalingBounds>,
 }
 
-/// Limits of a service's engines.
+/// Limits of each engine of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineLimits {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Tokens that fit into an engine's memory.
+    /// Capacity of the KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Memory of a token's KV cache, in bytes; none where engines do not copy from each other.
+    /// KV cache size of one token, in bytes; 0 if engines do not copy caches from each other.
     #[serde(default)]
     pub token_bytes: u64,
-    /// Speed of an engine's link to others.
+    /// Bandwidth of the link between engines, in Mbit/s.
     #[serde(default)]
     pub link_mbps: u64,
-    /// Tokens that come with one event of a stream.
+    /// Tokens in one event of a stream.
     #[serde(default)]
     pub event_tokens: u32,
 }
 
-/// A workspace, for which callers that have one of its keys ask.
+/// A workspace; a caller that presents one of its keys makes requests for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Name.
+    /// Name in logs and usage reports.
     pub name: String,
-    /// Rank of its requests, 0 first; where it is set it goes before that of the route.
+    /// Priority of its requests, 0 first; overrides the priority of the route.
     pub priority: Option<u8>,
-    /// Its keys.
+    /// Hashes of its keys.
     pub keys: Vec<KeyHash>,
 }
 
-/// Who may ask.
+/// Which callers are admitted.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(from = "WorkspacesState", into = "WorkspacesState")]
 pub enum Access {
-    /// Everybody.
+    /// All callers.
     #[default]
     Open,
-    /// Callers who have a key of a workspace.
+    /// Callers with the key of a workspace, and all callers on public routes.
     Keyed {
         /// All workspaces.
         workspaces: Vec<Rc<Workspace>>,
-        /// Whose the keys are.
+        /// The workspace of each key.
         ring: Keyring<Rc<Workspace>>,
     },
 }
 
-/// [`Access`] as it is written: nothing, or all workspaces.
+/// [`Access`] in its serialised form: null if open, or else all workspaces.
 #[derive(Serialize, Deserialize)]
 struct WorkspacesState(Option<Vec<Workspace>>);
 
 impl Access {
-    /// Only for callers of these workspaces, of which there may be none.
+    /// Admits only callers of these workspaces; an empty list admits callers on public routes only.
     pub fn keyed(workspaces: Vec<Workspace>) -> Self {
         let workspaces: Vec<Rc<Workspace>> = workspaces.into_iter().map(Rc::new).collect();
         let mut ring = Keyring::default();
@@ -159,7 +158,7 @@
         Self::Keyed { workspaces, ring }
     }
 
-    /// All workspaces.
+    /// All workspaces; empty if access is open.
     pub fn workspaces(&self) -> &[Rc<Workspace>] {
         match self {
             Self::Open => &[],
@@ -167,7 +166,7 @@
         }
     }
 
-    /// How many keys let callers in.
+    /// Number of valid keys; 0 if access is open.
     pub fn key_count(&self) -> usize {
         match self {
             Self::Open => 0,
@@ -193,16 +192,16 @@
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest head.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Longest time for a request head to arrive, in ms.
     pub head_ms: u64,
-    /// Longest time for which a connection may idle.
+    /// Longest time that a connection may be idle, in ms.
     pub idle_ms: u64,
 }
 
@@ -217,21 +216,21 @@
     }
 }
 
-/// One version of the whole configuration.
+/// One version of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
-    /// Version; a higher one replaces a lower one and never the other way round.
+    /// Version; only a higher one replaces the one in force.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on what callers send.
     pub limits: Limits,
-    /// Who may ask.
+    /// Which callers are admitted.
     pub access: Access,
     services: HashMap<String, Service>,
     routes: HashMap<String, Vec<Rc<Route>>>,
 }
 
 impl Config {
-    /// Puts a version together.
+    /// Creates a version with open access.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -255,29 +254,29 @@
         }
     }
 
-    /// The same for those who may ask.
+    /// The same version with another access rule.
     #[must_use]
     pub fn with_access(self, access: Access) -> Self {
         Self { access, ..self }
     }
 
-    /// The route of a request: the longest prefix of its path among those of its host.
+    /// The route of a request: that of its host with the longest prefix of its path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by name.
+    /// The settings of a service.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All routes.
+    /// All routes, in no order.
     pub fn all_routes(&self) -> impl Iterator<Item = &Route> {
         self.routes.values().flatten().map(Rc::as_ref)
     }
 
-    /// All services by name.
+    /// Settings of all services by name.
     pub fn services(&self) -> &HashMap<String, Service> {
         &self.services
     }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -1,20 +1,19 @@
-//! Which instances a caller is told of.
+//! Service discovery: the addresses of instances that callers get.
 
 use std::net::SocketAddr;
 
 use view::Member;
 
-/// Instances in the caller's availability zone below which all are named: a caller that knows
-/// only one has nowhere to go when that one stops.
-const LEAST_NEAR: usize = 2;
+/// Minimum number of instances in the caller's availability zone; with fewer, instances of all zones are
+/// listed, since a caller that knows a single instance has no other one when that stops.
+const MIN_IN_ZONE: usize = 2;
 
-/// Most addresses in one answer.
-const MOST: usize = 64;
+/// Largest number of addresses in one answer.
+const MAX_ADDRESSES: usize = 64;
 
-/// Addresses for a caller: those of its zone, or of all zones if these are few.
+/// Addresses for a caller: those of instances in its zone, or in all zones if its zone has too few.
 ///
-/// The instance that answers counts itself by what it knows of itself, which is fresher than
-/// its last heartbeat.
+/// The answering instance is listed by `own`, its current state, which is newer than its last heartbeat.
 pub fn addresses<'a>(
     members: impl Iterator<Item = &'a Member>,
     own: &Member,
@@ -25,18 +24,18 @@
         all.push(own);
     }
     all.sort_by(|a, b| a.name.cmp(&b.name));
-    let near = || {
+    let in_zone = || {
         all.iter()
             .filter(|member| Some(member.zone.as_str()) == zone)
     };
-    let chosen: Vec<&Member> = if near().count() >= LEAST_NEAR {
-        near().copied().collect()
+    let chosen: Vec<&Member> = if in_zone().count() >= MIN_IN_ZONE {
+        in_zone().copied().collect()
     } else {
         all.clone()
     };
     chosen
         .iter()
-        .take(MOST)
+        .take(MAX_ADDRESSES)
         .map(|member| member.address)
         .collect()
 }
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! What an instance can learn from another one while it cannot reach the store.
+//! Snapshots of state, by which an instance catches up from a peer while it cannot reach the store.
 //!
-//! The store may be away for long, or turn single instances away, while processes are restarted.
-//! An instance that starts then knows nothing and would refuse every caller until the store is
-//! back. Others still know, so it asks one of them, once a second at most; what it learns is
-//! replaced by the store's own word as soon as that can be read. See docs/design/platform.md.
+//! The store may be unavailable for long, or reject single instances, while processes are restarted. An
+//! instance that starts then has no configuration and would refuse all requests until the store is back.
+//! So it asks a peer for a snapshot, and replaces that by the store's content as soon as it can read it.
+//! See docs/design/platform.md.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -23,23 +23,23 @@
 use crate::relay::{Origin, Relay};
 use crate::upstreams::Unconfirmed;
 
-/// Path at which instances tell each other their state.
+/// Path at which an instance serves its snapshot to peers.
 pub const PATH: &str = "/state";
 
-/// Least time between two questions, in ms: one that was not answered is given up by then.
-const ASK_MS: u64 = 500;
+/// Minimum interval between two queries, in ms: an earlier one has timed out by then.
+const QUERY_INTERVAL_MS: u64 = 500;
 
-/// Time for an answer, in ms: many round trips, and the time that a busy instance takes.
-const ANSWER_MS: u64 = 500;
+/// Timeout of a query, in ms: many round trips and the time that a busy instance takes to respond.
+const QUERY_TIMEOUT_MS: u64 = 500;
 
-/// A configuration as instances tell it to each other.
+/// A configuration as it is sent to peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConfigSnapshot {
     version: u64,
     routes: Vec<Route>,
     services: HashMap<String, Service>,
     limits: Limits,
-    // An instance that tells none is of a version that would let everybody in: its state is not understood.
+    // Required: a snapshot without it comes from an older version and would admit every caller.
     access: Access,
 }
 
@@ -56,66 +56,70 @@
 }
 
 impl From<ConfigSnapshot> for Config {
-    fn from(state: ConfigSnapshot) -> Self {
-        Self::new(state.version, state.routes, state.services, state.limits)
-            .with_access(state.access)
+    fn from(config: ConfigSnapshot) -> Self {
+        Self::new(
+            config.version,
+            config.routes,
+            config.services,
+            config.limits,
+        )
+        .with_access(config.access)
     }
 }
 
-/// What an instance knows.
+/// State of an instance as it is sent to peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The configuration in force.
+    /// The configuration in force, if there is one.
     pub config: Option<ConfigSnapshot>,
-    /// Upstreams.
+    /// Entries of all upstreams in use.
     pub upstreams: Vec<UpstreamEntry>,
-    /// Those among them whose entries went, by the last record that was taken in.
+    /// Those of `upstreams` that are gone from the list but may have lapsed with the store.
     #[serde(default, rename = "doubted")]
     pub unconfirmed: Vec<Unconfirmed>,
-    /// Time since the list of upstreams stood so in the store, if the instance has taken in all that it
-    /// knows of.
+    /// Age of the list of upstreams, in ms; none if records of it are known to be missing.
     pub list_age_ms: Option<u64>,
-    /// Offset up to which its changes were taken in.
+    /// Offset up to which the list was applied.
     #[serde(default)]
     pub list_next: Option<u64>,
-    /// Time since the configuration stood so in the store, on the same terms.
+    /// Age of the configuration, in ms; none if records of it are known to be missing.
     #[serde(default)]
     pub config_age_ms: Option<u64>,
-    /// Offset up to which its changes were taken in.
+    /// Offset up to which the configuration was applied.
     #[serde(default)]
     pub config_next: Option<u64>,
-    /// Instances.
+    /// Known instances.
     pub members: Vec<Member>,
-    /// Requests under which upstreams end.
+    /// Known poison requests.
     #[serde(default)]
     pub poisonous: Vec<RequestKey>,
 }
 
-/// When other instances were last asked.
+/// When a peer was last asked for a snapshot.
 #[derive(Debug, Default)]
 pub struct LastQuery {
     at_ms: Cell<Option<u64>>,
 }
 
-/// Asks another instance what it knows, unless one was asked just now.
+/// Asks a peer for its snapshot and merges it, unless one was asked less than 500 ms ago.
 pub async fn query_peer(relay: &Rc<Relay>) {
     let now_ms = relay.now_ms();
-    let recent = |at_ms: u64| now_ms < at_ms + ASK_MS;
-    if relay.last_query.at_ms.get().is_some_and(recent) {
+    let is_recent = |at_ms: u64| now_ms < at_ms + QUERY_INTERVAL_MS;
+    if relay.last_query.at_ms.get().is_some_and(is_recent) {
         return;
     }
     relay.last_query.at_ms.set(Some(now_ms));
-    let Some(peer) = somebody(relay) else {
+    let Some(peer) = choose_peer(relay) else {
         return;
     };
-    match ask(relay, peer).await {
-        Ok(state) => merge(relay, &state, peer),
-        Err(why) => log::info!(peer:%, why; "another instance could not be asked"),
+    match fetch(relay, peer).await {
+        Ok(snapshot) => merge(relay, &snapshot, peer),
+        Err(why) => log::info!(peer:%, why; "peer did not send its snapshot"),
     }
 }
 
-/// One that told of what this instance lacks, or else any.
-fn somebody(relay: &Relay) -> Option<SocketAddr> {
+/// The peer to ask: a hub that gossip came from, or else a random member or seed.
+fn choose_peer(relay: &Relay) -> Option<SocketAddr> {
     if let Some(peer) = relay.gossip.borrow().informed_peer() {
         return Some(peer);
     }
@@ -129,76 +133,81 @@
     all.choose(&mut rand::rng()).copied()
 }
 
-async fn ask(relay: &Relay, peer: SocketAddr) -> Result<Snapshot, String> {
+async fn fetch(relay: &Relay, peer: SocketAddr) -> Result<Snapshot, String> {
     let request = Request::builder()
         .uri(PATH)
         .header(header::HOST, peer.to_string())
         .body(Full::default())
         .map_err(|error| error.to_string())?;
-    let wait = Duration::from_millis(ANSWER_MS);
-    let (_, body) = call_on_new_connection(peer, relay.clock, request, wait).await?;
+    let timeout = Duration::from_millis(QUERY_TIMEOUT_MS);
+    let (_, body) = call_on_new_connection(peer, relay.clock, request, timeout).await?;
     serde_json::from_slice(&body).map_err(|error| error.to_string())
 }
 
-/// Takes over what another instance knows and this one does not.
-pub fn merge(relay: &Relay, state: &Snapshot, peer: SocketAddr) {
-    let version = state.config.as_ref().map_or(0, |config| config.version);
+/// Merges a peer's snapshot: of the configuration and the list only what is newer than the own state.
+pub fn merge(relay: &Relay, snapshot: &Snapshot, peer: SocketAddr) {
+    let version = snapshot.config.as_ref().map_or(0, |config| config.version);
     log::info!(
-        peer:%, version, upstreams = state.upstreams.len(),
-        list_age_ms = state.list_age_ms.unwrap_or(u64::MAX);
-        "asked another instance"
+        peer:%, version, upstreams = snapshot.upstreams.len(),
+        list_age_ms = snapshot.list_age_ms.unwrap_or(u64::MAX);
+        "snapshot received from peer"
     );
-    take_config(relay, state);
-    take_list(relay, state);
-    relay.learn_poison_requests(&state.poisonous);
+    merge_config(relay, snapshot);
+    merge_list(relay, snapshot);
+    relay.learn_poison_requests(&snapshot.poisonous);
     let now_ms = relay.now_ms();
     let mut members = relay.members.borrow_mut();
-    for member in &state.members {
+    for member in &snapshot.members {
         members.receive_heartbeat(now_ms, member);
     }
 }
 
-fn take_config(relay: &Relay, state: &Snapshot) {
-    let Some(config) = &state.config else {
+fn merge_config(relay: &Relay, snapshot: &Snapshot) {
+    let Some(config) = &snapshot.config else {
         return;
     };
     relay.configure(config.clone().into());
-    let mut configs = relay.config_position.borrow_mut();
-    if let (Some(age_ms), Some(next)) = (state.config_age_ms, state.config_next)
-        && configs.lacks_records_before(next)
+    let mut position = relay.config_position.borrow_mut();
+    if let (Some(age_ms), Some(next)) = (snapshot.config_age_ms, snapshot.config_next)
+        && position.lacks_records_before(next)
     {
-        configs.record_snapshot(as_of_ms(Some(age_ms)), next);
+        position.record_snapshot(as_of_ms(Some(age_ms)), next);
     }
 }
 
-/// Takes over the list where it goes further than the own one.
+/// Takes over the peer's list if its log position is ahead of the own one.
 ///
-/// The answer may be older than what this instance knows, since it was on its way or since the other one has
-/// missed a change: an upstream whose entry went would be back with it, and nothing would take it away again.
+/// The snapshot may be older than the own list: it may have been delayed, or the peer may have missed a change.
+/// It would then bring back an upstream whose entry went, and no later record would remove that one again.
 ///
-/// An entry that the other instance doubts has gone, by the last record that it took in. Taken for one that is
-/// there, it would never be doubted here, and the upstream would get work for as long as it answers; so the
-/// doubt comes along with the list.
-fn take_list(relay: &Relay, state: &Snapshot) {
-    let is_doubted =
-        |entry: &&UpstreamEntry| state.unconfirmed.iter().any(|doubt| doubt.id == entry.id);
-    let all = state.upstreams.iter();
-    let certain: Vec<UpstreamEntry> = all.filter(|entry| !is_doubted(entry)).cloned().collect();
-    let is_further = |next: &u64| relay.list_position.borrow().lacks_records_before(*next);
-    let Some(next) = state.list_next.filter(is_further) else {
+/// Unconfirmed entries stay unconfirmed. Taken over as confirmed ones, they would never go again, since the
+/// record that removed them is already applied, and a leaving upstream would get requests for as long as it
+/// responds.
+fn merge_list(relay: &Relay, snapshot: &Snapshot) {
+    let is_unconfirmed = |entry: &&UpstreamEntry| {
+        let mut unconfirmed = snapshot.unconfirmed.iter();
+        unconfirmed.any(|other| other.id == entry.id)
+    };
+    let all = snapshot.upstreams.iter();
+    let confirmed: Vec<UpstreamEntry> = all
+        .filter(|entry| !is_unconfirmed(entry))
+        .cloned()
+        .collect();
+    let is_ahead = |next: &u64| relay.list_position.borrow().lacks_records_before(*next);
+    let Some(next) = snapshot.list_next.filter(is_ahead) else {
         return;
     };
-    relay.last_listed.borrow_mut().replace(&certain);
-    relay.replace_list(state.upstreams.clone(), Origin::Asked);
-    relay.mark_unconfirmed(&state.unconfirmed);
-    let as_of_ms = as_of_ms(state.list_age_ms);
+    relay.last_listed.borrow_mut().replace(&confirmed);
+    relay.replace_list(snapshot.upstreams.clone(), Origin::Asked);
+    relay.mark_unconfirmed(&snapshot.unconfirmed);
+    let as_of_ms = as_of_ms(snapshot.list_age_ms);
     relay
         .list_position
         .borrow_mut()
         .record_snapshot(as_of_ms, next);
 }
 
-/// The time as of which something is known that is so old; before all others if nobody knows.
+/// Time since boot as of which state of this age was current; 0, the oldest, if the age is unknown.
 fn as_of_ms(age_ms: Option<u64>) -> u64 {
     age_ms.map_or(0, |age_ms| since_boot_ms().saturating_sub(age_ms))
 }
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams as this instance knows it.
+//! The upstreams in use, by id, key and service.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -9,49 +9,48 @@
 
 use crate::upstream::{Upstream, UpstreamEntry, UpstreamKey};
 
-/// Time after the last failed read of the list for which an entry that goes is taken to have
-/// lapsed with the list's store, in ms.
+/// Time after the last failed read of the list for which an entry that goes counts as unconfirmed, in ms.
 ///
-/// Entries expire while the store is away, though their upstreams live, and are back about 2 s
-/// after its return. Dropping them at once would leave no upstream at all for that time.
-/// Upstreams that are really gone refuse the connection or the incarnation. The time counts from
-/// the failure and not from when the entry was seen to go: one that goes well after the store's
-/// return has left, and may get new work for a short time only.
+/// Entries expire while the store is unavailable, although their upstreams run, and are back about 2 s after
+/// it returns. Dropping them at once would leave no upstream for that time. Upstreams that are really gone
+/// refuse the connection or the incarnation. The time counts from the failed read and not from the moment at
+/// which the entry goes: an entry that goes well after the store's return belongs to an upstream that left,
+/// which may get new requests only for a short time.
 const LAPSE_MS: u64 = 2_600;
 
-/// Incarnations that are remembered after they left.
-const REMEMBERED: usize = 512;
+/// Removed incarnations that are remembered, so that their late entries are ignored.
+const MAX_REMOVED: usize = 512;
 
-/// What came of a change.
+/// Effect of a change to the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// A new incarnation.
+    /// A new incarnation was added.
     Joined,
-    /// It changed its standing or stage.
+    /// The standing or stage of an upstream changed.
     Changed,
-    /// It is no longer used.
+    /// An upstream was removed.
     Left,
-    /// It is used on for a short time, since its entry may have lapsed with the store.
+    /// An entry is gone but may have lapsed with the store; its upstream stays in use for a short time.
     Unconfirmed,
-    /// Nothing new.
+    /// The change brought nothing new.
     Unchanged,
 }
 
-/// An entry that went, and whose upstream is used on since it may have lapsed with the store.
+/// An entry that is gone but may have lapsed with the store, so that its upstream stays in use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unconfirmed {
-    /// The upstream's id.
+    /// Id of the upstream.
     pub id: String,
-    /// Time for which it is used on, in ms.
+    /// Time for which the upstream stays in use, in ms.
     pub left_ms: u64,
 }
 
-/// How far apart two places are, in ms one way.
+/// One-way network latencies, in ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Distances {
     /// Within an availability zone.
     pub in_zone_ms: f64,
-    /// Between two.
+    /// Between two zones.
     pub across_ms: f64,
 }
 
@@ -64,15 +63,15 @@
     }
 }
 
-/// An incarnation that left, by the last entry of it that was taken over.
+/// A removed incarnation, with the sequence number of its last applied entry.
 #[derive(Debug, Clone)]
-struct Left {
+struct Removed {
     id: String,
-    born_ms: u64,
+    started_ms: u64,
     seq: u64,
 }
 
-/// All upstreams.
+/// All upstreams in use, confirmed or not.
 #[derive(Default)]
 pub struct Upstreams {
     clock: Clock,
@@ -81,13 +80,14 @@
     by_id: HashMap<String, Rc<Upstream>>,
     by_key: HashMap<UpstreamKey, Rc<Upstream>>,
     by_service: HashMap<String, Vec<Rc<Upstream>>>,
+    /// Time until which each unconfirmed upstream stays in use.
     unconfirmed: HashMap<String, u64>,
-    left: VecDeque<Left>,
-    unreachable_until_ms: u64,
+    removed: VecDeque<Removed>,
+    may_have_lapsed_until_ms: u64,
 }
 
 impl Upstreams {
-    /// An empty list, seen from an availability zone.
+    /// Creates an empty list for an instance in `zone`, from which latencies are estimated.
     pub fn new(zone: &str, clock: Clock) -> Self {
         Self {
             clock,
@@ -96,20 +96,20 @@
         }
     }
 
-    /// The list's store did not answer at `now_ms`.
+    /// Notes that the list could not be read at `now_ms`: entries that go soon after are unconfirmed.
     pub fn store_unreachable(&mut self, now_ms: u64) {
-        self.unreachable_until_ms = now_ms + LAPSE_MS;
+        self.may_have_lapsed_until_ms = now_ms + LAPSE_MS;
     }
 
-    /// Takes in a change.
+    /// Applies a change that this instance read.
     pub fn apply(&mut self, now_ms: u64, change: ListChange) -> Effect {
         match change {
             ListChange::Put(entry) => self.put(&entry),
-            ListChange::Gone(id) => self.gone(now_ms, &id, self.unreachable_until_ms),
+            ListChange::Gone(id) => self.gone(now_ms, &id, self.may_have_lapsed_until_ms),
         }
     }
 
-    /// Takes in the whole list: what is not in it is gone.
+    /// Replaces the list: upstreams missing in `entries` are gone. Returns the effect on each id.
     pub fn replace(&mut self, now_ms: u64, entries: Vec<UpstreamEntry>) -> Vec<(String, Effect)> {
         let ids: Vec<String> = entries.iter().map(|entry| entry.id.clone()).collect();
         let missing: Vec<String> = self
@@ -124,19 +124,19 @@
             effects.push((id, self.put(&entry)));
         }
         for id in missing {
-            let effect = self.gone(now_ms, &id, self.unreachable_until_ms);
+            let effect = self.gone(now_ms, &id, self.may_have_lapsed_until_ms);
             effects.push((id, effect));
         }
         effects
     }
 
-    /// Drops what lapsed and did not come back; gives what was dropped.
+    /// Removes unconfirmed upstreams whose entries did not come back in time, and returns their ids.
     pub fn remove_lapsed(&mut self, now_ms: u64) -> Vec<String> {
-        let over = |until_ms: &u64| *until_ms <= now_ms;
+        let is_over = |until_ms: &u64| *until_ms <= now_ms;
         let lapsed: Vec<String> = self
             .unconfirmed
             .iter()
-            .filter(|(_, until_ms)| over(until_ms))
+            .filter(|(_, until_ms)| is_over(until_ms))
             .map(|(id, _)| id.clone())
             .collect();
         for id in &lapsed {
@@ -145,9 +145,9 @@
         lapsed
     }
 
-    /// The upstreams of a service that get new work.
+    /// The upstreams of a service that accept new requests.
     ///
-    /// One whose entry lapsed is left out in time even if nobody has settled it.
+    /// Leaves out unconfirmed ones whose time is up, also before [`Upstreams::remove_lapsed`] removes them.
     pub fn ready<'a>(
         &'a self,
         service: &str,
@@ -160,49 +160,56 @@
         })
     }
 
-    /// An incarnation that turned out to be gone, before the list says so.
+    /// Removes an upstream that proved to be gone before the list shows it.
     pub fn remove_replaced(&mut self, id: &str) {
         self.remove(id);
     }
 
-    /// An incarnation.
+    /// The upstream with this id.
     pub fn get(&self, id: &str) -> Option<&Rc<Upstream>> {
         self.by_id.get(id)
     }
 
-    /// The incarnation of an id that left last, by its short name.
+    /// Key of the last removed incarnation of an id.
     pub fn last_removed(&self, id: &str) -> Option<UpstreamKey> {
-        let left = self.left.iter().rev().find(|left| left.id == id)?;
-        Some(UpstreamKey::of(&left.id, left.born_ms))
+        let removed = self.removed.iter().rev().find(|each| each.id == id)?;
+        Some(UpstreamKey::of(&removed.id, removed.started_ms))
     }
 
-    /// An incarnation by its short name.
+    /// The upstream with this key.
     pub fn get_by_key(&self, key: UpstreamKey) -> Option<&Rc<Upstream>> {
         self.by_key.get(&key)
     }
 
-    /// Time for which the list's store may still have lost entries of upstreams that live, in ms.
+    /// Time left in which an entry that goes may have lapsed with the store, in ms.
     pub fn may_have_lapsed_ms(&self, now_ms: u64) -> u64 {
-        self.unreachable_until_ms.saturating_sub(now_ms)
+        self.may_have_lapsed_until_ms.saturating_sub(now_ms)
     }
 
-    /// Takes in a change that another instance read, which doubts for `doubt_ms` that an entry which goes
-    /// has left.
+    /// Applies a change that a peer read; for the peer, an entry that goes may have lapsed with the store
+    /// for `may_have_lapsed_ms` more.
     ///
-    /// An entry lapses with the store only when nobody reaches it, and then both doubt. If only this
-    /// instance was turned away, the other knows that the upstream has left; if only the other was, this
-    /// one knows that nothing can have lapsed. Either doubt alone kept leaving upstreams in use.
-    pub fn apply_from_peer(&mut self, now_ms: u64, change: ListChange, doubt_ms: u64) -> Effect {
+    /// An entry lapses with the store only when no instance reaches it, so an entry that goes is unconfirmed
+    /// only if both instances failed to read the list. If the store rejected one of them alone, the other
+    /// knows that the upstream left; to keep it in use would send requests to a leaving upstream.
+    pub fn apply_from_peer(
+        &mut self,
+        now_ms: u64,
+        change: ListChange,
+        may_have_lapsed_ms: u64,
+    ) -> Effect {
         match change {
             ListChange::Put(entry) => self.put(&entry),
             ListChange::Gone(id) => {
-                let until_ms = self.unreachable_until_ms.min(now_ms + doubt_ms);
+                let until_ms = self
+                    .may_have_lapsed_until_ms
+                    .min(now_ms + may_have_lapsed_ms);
                 self.gone(now_ms, &id, until_ms)
             }
         }
     }
 
-    /// The entries that are in use, those that are doubted included.
+    /// The entries of all upstreams in use, unconfirmed ones included.
     pub fn entries(&self, now_ms: u64) -> Vec<UpstreamEntry> {
         let has_lapsed = |id: &str| {
             self.unconfirmed
@@ -213,13 +220,13 @@
         used.map(|each| each.entry()).collect()
     }
 
-    /// The entries that went and may have lapsed with the store.
+    /// The entries that are gone but may have lapsed with the store.
     pub fn unconfirmed_entries(&self, now_ms: u64) -> Vec<Unconfirmed> {
-        let doubted = self
+        let unconfirmed = self
             .unconfirmed
             .iter()
             .filter(|(_, until_ms)| **until_ms > now_ms);
-        doubted
+        unconfirmed
             .map(|(id, until_ms)| Unconfirmed {
                 id: id.clone(),
                 left_ms: until_ms - now_ms,
@@ -227,34 +234,35 @@
             .collect()
     }
 
-    /// Takes over what another instance doubts of the list that it told.
-    pub fn mark_unconfirmed(&mut self, now_ms: u64, doubts: &[Unconfirmed]) {
-        for doubt in doubts {
-            self.gone(now_ms, &doubt.id, now_ms + doubt.left_ms);
+    /// Marks the entries that a peer's snapshot names as unconfirmed.
+    pub fn mark_unconfirmed(&mut self, now_ms: u64, unconfirmed: &[Unconfirmed]) {
+        for entry in unconfirmed {
+            self.gone(now_ms, &entry.id, now_ms + entry.left_ms);
         }
     }
 
-    /// All of them.
+    /// All upstreams, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Upstream>> {
         self.by_id.values()
     }
 
-    /// Number of upstreams.
+    /// Number of upstreams in use.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is known.
+    /// Whether no upstream is in use.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
     fn put(&mut self, entry: &UpstreamEntry) -> Effect {
-        // An entry that was written before the incarnation left may come after it.
-        let is_old = |left: &Left| {
-            left.id == entry.id && (entry.started_ms, entry.seq) <= (left.born_ms, left.seq)
+        // An entry that was written before the incarnation was removed may arrive afterwards.
+        let is_old = |removed: &Removed| {
+            removed.id == entry.id
+                && (entry.started_ms, entry.seq) <= (removed.started_ms, removed.seq)
         };
-        if self.left.iter().any(is_old) {
+        if self.removed.iter().any(is_old) {
             return Effect::Unchanged;
         }
         self.unconfirmed.remove(&entry.id);
@@ -262,8 +270,8 @@
             if entry.started_ms < known.born_ms {
                 return Effect::Unchanged;
             }
-            // One that started again under its id counts anew and holds nothing of before. Taken for
-            // the same, its entries would seem old for as long as the first one had lived.
+            // An upstream that restarted under its id numbers its entries anew and has an empty cache. Treated
+            // as the same one, its entries would seem outdated for as long as the first incarnation had run.
             let is_same = entry.started_ms == known.born_ms
                 && known.address == entry.address
                 && known.service == entry.service;
@@ -312,13 +320,13 @@
         if let Some(all) = self.by_service.get_mut(&known.service) {
             all.retain(|each| each.id != id);
         }
-        self.left.push_back(Left {
+        self.removed.push_back(Removed {
             id: id.to_owned(),
-            born_ms: known.born_ms,
+            started_ms: known.born_ms,
             seq: known.seq(),
         });
-        if self.left.len() > REMEMBERED {
-            self.left.pop_front();
+        if self.removed.len() > MAX_REMOVED {
+            self.removed.pop_front();
         }
         known.leave();
     }
