--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -1,4 +1,4 @@
-//! Who a request is for, and whether it may be served at all.
+//! Admission of requests by route and key.
 
 use std::rc::Rc;
 
@@ -6,29 +6,29 @@
 use crate::config::{Access, Config, Route, Workspace};
 use crate::dialect::PresentedKey;
 
-/// A request that may be served.
+/// Result for a request that is admitted.
 #[derive(Debug)]
 pub struct Admitted {
     /// Its route.
     pub route: Rc<Route>,
-    /// Workspace that its caller's key is of, if it presented one.
+    /// Workspace of the caller's key; none without a valid key.
     pub workspace: Option<Rc<Workspace>>,
 }
 
-/// A request that may not be served.
+/// Result for a request that is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Denied {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Name of its route, for logs.
+    /// Name of its route in logs and metrics, or `-` if it matches none.
     pub route: String,
 }
 
 /// Finds the route and the workspace of a request.
 ///
-/// On a public route a caller needs no key, and a key that is nobody's is no harm there: its request is served for no
-/// workspace. Several keys in one request are refused elsewhere, since upstreams, proxies and this instance could each
-/// take another one for the one that counts.
+/// A public route needs no key, and ignores an unknown one: the request is then served for no workspace. On
+/// other routes a request with several keys is refused, since upstreams, proxies and this instance could each
+/// use a different one.
 pub fn admit(
     config: &Config,
     host: &str,
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -1,6 +1,6 @@
-//! Datagrams between instances: what `view` has to tell goes out, and what comes is taken in.
+//! Sending and receiving of gossip datagrams over UDP.
 //!
-//! A lost datagram is made up for by the next one. See docs/design/views.md.
+//! Lost datagrams are not resent, since later ones carry the same state. See docs/design/views.md.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
 
 use crate::relay::Relay;
 
-/// Longest datagram that is read, in bytes: the most that UDP carries.
+/// Size of the receive buffer, in bytes: the largest UDP datagram.
 const DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Tells others until the process ends.
+/// Sends gossip to peers periodically until the process ends.
 pub async fn send_periodically(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
     loop {
         actix_rt::time::sleep(Duration::from_millis(PERIOD_MS)).await;
         for (peer, told) in relay.due_gossip() {
             match encode(told) {
                 Ok(bytes) => send(&socket, peer, &bytes).await,
-                Err(error) => log::error!(peer:%, error:%; "datagram not written"),
+                Err(error) => log::error!(peer:%, error:%; "gossip datagram could not be encoded"),
             }
         }
     }
@@ -31,11 +31,11 @@
 
 async fn send(socket: &UdpSocket, peer: SocketAddr, bytes: &[u8]) {
     if let Err(error) = socket.send_to(bytes, peer).await {
-        log::debug!(peer:%, error:%; "datagram not sent");
+        log::debug!(peer:%, error:%; "gossip datagram could not be sent");
     }
 }
 
-/// Hears others until the process ends.
+/// Receives and applies gossip of peers until the process ends.
 pub async fn receive(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
@@ -43,17 +43,17 @@
         match received {
             Ok((length, peer)) => match decode(&buffer[..length]) {
                 Ok(told) => relay.receive_gossip(&told, peer),
-                Err(error) => log::debug!(peer:%, error:%; "datagram not understood"),
+                Err(error) => log::debug!(peer:%, error:%; "gossip datagram could not be decoded"),
             },
             Err(error) => {
-                log::warn!(error:%; "hearing others failed");
+                log::warn!(error:%; "gossip could not be received");
                 actix_rt::time::sleep(Duration::from_millis(PERIOD_MS)).await;
             }
         }
     }
 }
 
-/// Opens the socket for both.
+/// Opens the socket for sending and receiving.
 pub async fn bind(address: SocketAddr) -> io::Result<Rc<UdpSocket>> {
     UdpSocket::bind(address).await.map(Rc::new)
 }
--- a/crates/relay/src/logging.rs
+++ b/crates/relay/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard output, bounded and never waited for.
+//! Logging as JSON lines to standard output, without ever blocking the process.
 
 use std::cell::Cell;
 use std::io::Write;
@@ -10,11 +10,11 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::{Map, json};
 
-/// Lines that wait for a slow reader; further ones are counted and left out.
-const QUEUED_LINES: usize = 2_048;
+/// Capacity of the queue of lines; when a slow reader lets it fill up, further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Longest time for which the end of a process waits for its last lines.
-const LONGEST_FLUSH: Duration = Duration::from_millis(100);
+/// Longest time that a process waits at its end for its last lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 struct Fields(Map<String, serde_json::Value>);
 
@@ -30,50 +30,50 @@
     }
 }
 
-/// Lines of this process that a slow reader cost.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// Lines that this process dropped because of a slow reader.
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were left out since the process began, since their reader was too slow.
+/// Number of lines dropped since the process began because their reader was too slow.
 pub fn lines_dropped() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED.load(Ordering::Relaxed)
 }
 
-/// Hands whole lines to a thread of its own.
+/// A bounded queue of lines, written out by a [`LogWriter`] on a separate thread.
 ///
-/// A reader of standard output that stops would otherwise stop every request with it.
+/// Without it, a reader of standard output that stops would block every request.
 pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
-    waiting: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
+    pending: Arc<AtomicU64>,
 }
 
 impl LogQueue {
-    /// A queue, and the end at which its lines are written.
-    pub fn new(most: usize) -> (Self, LogWriter) {
-        let (lines, receiver) = sync_channel(most);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let waiting = Arc::new(AtomicU64::new(0));
-        let drain = LogWriter {
+    /// Creates a queue for at most `capacity` lines, and its writer.
+    pub fn new(capacity: usize) -> (Self, LogWriter) {
+        let (lines, receiver) = sync_channel(capacity);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let pending = Arc::new(AtomicU64::new(0));
+        let writer = LogWriter {
             receiver,
-            left_out: Arc::clone(&left_out),
-            waiting: Arc::clone(&waiting),
+            dropped: Arc::clone(&dropped),
+            pending: Arc::clone(&pending),
         };
         let queue = Self {
             lines,
-            left_out,
-            waiting,
+            dropped,
+            pending,
         };
-        (queue, drain)
+        (queue, writer)
     }
 }
 
 impl Write for LogQueue {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        self.waiting.fetch_add(1, Ordering::AcqRel);
+        self.pending.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line.to_vec()).is_err() {
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
-            self.left_out.fetch_add(1, Ordering::Relaxed);
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+            self.pending.fetch_sub(1, Ordering::AcqRel);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
+            DROPPED.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -83,27 +83,27 @@
     }
 }
 
-/// The end of the queue at which lines are written.
+/// Writes the lines of a [`LogQueue`].
 pub struct LogWriter {
     receiver: Receiver<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
-    waiting: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
+    pending: Arc<AtomicU64>,
 }
 
 impl LogWriter {
-    /// Writes lines until the queue is closed or the reader is gone.
+    /// Writes lines until the queue is dropped or `out` fails.
     pub fn run(self, mut out: impl Write) {
         while let Ok(line) = self.receiver.recv() {
-            let left_out = self.left_out.swap(0, Ordering::Relaxed);
-            if left_out > 0 {
+            let dropped = self.dropped.swap(0, Ordering::Relaxed);
+            if dropped > 0 {
                 let note =
-                    json!({ "level": "WARN", "message": "lines left out", "lines": left_out });
+                    json!({ "level": "WARN", "message": "log lines dropped", "lines": dropped });
                 if writeln!(out, "{note}").is_err() {
                     return;
                 }
             }
             let written = out.write_all(&line);
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
+            self.pending.fetch_sub(1, Ordering::AcqRel);
             if written.is_err() {
                 return;
             }
@@ -111,58 +111,60 @@
     }
 }
 
-/// Lines of one kind that may be written in a second.
+/// Limit on the lines of one kind per second.
 ///
-/// Ten times the load must not write ten times the lines: on a quarter of a core that alone
-/// would make answers late. What is left out is counted, and said in the next second.
+/// At ten times the usual load, ten times the lines would make answers late on a quarter of a core. Dropped
+/// lines are counted, and a line in the next second says how many there were.
 #[derive(Debug)]
 pub struct LogRateLimit {
     kind: &'static str,
     per_s: u32,
     second: Cell<u64>,
-    used: Cell<u32>,
-    left_out: Cell<u64>,
+    /// Lines requested in the current second, written or not.
+    requested: Cell<u32>,
+    dropped: Cell<u64>,
 }
 
 impl LogRateLimit {
-    /// A budget of `per_s` lines of a kind.
+    /// Creates a limit of `per_s` lines per second.
     pub fn new(kind: &'static str, per_s: u32) -> Self {
         Self {
             kind,
             per_s,
             second: Cell::default(),
-            used: Cell::default(),
-            left_out: Cell::default(),
+            requested: Cell::default(),
+            dropped: Cell::default(),
         }
     }
 
-    /// Kind of the lines.
+    /// Kind of the lines, for logs and metrics.
     pub fn kind(&self) -> &'static str {
         self.kind
     }
 
-    /// Lines left out since the start.
+    /// Number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
-        self.left_out.get()
+        self.dropped.get()
     }
 
-    /// Whether one more line may be written.
+    /// Whether one more line may be written now; counts it as dropped if not.
     pub fn take(&self, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if self.second.replace(second) != second {
-            let left_out = self.used.replace(0).saturating_sub(self.per_s);
-            if left_out > 0 {
-                log::warn!(kind = self.kind, lines = left_out; "lines left out");
+            let dropped = self.requested.replace(0).saturating_sub(self.per_s);
+            if dropped > 0 {
+                log::warn!(kind = self.kind, lines = dropped; "log lines dropped");
             }
         }
-        self.used.set(self.used.get() + 1);
-        let may = self.used.get() <= self.per_s;
-        self.left_out.set(self.left_out.get() + u64::from(!may));
-        may
+        self.requested.set(self.requested.get() + 1);
+        let is_allowed = self.requested.get() <= self.per_s;
+        self.dropped
+            .set(self.dropped.get() + u64::from(!is_allowed));
+        is_allowed
     }
 }
 
-/// Writes one record as a JSON line.
+/// Writes a log record as one JSON line with the time, level, message and fields.
 pub fn write_line(out: &mut impl Write, record: &log::Record) -> std::io::Result<()> {
     let mut fields = Fields(Map::new());
     fields
@@ -178,33 +180,33 @@
     writeln!(out, "{}", serde_json::Value::Object(fields.0))
 }
 
-/// Lines that are not written yet.
+/// Number of queued lines that are not written yet.
 pub struct PendingLines(Arc<AtomicU64>);
 
 impl PendingLines {
-    /// Waits until all lines are written, for a short time at most.
+    /// Waits until all lines are written, for at most 100 ms.
     ///
-    /// The last lines say why a process ended; without this they end with it.
+    /// To be called before the process exits: the last lines say why it ends, and would be lost.
     pub fn flush(&self) {
         let began = Instant::now();
-        while self.0.load(Ordering::Acquire) > 0 && began.elapsed() < LONGEST_FLUSH {
-            std::thread::sleep(LONGEST_FLUSH / 50);
+        while self.0.load(Ordering::Acquire) > 0 && began.elapsed() < FLUSH_TIMEOUT {
+            std::thread::sleep(FLUSH_TIMEOUT / 50);
         }
     }
 }
 
-/// Starts logging; `RUST_LOG` sets the level.
+/// Starts logging at level `info` or as `RUST_LOG` says; the result is to be flushed at the end.
 pub fn start() -> PendingLines {
-    let (queue, drain) = LogQueue::new(QUEUED_LINES);
-    let waiting = PendingLines(Arc::clone(&queue.waiting));
-    std::thread::spawn(move || drain.run(std::io::stdout()));
+    let (queue, writer) = LogQueue::new(MAX_QUEUED_LINES);
+    let pending = PendingLines(Arc::clone(&queue.pending));
+    std::thread::spawn(move || writer.run(std::io::stdout()));
     let env = env_logger::Env::default().default_filter_or("info");
     let started = env_logger::Builder::from_env(env)
         .target(env_logger::Target::Pipe(Box::new(queue)))
         .format(write_line)
         .try_init();
     if let Err(error) = started {
-        eprintln!("logging was started before: {error}");
+        eprintln!("logging is already initialised: {error}");
     }
-    waiting
+    pending
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,71 +1,71 @@
-//! Metrics; docs/OPERATIONS.md has a table of them.
+//! Prometheus metrics of an instance; docs/OPERATIONS.md lists them.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
 
-/// Buckets of times from a ms to ten seconds, in seconds.
+/// Histogram buckets for times, in seconds.
 const TIME_BUCKETS: [f64; 11] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 4.0, 10.0];
 
 /// All metrics of an instance.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by route and how they ended.
+    /// Requests by route and end: a status, or `left` if the caller closed its connection.
     pub requests: IntCounterVec,
-    /// Whole answers by route and whether they were in time.
+    /// Complete answers by route and whether they were in time.
     pub answers: IntCounterVec,
-    /// Requests that were not served, by route and reason.
+    /// Refused requests by route and reason.
     pub refusals: IntCounterVec,
-    /// Prompts by service, where they are read and what of them is held there.
+    /// Prompts by service, whether they are prefilled apart, and whether a part is cached or copied there.
     pub prompts_placed: IntCounterVec,
-    /// Time until a request first goes to an upstream, by route.
+    /// Time from a request's arrival to its first send, by route, in seconds.
     pub time_to_send_s: HistogramVec,
-    /// Predicted wait at the upstream that was chosen, by service.
+    /// Predicted wait at the chosen upstream, by service, in seconds.
     pub predicted_wait_s: HistogramVec,
-    /// Time from a send to the answer's head, by service.
+    /// Time from a send to the answer's head, by service, in seconds.
     pub upstream_head_s: HistogramVec,
-    /// Orders to engines, by what came of them.
+    /// Role orders to engines by outcome.
     pub role_orders: IntCounterVec,
-    /// Repeats that are left in the window, by service.
+    /// Retries left in the current window by service.
     pub retries_left: IntGaugeVec,
-    /// Log lines left out since the start, by kind.
+    /// Log lines dropped since the start by kind.
     pub lines_dropped: IntGaugeVec,
-    /// Time since the configuration was asked for with success, in ms.
+    /// Time since the configuration was last read successfully, in ms.
     pub config_age_ms: IntGauge,
-    /// Time since the load of the instance that was silent for longest was told, in ms.
+    /// Age of the load report of the instance that was silent for longest, in ms.
     pub load_age_ms: IntGauge,
-    /// Upstreams that name a limit.
+    /// Upstreams that announce a rate limit.
     pub limited_upstreams: IntGauge,
-    /// Repeats asked of the budget.
+    /// Retries requested from the budget by outcome.
     pub retries: IntCounterVec,
-    /// Time to an answer's head, by route.
+    /// Time from a request's arrival to the head of a streamed answer, by route, in seconds.
     pub head_s: HistogramVec,
-    /// Time to read a prompt apart, by service.
+    /// Duration of separate prefills, by service, in seconds.
     pub prefill_s: HistogramVec,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
-    /// Time since the list of upstreams was read from the store, in ms.
+    /// Time for which a change of the list of upstreams may have gone unnoticed, in ms.
     pub list_age_ms: IntGauge,
-    /// Upstreams that are known.
+    /// Upstreams in use.
     pub upstreams: IntGauge,
-    /// Instances that are known and ready.
+    /// Instances that serve now.
     pub instances: IntGauge,
-    /// Requests that are refused since upstreams end under them.
+    /// Known poison requests, which are refused.
     pub poison_requests: IntGauge,
-    /// Requests whose answers are not out yet.
+    /// Requests whose answers are not complete yet.
     pub in_flight: IntGauge,
-    /// Calls for the whole fleet, by call and outcome.
+    /// Calls of singleton tasks to the platform, by call and outcome.
     pub singleton_calls: IntCounterVec,
-    /// Calls to the store, by call and outcome.
+    /// Calls to the store by call and outcome.
     pub store_calls: IntCounterVec,
 }
 
 impl Metrics {
-    /// Registers all metrics of one instance.
+    /// Registers all metrics of an instance, with its name and zone as labels.
     ///
     /// # Panics
-    /// If two metrics have the same name, which the tests would show.
+    /// If a metric has an invalid name or two have the same one; both would fail in every test.
     pub fn new(instance: &str, zone: &str) -> Self {
         let labels = [("instance", instance), ("zone", zone)]
             .map(|(name, value)| (name.to_owned(), value.to_owned()))
@@ -73,67 +73,92 @@
         let registry =
             Registry::new_custom(Some("chicoryrack".to_owned()), Some(labels)).unwrap_or_default();
         let counter = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntCounterVec::new(Opts::new(name, help), labels).expect("a valid name");
-            registry.register(Box::new(made.clone())).expect("one each");
-            made
+            let metric = IntCounterVec::new(Opts::new(name, help), labels).expect("a valid name");
+            registry
+                .register(Box::new(metric.clone()))
+                .expect("one each");
+            metric
         };
         let histogram = |name: &str, help: &str, labels: &[&str]| {
             let options = HistogramOpts::new(name, help).buckets(TIME_BUCKETS.to_vec());
-            let made = HistogramVec::new(options, labels).expect("a valid name");
-            registry.register(Box::new(made.clone())).expect("one each");
-            made
+            let metric = HistogramVec::new(options, labels).expect("a valid name");
+            registry
+                .register(Box::new(metric.clone()))
+                .expect("one each");
+            metric
         };
         let gauge = |name: &str, help: &str| {
-            let made = IntGauge::new(name, help).expect("a valid name");
-            registry.register(Box::new(made.clone())).expect("one each");
-            made
+            let metric = IntGauge::new(name, help).expect("a valid name");
+            registry
+                .register(Box::new(metric.clone()))
+                .expect("one each");
+            metric
         };
         let gauges = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntGaugeVec::new(Opts::new(name, help), labels).expect("a valid name");
-            registry.register(Box::new(made.clone())).expect("one each");
-            made
+            let metric = IntGaugeVec::new(Opts::new(name, help), labels).expect("a valid name");
+            registry
+                .register(Box::new(metric.clone()))
+                .expect("one each");
+            metric
         };
         Self {
-            answers: counter("answers_total", "Whole answers.", &["route", "in_time"]),
-            refusals: counter("refusals_total", "Not served.", &["route", "reason"]),
-            prompts_placed: counter("placed_total", "Prompts.", &["service", "read", "held"]),
-            singleton_calls: counter("duties_total", "Calls for the fleet.", &["call", "outcome"]),
-            role_orders: counter("orders_total", "Orders to engines.", &["outcome"]),
+            answers: counter("answers_total", "Complete answers.", &["route", "in_time"]),
+            refusals: counter("refusals_total", "Refused requests.", &["route", "reason"]),
+            prompts_placed: counter(
+                "placed_total",
+                "Placed prompts.",
+                &["service", "read", "held"],
+            ),
+            singleton_calls: counter(
+                "duties_total",
+                "Calls of singleton tasks.",
+                &["call", "outcome"],
+            ),
+            role_orders: counter("orders_total", "Role orders to engines.", &["outcome"]),
             time_to_send_s: histogram("own_seconds", "Time to the first send.", &["route"]),
             predicted_wait_s: histogram("wait_seconds", "Predicted wait.", &["service"]),
-            upstream_head_s: histogram("upstream_seconds", "Send to head.", &["service"]),
-            retries_left: gauges("repeats_left", "Repeats left.", &["service"]),
-            lines_dropped: gauges("lines_left_out", "Lines left out.", &["kind"]),
+            upstream_head_s: histogram(
+                "upstream_seconds",
+                "Time from a send to the answer's head.",
+                &["service"],
+            ),
+            retries_left: gauges("repeats_left", "Retries left in the window.", &["service"]),
+            lines_dropped: gauges("lines_left_out", "Log lines dropped.", &["kind"]),
             config_age_ms: gauge("config_age_ms", "Age of the configuration's last read."),
-            load_age_ms: gauge("load_age_ms", "Age of the oldest load told."),
+            load_age_ms: gauge("load_age_ms", "Age of the oldest load report."),
             requests: counter("requests_total", "Requests.", &["route", "end"]),
             retries: counter(
                 "repeats_total",
-                "Repeats asked of the budget.",
+                "Retries requested from the budget.",
                 &["outcome"],
             ),
             head_s: histogram("head_seconds", "Time to an answer's head.", &["route"]),
-            prefill_s: histogram("prefill_seconds", "Time to read a prompt.", &["service"]),
+            prefill_s: histogram(
+                "prefill_seconds",
+                "Duration of separate prefills.",
+                &["service"],
+            ),
             list_age_ms: gauge("list_age_ms", "Age of the list of upstreams."),
-            limited_upstreams: gauge("limited_upstreams", "Upstreams that name a limit."),
-            upstreams: gauge("upstreams", "Upstreams known."),
+            limited_upstreams: gauge("limited_upstreams", "Upstreams that announce a rate limit."),
+            upstreams: gauge("upstreams", "Upstreams in use."),
             instances: gauge("instances", "Instances ready."),
-            poison_requests: gauge(
-                "poisonous",
-                "Requests refused, as upstreams end under them.",
-            ),
+            poison_requests: gauge("poisonous", "Known poison requests."),
             in_flight: gauge("in_flight", "Requests in flight."),
-            config_version: gauge("config_version", "Version in force."),
-            store_calls: counter("store_calls_total", "Calls.", &["call", "outcome"]),
+            config_version: gauge("config_version", "Configuration version in force."),
+            store_calls: counter(
+                "store_calls_total",
+                "Calls to the store.",
+                &["call", "outcome"],
+            ),
             registry,
         }
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!(error:%; "metrics could not be written");
+            log::warn!(error:%; "metrics could not be encoded");
         }
         text
     }
