--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -1,8 +1,8 @@
-//! What this instance does for the whole fleet, or leaves to the one that does.
+//! Singleton tasks: usage reports and engine orders that one instance, the fleet leader, makes for the fleet.
 //!
-//! Every instance counts what runs for whom and passes it on. A few, the keepers, gather all of it; one of them reports
-//! usage and orders engines. Which one that is only keeps keepers from acting at once: that no two are heard rests on
-//! `lease::AppendLease`. See docs/design/duties.md.
+//! Every instance counts the requests of each workspace and gossips the tallies. The leader candidates collect
+//! them, and one of these leads. The choice of the leader only avoids needless conflicts; that the platform never
+//! gets calls of two leaders at a time is ensured by `lease::AppendLease`. See docs/design/duties.md.
 
 mod due;
 mod store_health;
@@ -31,53 +31,53 @@
     task_record,
 };
 
-/// Time between two looks at what is due, in ms.
+/// Interval between checks for due tasks, in ms.
 pub const CHECK_INTERVAL_MS: u64 = 250;
 
-/// Time between two looks of a keeper that does not act at what the one that acts has fixed, in ms: it then need not
+/// Interval at which a candidate that does not lead reads the log, in ms. A candidate that is up to date need not
 /// wait before it takes over.
 pub const STANDBY_READ_INTERVAL_MS: u64 = 6_000;
 
-/// Instances that gather what all have counted: two more than the one that acts, so that two may end at once.
+/// Instances that collect the tallies of the fleet: the leader and two more, so that two may fail at once.
 pub const LEADER_CANDIDATES: usize = 3;
 
-/// Time after its start for which an instance does not act, in ms: until it has heard of the others, it would take itself
-/// for the first of them.
-const START_MS: u64 = 1_500;
+/// Time after its start for which an instance does not lead, in ms: before gossip arrives it would rank itself first.
+const STARTUP_MS: u64 = 1_500;
 
-/// Time for which a new keeper leaves acting to those that gathered before, in ms: by then it has heard the whole of a
-/// window that is to be reported.
-const NEW_MS: u64 = 8_000;
+/// Time for which a new candidate does not lead while there are others, in ms: by then it has received the tallies
+/// of the whole window to be reported.
+const NEW_CANDIDATE_MS: u64 = 8_000;
 
-/// Time between two datagrams with this instance's tallies, in ms: what it counted in between is lost with it.
-const TELL_MS: u64 = 200;
+/// Interval at which an instance sends its tallies to its hub, in ms; its counts since the last time are lost when it
+/// ends.
+const TALLY_INTERVAL_MS: u64 = 200;
 
-/// The same for a hub with those of many, in ms: they are longer, and go across zones.
-const TELL_MANY_MS: u64 = 400;
+/// Interval at which a hub sends the collected tallies, in ms; these datagrams are longer and cross zones.
+const HUB_TALLY_INTERVAL_MS: u64 = 400;
 
-/// Calls to the API in a row without an answer after which another keeper may act.
-const FAILED_CALLS: u32 = 2;
+/// Consecutive calls to the platform's API without an answer after which the leader yields.
+const MAX_FAILED_CALLS: u32 = 2;
 
-/// Time for which it may then, in ms: two windows' reports at the usual length.
+/// Time for which a leader yields after failed calls, in ms: the reports of two windows of the usual length.
 const YIELD_MS: u64 = 10_000;
 
-/// Which duties there are, as the operators set them.
+/// Singleton tasks that the deployment has, as set by the operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TaskSettings {
-    /// Windows for which usage is reported.
+    /// Windows for which usage is reported; none if it is not reported.
     pub usage: Option<UsageWindows>,
-    /// Whether engines are ordered.
+    /// Whether engines are ordered from the platform.
     pub scales: bool,
 }
 
 impl TaskSettings {
-    /// Whether there is any duty.
+    /// Whether there is any task.
     pub fn is_any_enabled(&self) -> bool {
         self.usage.is_some() || self.scales
     }
 }
 
-/// Duties of one instance.
+/// State of the singleton tasks at one instance, whether it leads or not.
 pub struct SingletonTasks {
     append_lease: RefCell<AppendLease>,
     ledger: RefCell<UsageLedger>,
@@ -85,19 +85,21 @@
     scaling: RefCell<HashMap<String, ScalePlanner>>,
     names: RefCell<HashMap<WorkspaceKey, String>>,
     clock: RefCell<FleetClock>,
+    /// Fencing token of the last call that this instance made, or 0.
     last_fence: Cell<u64>,
-    keeper_since_ms: Cell<Option<u64>>,
+    candidate_since_ms: Cell<Option<u64>>,
     failed_calls: Cell<u32>,
     yields_until_ms: Cell<u64>,
-    told_ms: Cell<u64>,
-    told_to: Cell<Option<SocketAddr>>,
-    holds: Cell<bool>,
-    /// Whether the store, and the log of duties in it, can be reached.
+    tallies_sent_ms: Cell<u64>,
+    /// Hub that got the last tallies; none if this instance is a hub.
+    tallies_hub: Cell<Option<SocketAddr>>,
+    is_leader: Cell<bool>,
+    /// Whether the store, and the log of singleton tasks in it, can be reached.
     pub store_health: StoreHealth,
 }
 
 impl SingletonTasks {
-    /// Of an instance that has done nothing yet, where calls of two holders must be `lease_ms` apart.
+    /// Creates the state at start; calls of two leaders are at least `lease_ms` apart.
     pub fn new(lease_ms: u64) -> Self {
         let mut rng = rand::rng();
         Self {
@@ -111,39 +113,39 @@
             names: RefCell::default(),
             clock: RefCell::default(),
             last_fence: Cell::default(),
-            keeper_since_ms: Cell::default(),
+            candidate_since_ms: Cell::default(),
             failed_calls: Cell::default(),
             yields_until_ms: Cell::default(),
-            told_ms: Cell::default(),
-            told_to: Cell::default(),
-            holds: Cell::default(),
+            tallies_sent_ms: Cell::default(),
+            tallies_hub: Cell::default(),
+            is_leader: Cell::default(),
             store_health: StoreHealth::default(),
         }
     }
 
-    /// What this instance knows of the log of duties.
+    /// What this instance knows of the log of singleton tasks.
     pub fn append_lease(&self) -> &RefCell<AppendLease> {
         &self.append_lease
     }
 
-    /// Time of day that the fleet goes by, in ms since 1970.
+    /// Wall clock of the fleet, in ms since 1970.
     pub fn fleet_ms(&self) -> u64 {
         self.clock.borrow_mut().now_ms(since_boot_ms(), unix_ms())
     }
 
-    /// Learns the names of workspaces; those of earlier versions are still to be reported.
+    /// Adds the names of workspaces; usage of workspaces of earlier versions may still have to be reported.
     pub fn learn_workspace_names(&self, access: &Access) {
         let mut names = self.names.borrow_mut();
         for workspace in access.workspaces() {
             let key = WorkspaceKey::of(&workspace.name);
             let known = names.entry(key).or_insert_with(|| workspace.name.clone());
             if *known != workspace.name {
-                log::error!(workspace = workspace.name, other = known.as_str(); "two workspaces have one short name");
+                log::error!(workspace = workspace.name, other = known.as_str(); "two workspaces have the same key");
             }
         }
     }
 
-    /// A request was begun at an upstream, as far as its answer or the want of one tells.
+    /// Counts a request that an upstream began to run; each request counts once.
     pub fn count_started(&self, terms: TaskSettings, call: &Call) {
         let (Some(windows), Some(workspace)) = (terms.usage, &call.workspace) else {
             return;
@@ -156,104 +158,110 @@
         self.ledger.borrow_mut().record_start(window, key);
     }
 
-    /// A request is over that no answer came to. A plain service begins at once with what reaches it, an engine with
-    /// its first token, which would have come here.
+    /// Counts a request that ended without an answer, if an upstream may have begun it. A plain service begins as
+    /// soon as a request reaches it; an engine begins with the first token, which would have arrived here.
     pub fn count_unanswered(&self, terms: TaskSettings, call: &Call) {
         if call.route.kind != RouteKind::Stream && call.possible_runs.get() > 0 {
             self.count_started(terms, call);
         }
     }
 
-    /// Takes in what another instance told.
-    pub fn receive_gossip(&self, terms: TaskSettings, told: &GossipMessage) {
-        self.clock.borrow_mut().receive(since_boot_ms(), told);
-        if let Some(fence) = told.last_task_token {
-            self.append_lease
-                .borrow_mut()
-                .observe_fence(since_boot_ms(), fence);
+    /// Applies the clock, the last token and the tallies of a gossip message.
+    pub fn receive_gossip(&self, terms: TaskSettings, message: &GossipMessage) {
+        self.clock.borrow_mut().receive(since_boot_ms(), message);
+        if let Some(fence) = message.last_task_token {
+            self.append_lease.borrow_mut().observe_fence(since_boot_ms(), fence);
         }
-        let Some(windows) = terms.usage.filter(|_| !told.tallies.is_empty()) else {
+        let Some(windows) = terms.usage.filter(|_| !message.tallies.is_empty()) else {
             return;
         };
         let now = windows.at(self.fleet_ms());
         let mut ledger = self.ledger.borrow_mut();
-        for tally in &told.tallies {
-            ledger.receive(now, tally, told.kind == MessageKind::Report);
+        for tally in &message.tallies {
+            ledger.receive(now, tally, message.kind == MessageKind::Report);
         }
     }
 
-    /// Adds tallies to what goes out: to the own hub, or from a hub to the keepers.
+    /// Adds tallies to the outgoing datagrams if they are due: to that for the own hub, or from a hub to those for
+    /// the leader candidates.
     pub fn add_tallies(
         &self,
         now_ms: u64,
         out: &mut [(SocketAddr, GossipMessage)],
-        keepers: &[SocketAddr],
+        candidates: &[SocketAddr],
     ) {
-        let gathers = out.iter().any(|(_, told)| told.kind == MessageKind::Sum);
-        let period_ms = if gathers { TELL_MANY_MS } else { TELL_MS };
-        if out.is_empty() || now_ms < self.told_ms.get() + period_ms {
+        let is_hub = out
+            .iter()
+            .any(|(_, message)| message.kind == MessageKind::Sum);
+        let interval_ms = if is_hub {
+            HUB_TALLY_INTERVAL_MS
+        } else {
+            TALLY_INTERVAL_MS
+        };
+        if out.is_empty() || now_ms < self.tallies_sent_ms.get() + interval_ms {
             return;
         }
-        self.told_ms.set(now_ms);
-        let hub = (!gathers).then(|| out[0].0);
+        self.tallies_sent_ms.set(now_ms);
+        let hub = (!is_hub).then(|| out[0].0);
         let mut ledger = self.ledger.borrow_mut();
-        if self.told_to.replace(hub) != hub {
+        if self.tallies_hub.replace(hub) != hub {
             ledger.resend_own();
         }
         let tallies = ledger.to_send();
-        for (peer, told) in out {
-            let is_meant = match told.kind {
+        for (peer, message) in out {
+            let carries_tallies = match message.kind {
                 MessageKind::Report => true,
-                MessageKind::Sum => keepers.contains(peer),
+                MessageKind::Sum => candidates.contains(peer),
                 MessageKind::Digest => false,
             };
-            if is_meant {
-                told.tallies.clone_from(&tallies);
+            if carries_tallies {
+                message.tallies.clone_from(&tallies);
             }
         }
     }
 }
 
-/// Fencing token of the last call that this instance made for the fleet, if it may make the next.
+/// Fencing token of the last call that this instance made, or 0; none if it may not lead now.
 pub fn leader_fence(relay: &Relay) -> Option<u64> {
-    let duties = &relay.singleton_tasks;
+    let tasks = &relay.singleton_tasks;
     let now_ms = relay.now_ms();
     if !relay.settings.borrow().singleton_tasks.is_any_enabled() {
         return None;
     }
     let is_alone = !relay.members.borrow().has_members();
-    let is_keeper = is_alone || relay.rank() < LEADER_CANDIDATES;
-    if !is_keeper {
-        duties.keeper_since_ms.set(None);
+    let is_candidate = is_alone || relay.rank() < LEADER_CANDIDATES;
+    if !is_candidate {
+        tasks.candidate_since_ms.set(None);
         return None;
     }
-    let since_ms = duties.keeper_since_ms.get().unwrap_or(now_ms);
-    duties.keeper_since_ms.set(Some(since_ms));
+    let since_ms = tasks.candidate_since_ms.get().unwrap_or(now_ms);
+    tasks.candidate_since_ms.set(Some(since_ms));
     let has_others = relay.gossip.borrow().task_candidates().next().is_some();
-    let is_new = now_ms < since_ms + NEW_MS && has_others;
-    let yields = now_ms < duties.yields_until_ms.get();
-    let has_begun = now_ms >= START_MS;
-    let may = relay.is_ready()
-        && has_begun
+    let is_new = now_ms < since_ms + NEW_CANDIDATE_MS && has_others;
+    let yields = now_ms < tasks.yields_until_ms.get();
+    let has_started = now_ms >= STARTUP_MS;
+    let may_lead = relay.is_ready()
+        && has_started
         && !is_new
         && !yields
-        && !duties.store_health.is_unavailable(now_ms);
-    may.then(|| duties.last_fence.get())
+        && !tasks.store_health.is_unavailable(now_ms);
+    may_lead.then(|| tasks.last_fence.get())
 }
 
-/// Whether this instance acts now: the one that acted last, or else the first by key.
-fn is_holder(relay: &Relay) -> bool {
-    let mine = leader_fence(relay);
-    let holds = mine.is_some_and(|fence| {
+/// Whether this instance leads: of the instances that may, the one that made the last call, or else the first by key.
+fn is_leader(relay: &Relay) -> bool {
+    let last_fence = leader_fence(relay);
+    let is_leader = last_fence.is_some_and(|fence| {
         let own = InstanceKey::of(&relay.settings.borrow().name);
         crate::role_orders::has_precedence((own, fence), relay.gossip.borrow().task_candidates())
     });
-    if relay.singleton_tasks.holds.replace(holds) != holds {
+    if relay.singleton_tasks.is_leader.replace(is_leader) != is_leader {
         log::info!(
-            holds, fence = relay.singleton_tasks.last_fence.get(), may = mine.is_some(), rank = relay.rank(),
+            holds = is_leader, fence = relay.singleton_tasks.last_fence.get(), may = last_fence.is_some(),
+            rank = relay.rank(),
             lost_store = relay.singleton_tasks.store_health.is_unavailable(relay.now_ms());
-            "duties held"
+            "fleet leadership gained or lost"
         );
     }
-    holds
+    is_leader
 }
--- a/crates/relay/src/singleton_tasks/due.rs
+++ b/crates/relay/src/singleton_tasks/due.rs
@@ -1,35 +1,36 @@
-//! What is due now, as far as this instance knows the fleet.
+//! Which singleton tasks are due now, according to the instance's knowledge of the fleet.
 
 use std::collections::{BTreeMap, HashMap};
 
 use duty::scale::{self, ZoneCapacity};
 use duty::{ReportAction, UsageReport, UsageReports, UsageWindows};
 
-use super::{ScaleOrder, Task, is_holder};
+use super::{ScaleOrder, Task, is_leader};
 use crate::relay::Relay;
 
-/// The calls that this instance should make now, the most urgent first.
+/// The tasks that this instance should perform now, the most urgent first; empty if it does not lead.
 pub fn due_tasks(relay: &Relay) -> Vec<Task> {
     let terms = relay.settings.borrow().singleton_tasks;
-    let is_holder = is_holder(relay);
+    let is_leader = is_leader(relay);
+    // Planned by all instances, so that a new leader knows what happened before.
     let usage = terms.usage.and_then(|windows| usage_due(relay, windows));
     let scale = if terms.scales {
         scale_due(relay)
     } else {
         Vec::new()
     };
-    if !is_holder {
+    if !is_leader {
         return Vec::new();
     }
     usage.into_iter().chain(scale).collect()
 }
 
 fn usage_due(relay: &Relay, windows: UsageWindows) -> Option<Task> {
-    let duties = &relay.singleton_tasks;
-    let now_ms = duties.fleet_ms();
-    let mut reports = duties.reports.borrow_mut();
+    let tasks = &relay.singleton_tasks;
+    let now_ms = tasks.fleet_ms();
+    let mut reports = tasks.reports.borrow_mut();
     let reports = reports.get_or_insert_with(|| UsageReports::new(windows, now_ms));
-    let has_counts = |window| duties.ledger.borrow().sum(window).is_some();
+    let has_counts = |window| tasks.ledger.borrow().sum(window).is_some();
     let report = match reports.next_action(now_ms, has_counts)? {
         ReportAction::Send(report) => report,
         ReportAction::Fix(window) => UsageReport {
@@ -40,7 +41,7 @@
     Some(Task::Usage(report))
 }
 
-/// What ran in a window, by names of workspaces.
+/// Requests that began in a window, by name of the workspace.
 fn counts(relay: &Relay, window: u64) -> BTreeMap<String, u64> {
     let names = relay.singleton_tasks.names.borrow();
     let sum = relay
@@ -56,7 +57,7 @@
                 counts.insert(name.clone(), count);
             }
             None => {
-                log::error!(window, count, workspace:? = key; "usage of a workspace without a name is not reported");
+                log::error!(window, count, workspace:? = key; "usage not reported: the workspace's name is unknown");
             }
         }
     }
@@ -68,7 +69,7 @@
         return Vec::new();
     };
     let now_ms = relay.now_ms();
-    let mut acts = Vec::new();
+    let mut tasks = Vec::new();
     for (service, terms) in config
         .services()
         .iter()
@@ -77,20 +78,20 @@
         let zones = zones(relay, service, terms);
         let mut all = relay.singleton_tasks.scaling.borrow_mut();
         let scaling = all.entry(service.clone()).or_default();
-        let wishes = scaling.due_orders(now_ms, terms, &zones);
+        let targets = scaling.due_orders(now_ms, terms, &zones);
         let wanted = scaling.target_size().unwrap_or_default();
-        acts.extend(wishes.into_iter().map(|wish| {
+        tasks.extend(targets.into_iter().map(|target| {
             Task::Scale(ScaleOrder {
                 service: service.clone(),
                 wanted,
-                target: wish,
+                target,
             })
         }));
     }
-    acts
+    tasks
 }
 
-/// Engines of a service in each zone that may have some.
+/// Number of a service's engines in each zone that has a price for them.
 fn zones(relay: &Relay, service: &str, terms: &scale::ScalingBounds) -> Vec<ZoneCapacity> {
     let mut names: Vec<&String> = terms.zone_prices.keys().collect();
     names.sort_unstable();
--- a/crates/relay/src/singleton_tasks/store_health.rs
+++ b/crates/relay/src/singleton_tasks/store_health.rs
@@ -1,18 +1,18 @@
-//! Whether the store can be reached, as far as duties need it.
+//! Whether the store is available to this instance for singleton tasks.
 //!
-//! Failure: the store turns away what concerns some of its topics and serves the others. Judged by its last call, of whatever
-//! kind, each keeper would lose the store and have it back several times a second; the one that acted last would always
-//! come back before another one had taken over, and nobody acted.
+//! The store may reject calls for some of its topics and serve the others. If the last call of any kind
+//! decided, each leader candidate would lose and regain the store several times a second. The last leader would
+//! regain it each time before another candidate had taken over, and no task would be performed.
 
 use std::cell::Cell;
 
-/// Time without any answer after which the store counts as lost, in ms: a few calls.
+/// Time without a response after which the store counts as unavailable, in ms: a few calls.
 const SILENT_MS: u64 = 1_500;
 
-/// Time for which an instance leaves acting to others after its own log could not be reached, in ms.
-const REST_MS: u64 = 3_000;
+/// Time for which an instance does not lead after a failed call for the log of singleton tasks, in ms.
+const LOG_FAILURE_PAUSE_MS: u64 = 3_000;
 
-/// What calls to the store have shown.
+/// Results of recent calls to the store.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     answered_ms: Cell<u64>,
@@ -21,7 +21,7 @@
 }
 
 impl StoreHealth {
-    /// A call was answered, or was not; `is_log` if it was for the log of duties.
+    /// Records whether a call was answered; `is_log` if it was for the log of singleton tasks.
     pub fn record_call(&self, now_ms: u64, is_log: bool, was_answered: bool) {
         self.last_failed.set(!was_answered);
         if was_answered {
@@ -32,10 +32,10 @@
         }
     }
 
-    /// Whether another instance should act.
+    /// Whether the store counts as unavailable, so that another instance should lead.
     pub fn is_unavailable(&self, now_ms: u64) -> bool {
         let is_silent = self.last_failed.get() && now_ms >= self.answered_ms.get() + SILENT_MS;
         let log_failed = self.log_failed_ms.get();
-        is_silent || log_failed.is_some_and(|at_ms| now_ms < at_ms + REST_MS)
+        is_silent || log_failed.is_some_and(|at_ms| now_ms < at_ms + LOG_FAILURE_PAUSE_MS)
     }
 }
--- a/crates/relay/src/singleton_tasks/tasks.rs
+++ b/crates/relay/src/singleton_tasks/tasks.rs
@@ -1,70 +1,70 @@
-//! One call for the fleet: what stands in the log before it is made, and what came of it.
+//! One singleton task: its record in the log, its call to the platform and the outcome.
 
 use duty::scale::{self, ZoneTarget};
 use duty::{UsageReport, UsageReports};
 use lease::SendPermit;
 use serde::{Deserialize, Serialize};
 
-use super::{FAILED_CALLS, YIELD_MS};
+use super::{MAX_FAILED_CALLS, YIELD_MS};
 use crate::relay::Relay;
 
-/// Windows whose records stay in the log; each takes the place of one of so many before.
+/// Windows whose records the log keeps; a new record replaces that of the window as many before.
 const WINDOWS_KEPT: u64 = 16;
 
-/// A call as it stands in the log.
+/// A task's record in the log, appended before its call is made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// Life of the process that may make it.
+    /// Random number of the process that appended the record and may make the call.
     pub holder: u64,
-    /// Name of its instance, for people.
+    /// Name of its instance, for operators.
     pub instance: String,
-    /// What is called for.
+    /// The task.
     #[serde(rename = "act")]
     pub task: Task,
 }
 
-/// What one call says.
+/// A singleton task with the content of its call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Task {
-    /// What ran for whom in a window.
+    /// Reports the requests of each workspace in a window.
     Usage(UsageReport),
-    /// Engines that a zone is to have.
+    /// Orders a number of engines for a zone.
     Scale(ScaleOrder),
 }
 
-/// Engines that a zone is to have.
+/// An order of engines for a zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScaleOrder {
-    /// Their service.
+    /// Service of the engines.
     pub service: String,
-    /// Engines that the service is to have in all zones.
+    /// Target number of the service's engines in all zones.
     pub wanted: usize,
-    /// The order.
+    /// Target for the zone.
     #[serde(rename = "wish")]
     pub target: ZoneTarget,
 }
 
-/// What came of a call.
+/// Outcome of a call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was accepted.
+    /// The platform accepted it.
     Accepted,
-    /// There are no engines of that kind to be had now.
+    /// The zone has no capacity of that kind now.
     NoneToBeHad,
-    /// It was refused.
+    /// The platform refused it.
     Refused {
-        /// Why.
+        /// Reason given by the platform.
         why: String,
     },
-    /// No answer came.
+    /// No answer came, so the platform may have accepted it.
     Unanswered {
-        /// What happened.
+        /// Cause of the failure.
         why: String,
     },
 }
 
 impl Task {
-    /// Key under which it stands in the log.
+    /// Key of the record in the log; a record replaces an earlier one with the same key.
     pub fn key(&self) -> String {
         match self {
             Self::Usage(report) => format!("usage/{}", report.window % WINDOWS_KEPT),
@@ -79,33 +79,33 @@
     }
 }
 
-/// The record of a call that this instance is to make.
-pub fn task_record(relay: &Relay, act: &Task) -> TaskRecord {
+/// The record of a task that this instance is to perform.
+pub fn task_record(relay: &Relay, task: &Task) -> TaskRecord {
     TaskRecord {
         holder: relay.singleton_tasks.append_lease.borrow().holder(),
         instance: relay.settings.borrow().name.clone(),
-        task: act.clone(),
+        task: task.clone(),
     }
 }
 
-/// A record of this instance stands in the log: what it says is fixed from now on, whether it is heard or not.
+/// Applies a record that this instance appended. Its content is fixed from now on, even if the call fails.
 pub fn task_logged(relay: &Relay, record: TaskRecord, ticket: SendPermit) {
     relay.singleton_tasks.last_fence.set(ticket.fence);
     apply_record(relay, record);
 }
 
-/// Takes in a record of the log.
+/// Applies a record read from the log.
 pub fn apply_record(relay: &Relay, record: TaskRecord) {
-    let duties = &relay.singleton_tasks;
-    let is_own = record.holder == duties.append_lease.borrow().holder();
+    let tasks = &relay.singleton_tasks;
+    let is_own = record.holder == tasks.append_lease.borrow().holder();
     match record.task {
         Task::Usage(report) => {
-            if let Some(reports) = duties.reports.borrow_mut().as_mut() {
+            if let Some(reports) = tasks.reports.borrow_mut().as_mut() {
                 reports.record_fixed(report, is_own);
             }
         }
         Task::Scale(order) if !is_own => {
-            let mut all = duties.scaling.borrow_mut();
+            let mut all = tasks.scaling.borrow_mut();
             let scaling = all.entry(order.service).or_default();
             scaling.adopt(order.wanted, &order.target);
         }
@@ -113,28 +113,28 @@
     }
 }
 
-/// A call was made under a token.
-pub fn task_finished(relay: &Relay, act: &Task, fence: u64, outcome: &Outcome) {
-    let duties = &relay.singleton_tasks;
-    let was_heard = !matches!(outcome, Outcome::Unanswered { .. });
-    let failed = if was_heard {
+/// Records the outcome of a call made with the fencing token `fence`.
+pub fn task_finished(relay: &Relay, task: &Task, fence: u64, outcome: &Outcome) {
+    let tasks = &relay.singleton_tasks;
+    let was_answered = !matches!(outcome, Outcome::Unanswered { .. });
+    let failed = if was_answered {
         0
     } else {
-        duties.failed_calls.get() + 1
+        tasks.failed_calls.get() + 1
     };
-    duties.failed_calls.set(failed);
-    if failed >= FAILED_CALLS {
-        // Another keeper may reach the API where this one does not.
-        duties.failed_calls.set(0);
-        duties.yields_until_ms.set(relay.now_ms() + YIELD_MS);
+    tasks.failed_calls.set(failed);
+    if failed >= MAX_FAILED_CALLS {
+        // Another candidate may reach the API although this instance does not.
+        tasks.failed_calls.set(0);
+        tasks.yields_until_ms.set(relay.now_ms() + YIELD_MS);
     }
-    let (call, label) = match act {
+    let (call, label) = match task {
         Task::Usage(report) => {
-            note_usage(relay, report, fence, outcome);
+            record_usage(relay, report, fence, outcome);
             ("usage", outcome.label())
         }
         Task::Scale(order) => {
-            note_scale(relay, order, fence, outcome);
+            record_scale(relay, order, fence, outcome);
             ("scale", outcome.label())
         }
     };
@@ -145,10 +145,10 @@
         .inc();
 }
 
-fn note_usage(relay: &Relay, report: &UsageReport, fence: u64, outcome: &Outcome) {
-    let duties = &relay.singleton_tasks;
-    let now_ms = duties.fleet_ms();
-    if let Some(reports) = duties.reports.borrow_mut().as_mut() {
+fn record_usage(relay: &Relay, report: &UsageReport, fence: u64, outcome: &Outcome) {
+    let tasks = &relay.singleton_tasks;
+    let now_ms = tasks.fleet_ms();
+    if let Some(reports) = tasks.reports.borrow_mut().as_mut() {
         reports.record_sent(now_ms, report.window, *outcome == Outcome::Accepted);
     }
     let requests: u64 = report.counts.values().sum();
@@ -158,8 +158,8 @@
     );
 }
 
-fn note_scale(relay: &Relay, order: &ScaleOrder, fence: u64, outcome: &Outcome) {
-    let came = match outcome {
+fn record_scale(relay: &Relay, order: &ScaleOrder, fence: u64, outcome: &Outcome) {
+    let order_outcome = match outcome {
         Outcome::Accepted => scale::OrderOutcome::Taken,
         Outcome::NoneToBeHad => scale::OrderOutcome::Dry,
         Outcome::Refused { .. } => scale::OrderOutcome::Refused,
@@ -167,7 +167,7 @@
     };
     let mut all = relay.singleton_tasks.scaling.borrow_mut();
     if let Some(scaling) = all.get_mut(&order.service) {
-        scaling.record_order(relay.now_ms(), &order.target, came);
+        scaling.record_order(relay.now_ms(), &order.target, order_outcome);
     }
     log::info!(
         service = order.service, zone = order.target.zone, kind:? = order.target.kind, desired = order.target.desired,
@@ -177,6 +177,7 @@
 }
 
 impl Outcome {
+    /// Label in metrics.
     fn label(&self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -187,7 +188,7 @@
     }
 }
 
-/// The log may have lost what was written last.
+/// Handles a store that may have lost the latest records: windows that ended before are not fixed anew.
 pub fn log_was_lost(relay: &Relay) {
     let now_ms = relay.singleton_tasks.fleet_ms();
     if let Some(reports) = relay.singleton_tasks.reports.borrow_mut().as_mut() {
