--- a/crates/relay/src/role_orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -1,9 +1,9 @@
-//! Changes of engines' roles: which are wished for, and how one is ordered.
+//! Role changes of engines between prefill and decode: which are needed, and the orders for them.
 //!
-//! Every instance measures what it is asked and knows the sum of what all are; of the hubs that
-//! reach the store, the one that gave the last order acts on it. That only keeps instances from asking for
-//! the same change at once: what makes an order safe is `lease::AppendLease`, whoever believes to be the one.
-//! Without any of them requests are served as before. See docs/design/orders.md.
+//! Every instance measures its own demand and learns the fleet's by gossip. Of the hubs that reach the store, the
+//! one that gave the last order leads. That only keeps instances from ordering the same change at once; orders
+//! are made safe by `lease::AppendLease`, even if several instances take themselves for the leader. Without any
+//! leader, requests are served with the roles as they are. See docs/design/orders.md.
 
 mod sending;
 
@@ -26,121 +26,122 @@
 
 pub use sending::{order_logged, send_order};
 
-/// Time between two looks at the split, in ms.
+/// Interval between checks of the role split, in ms.
 pub const CHECK_INTERVAL_MS: u64 = 250;
 
-/// Time for which traffic must have been seen before anything is ordered, in ms: some dozens of
-/// requests an instance at the usual load.
-const SEEN_MS: u64 = 1_500;
+/// Time for which demand must have been observed before anything is ordered, in ms: some dozens of requests
+/// per instance at the usual load.
+const MIN_OBSERVED_MS: u64 = 1_500;
 
-/// Requests a second that all instances must have for the split to be changed: with fewer nobody waits, and
-/// one that hears nobody and is reached by no caller would believe that nothing is asked for.
-const LEAST_REQUESTS_A_S: f64 = 3.0;
+/// Minimum request rate of the fleet for role changes, per second. With fewer requests nobody waits, and an instance
+/// without gossip and callers would conclude that there is no demand.
+const MIN_REQUESTS_PER_S: f64 = 3.0;
 
-/// Engines of a service for each order that one look may give: with four looks a second, a fleet
-/// of two hundred has as many on their way as may be away within two seconds.
-const ENGINES_AN_ORDER: usize = 48;
+/// Number of a service's engines for each order that one check may give. With four checks per second, a fleet of
+/// 200 reaches the limit on concurrent role changes within two seconds.
+const ENGINES_PER_ORDER: usize = 48;
 
-/// Time between two looks of a reader that gives no orders at whether another one does, in ms: less than
-/// the quiet time that it would else have to wait before its first.
+/// Interval at which a log reader that does not lead checks for orders of another instance, in ms. It is shorter
+/// than the pause that `lease::Turns` requires after such an order, so it need not wait before its own first one.
 pub const STANDBY_READ_INTERVAL_MS: u64 = 6_000;
 
-/// Age from which an upstream may be ordered, in ms; one that is newly back may go again.
-const SETTLED_MS: u64 = 1_000;
+/// Minimum age of an engine for an order, in ms; one that has just returned may be about to leave again.
+const MIN_ENGINE_AGE_MS: u64 = 1_000;
 
-/// Time after an order until its engine may get another one, in ms: orders that are carried out late
-/// come up to 12 s after.
-const REST_MS: u64 = 15_000;
+/// Minimum time between two orders to one engine, in ms: an order may take effect up to 12 s late.
+const ENGINE_PAUSE_MS: u64 = 15_000;
 
-/// An order as it stands in the log.
+/// An order's record in the log, appended before the order is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleOrderRecord {
-    /// Life of the process that may send it.
+    /// Random number of the process that appended the record and may send the order.
     pub holder: u64,
-    /// Name of its instance, for people.
+    /// Name of its instance, for operators.
     pub instance: String,
-    /// Engine that it is for.
+    /// Id of the engine.
     pub engine: String,
-    /// What the engine is to do.
+    /// The engine's new role.
     pub stage: Stage,
 }
 
-/// An order as an engine gets it.
+/// An order as sent to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoleOrder<'a> {
-    /// Instance that gives it.
+    /// Name of the instance that sends it.
     pub holder: &'a str,
     /// Fencing token.
     pub fence: u64,
-    /// Orders that the engine must have taken before; another number makes it refuse.
+    /// Number of orders that the engine must have accepted before; it refuses the order if it has another number.
     pub orders_before: u64,
-    /// Whether it is to read prompts, or to make output.
+    /// Whether the new role is prefill; decode otherwise.
     pub is_prefill: bool,
 }
 
-/// A change that is wished for.
+/// A planned role change of one engine.
 pub struct PlannedChange {
     /// The engine.
     pub engine: Rc<Upstream>,
-    /// What it is to do.
+    /// Its new role.
     pub stage: Stage,
     service: String,
-    turn: SplitChange,
+    change: SplitChange,
     demand: Demand,
     split: RoleSplit,
 }
 
-/// What is asked of one service, as this instance sees it.
+/// Demand for one service as measured at this instance, and the plan for its engines.
 #[derive(Default)]
-struct Asked {
-    reading: MovingRate,
-    making: MovingRate,
+struct ServiceState {
+    prefill: MovingRate,
+    decode: MovingRate,
     requests: MovingRate,
     peak: PeakDemand,
-    plan: SplitPlanner,
+    planner: SplitPlanner,
 }
 
-/// Orders of one instance.
+/// State of role orders at one instance, whether it leads or not.
 pub struct RoleOrders {
     append_lease: RefCell<AppendLease>,
-    asked: RefCell<HashMap<String, Asked>>,
-    given: RefCell<HashMap<String, u64>>,
-    looked_ms: Cell<u64>,
+    services: RefCell<HashMap<String, ServiceState>>,
+    /// Time of the last order to each engine.
+    ordered_ms: RefCell<HashMap<String, u64>>,
+    checked_ms: Cell<u64>,
+    /// Fencing token of the last order that this instance gave, or 0.
     last_fence: Cell<u64>,
-    lost_store: Cell<bool>,
+    last_store_call_failed: Cell<bool>,
 }
 
 impl RoleOrders {
-    /// An instance that has given none, where holders must be `lease_ms` apart.
+    /// Creates the state at start; orders of two leaders are at least `lease_ms` apart.
     pub fn new(lease_ms: u64) -> Self {
         Self {
             append_lease: RefCell::new(AppendLease::new(
                 rand::rng().random(),
                 AppendLeaseTimes::for_orders(lease_ms),
             )),
-            asked: RefCell::default(),
-            given: RefCell::default(),
-            looked_ms: Cell::default(),
+            services: RefCell::default(),
+            ordered_ms: RefCell::default(),
+            checked_ms: Cell::default(),
             last_fence: Cell::default(),
-            lost_store: Cell::default(),
+            last_store_call_failed: Cell::default(),
         }
     }
 
-    /// A call to the store was answered, or was not.
+    /// Records whether a call to the store was answered.
     pub fn record_store_call(&self, was_answered: bool) {
-        self.lost_store.set(!was_answered);
+        self.last_store_call_failed.set(!was_answered);
     }
 
-    /// What callers ask of this instance, to be told to others.
+    /// The demand of this instance's callers, for gossip.
     pub fn demand(&self, now_ms: u64) -> Vec<ServiceDemand> {
-        let all = self.asked.borrow();
-        let told = all.iter().map(|(service, asked)| ServiceDemand {
+        let services = self.services.borrow();
+        let demand = services.iter().map(|(service, state)| ServiceDemand {
             service: service.clone(),
-            prefill_engines: asked.reading.per_ms(now_ms) as f32,
-            decode_engines: asked.making.per_ms(now_ms) as f32,
-            requests_per_s: (asked.requests.per_ms(now_ms) * 1_000.0) as f32,
+            prefill_engines: state.prefill.per_ms(now_ms) as f32,
+            decode_engines: state.decode.per_ms(now_ms) as f32,
+            requests_per_s: (state.requests.per_ms(now_ms) * 1_000.0) as f32,
         });
-        told.collect()
+        demand.collect()
     }
 
     /// What this instance knows of the log of orders.
@@ -148,31 +149,32 @@
         &self.append_lease
     }
 
-    /// A generation was asked for that takes an engine `read_ms` to read, served or not.
-    pub fn record_demand(&self, service: &str, now_ms: u64, read_ms: f64) {
-        let mut all = self.asked.borrow_mut();
-        if !all.contains_key(service) {
-            all.insert(service.to_owned(), Asked::default());
+    /// Records a requested generation, served or not, with the time that its prefill takes an engine.
+    pub fn record_demand(&self, service: &str, now_ms: u64, prefill_ms: f64) {
+        let mut services = self.services.borrow_mut();
+        if !services.contains_key(service) {
+            services.insert(service.to_owned(), ServiceState::default());
         }
-        if let Some(asked) = all.get_mut(service) {
-            asked.reading.add(now_ms, read_ms);
-            asked.requests.add(now_ms, 1.0);
+        if let Some(state) = services.get_mut(service) {
+            state.prefill.add(now_ms, prefill_ms);
+            state.requests.add(now_ms, 1.0);
         }
     }
 }
 
-/// Fencing token of the last order that this instance gave, if it may give the next: it is a hub, so that
-/// it hears what all are asked, and has not lost the store.
-pub fn leader_fence(relay: &Relay, duty: ReaderRole) -> Option<u64> {
+/// Fencing token of the last order that this instance gave, or 0; none if it may not give the next one. Only
+/// hubs may, since they know the demand of the whole fleet, and only while they reach the store.
+pub fn leader_fence(relay: &Relay, reader_role: ReaderRole) -> Option<u64> {
     let is_alone = !relay.members.borrow().has_members();
-    let hears_all = duty <= ReaderRole::Hub || is_alone;
-    let may = relay.is_ready() && hears_all && !relay.role_orders.lost_store.get();
-    may.then(|| relay.role_orders.last_fence.get())
+    let knows_demand = reader_role <= ReaderRole::Hub || is_alone;
+    let may_lead =
+        relay.is_ready() && knows_demand && !relay.role_orders.last_store_call_failed.get();
+    may_lead.then(|| relay.role_orders.last_fence.get())
 }
 
-/// Whether this instance gives the orders now: the one that gave the last, so that no time passes in
-/// which two must be apart, or else the first by key.
-fn is_giver(relay: &Relay) -> bool {
+/// Whether this instance leads: the one that gave the last order, so that the pause between orders of two
+/// instances is not needed, or else the first by key.
+fn is_leader(relay: &Relay) -> bool {
     let Some(fence) = leader_fence(relay, relay.reader_role()) else {
         return false;
     };
@@ -180,63 +182,65 @@
     has_precedence((own, fence), relay.gossip.borrow().order_candidates())
 }
 
-/// Whether one instance goes before the others, each with the token of what it did last: the one that acted last, or
-/// else the first by key.
+/// Whether an instance has precedence over others, each given with its last fencing token: the highest token wins,
+/// then the lowest key.
 pub fn has_precedence(
     (own, fence): (InstanceKey, u64),
     mut others: impl Iterator<Item = (InstanceKey, u64)>,
 ) -> bool {
-    let goes_before =
+    let precedes =
         |(key, theirs)| (theirs, std::cmp::Reverse(key)) > (fence, std::cmp::Reverse(own));
-    !others.any(goes_before)
+    !others.any(precedes)
 }
 
-/// Measures what is asked, and gives the changes that this instance should order now.
+/// Updates the demand and returns the role changes that this instance should order now; none if it does not lead.
 pub fn plan_changes(relay: &Relay) -> Vec<Rc<PlannedChange>> {
     let now_ms = relay.now_ms();
     let orders = &relay.role_orders;
-    let looked_ms = orders.looked_ms.replace(now_ms);
-    let passed_ms = now_ms.saturating_sub(looked_ms).min(CHECK_INTERVAL_MS);
-    let is_giver = is_giver(relay);
-    let others = relay.gossip.borrow().demand();
-    let mut all = orders.asked.borrow_mut();
-    let mut wishes = Vec::new();
-    for (service, asked) in all.iter_mut() {
+    let checked_ms = orders.checked_ms.replace(now_ms);
+    let elapsed_ms = now_ms.saturating_sub(checked_ms).min(CHECK_INTERVAL_MS);
+    let is_leader = is_leader(relay);
+    let peer_demand = relay.gossip.borrow().demand();
+    let mut services = orders.services.borrow_mut();
+    let mut changes = Vec::new();
+    for (service, state) in services.iter_mut() {
         let engines = engines(relay, service, now_ms);
-        let places: f64 = engines
+        let busy_engines: f64 = engines
             .iter()
             .filter(|each| each.stage() == Stage::Decode)
             .map(|each| f64::from(each.decoding()) / f64::from(each.slots))
             .sum();
-        asked.making.add(now_ms, places * passed_ms as f64);
-        let others = others.iter().find(|each| each.service == *service);
-        // Noted by all, so that whoever gives the next orders knows the rushes of before.
-        let demand = asked.demand(now_ms, others);
-        if is_giver && let Some(demand) = demand {
-            wishes.extend(wished(relay, service, asked, &engines, &demand));
+        state.decode.add(now_ms, busy_engines * elapsed_ms as f64);
+        let peers = peer_demand.iter().find(|each| each.service == *service);
+        // Recorded by all instances, so that a new leader knows earlier peaks.
+        let demand = state.fleet_demand(now_ms, peers);
+        if is_leader && let Some(demand) = demand {
+            changes.extend(plan_service(relay, service, state, &engines, &demand));
         }
     }
-    wishes
+    changes
 }
 
-impl Asked {
-    /// The most that all instances were asked of late; nothing while too little is seen.
-    fn demand(&mut self, now_ms: u64, others: Option<&ServiceDemand>) -> Option<Demand> {
-        let others = others.cloned().unwrap_or_default();
-        let requests_a_s =
-            self.requests.per_ms(now_ms) * 1_000.0 + f64::from(others.requests_per_s);
-        if self.requests.observed_ms(now_ms) < SEEN_MS || requests_a_s < LEAST_REQUESTS_A_S {
+impl ServiceState {
+    /// The recent peak demand of the fleet; none while there are too few observations or requests.
+    fn fleet_demand(&mut self, now_ms: u64, peers: Option<&ServiceDemand>) -> Option<Demand> {
+        let peers = peers.cloned().unwrap_or_default();
+        let requests_per_s =
+            self.requests.per_ms(now_ms) * 1_000.0 + f64::from(peers.requests_per_s);
+        if self.requests.observed_ms(now_ms) < MIN_OBSERVED_MS
+            || requests_per_s < MIN_REQUESTS_PER_S
+        {
             return None;
         }
         let now = Demand {
-            prefill: self.reading.per_ms(now_ms) + f64::from(others.prefill_engines),
-            decode: self.making.per_ms(now_ms) + f64::from(others.decode_engines),
+            prefill: self.prefill.per_ms(now_ms) + f64::from(peers.prefill_engines),
+            decode: self.decode.per_ms(now_ms) + f64::from(peers.decode_engines),
         };
         Some(self.peak.record(now_ms, &now))
     }
 }
 
-/// Engines of a service that split the two steps of a generation.
+/// Ready engines of a service whose role is prefill or decode; those that do both have no role to change.
 fn engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<Rc<Upstream>> {
     let upstreams = relay.upstreams.borrow();
     let all = upstreams.ready(service, now_ms);
@@ -245,92 +249,93 @@
         .collect()
 }
 
-fn wished(
+fn plan_service(
     relay: &Relay,
     service: &str,
-    asked: &mut Asked,
+    service_state: &mut ServiceState,
     engines: &[Rc<Upstream>],
     demand: &Demand,
 ) -> Vec<Rc<PlannedChange>> {
     let now_ms = relay.now_ms();
-    let away = |each: &&Rc<Upstream>| each.is_changing_role(now_ms);
-    let reads = |each: &&Rc<Upstream>| each.target_stage(now_ms) == Stage::Prefill;
+    let is_changing = |each: &&Rc<Upstream>| each.is_changing_role(now_ms);
+    let is_prefill = |each: &&Rc<Upstream>| each.target_stage(now_ms) == Stage::Prefill;
     let split = RoleSplit {
-        prefill: engines.iter().filter(reads).count(),
-        decode: engines.iter().filter(|each| !reads(each)).count(),
-        changing: engines.iter().filter(away).count(),
+        prefill: engines.iter().filter(is_prefill).count(),
+        decode: engines.iter().filter(|each| !is_prefill(each)).count(),
+        changing: engines.iter().filter(is_changing).count(),
     };
-    let Some(turn) = asked.plan.next_change(now_ms, demand, &split) else {
+    let Some(change) = service_state.planner.next_change(now_ms, demand, &split) else {
         return Vec::new();
     };
-    let stage = match turn {
+    let stage = match change {
         SplitChange::ToPrefill => Stage::Prefill,
         SplitChange::ToDecode => Stage::Decode,
     };
-    let most = engines.len().div_ceil(ENGINES_AN_ORDER);
-    let count = most.min(max_changes_at_once(turn, demand, &split));
-    let chosen = chosen(relay, engines, stage, count);
-    let wish = |engine| {
+    let max = engines.len().div_ceil(ENGINES_PER_ORDER);
+    let count = max.min(max_changes_at_once(change, demand, &split));
+    let chosen = choose_engines(relay, engines, stage, count);
+    let planned = |engine| {
         Rc::new(PlannedChange {
             engine,
             stage,
             service: service.to_owned(),
-            turn,
+            change,
             demand: *demand,
             split,
         })
     };
-    chosen.into_iter().map(wish).collect()
+    chosen.into_iter().map(planned).collect()
 }
 
-/// The engines that are to change: each of the zone with the fewest of the new kind, the one there with
-/// the least to do.
-fn chosen(
+/// Chooses the engines to change, one after the other: the one with the lowest load in the zone with the fewest
+/// engines of the new role.
+fn choose_engines(
     relay: &Relay,
     engines: &[Rc<Upstream>],
     stage: Stage,
     count: usize,
 ) -> Vec<Rc<Upstream>> {
     let now_ms = relay.now_ms();
-    let given = relay.role_orders.given.borrow();
-    let rests = |each: &Upstream| {
-        let at_ms = given.get(&each.id);
-        at_ms.is_some_and(|at_ms| now_ms < at_ms + REST_MS)
+    let ordered_ms = relay.role_orders.ordered_ms.borrow();
+    let is_paused = |each: &Upstream| {
+        let at_ms = ordered_ms.get(&each.id);
+        at_ms.is_some_and(|at_ms| now_ms < at_ms + ENGINE_PAUSE_MS)
     };
-    let mut there: HashMap<&str, usize> = HashMap::new();
+    let mut in_zone: HashMap<&str, usize> = HashMap::new();
     for each in engines {
-        let is_there = each.target_stage(now_ms) == stage;
-        *there.entry(&each.zone).or_default() += usize::from(is_there);
+        let has_role = each.target_stage(now_ms) == stage;
+        *in_zone.entry(&each.zone).or_default() += usize::from(has_role);
     }
-    let mut free: Vec<&Rc<Upstream>> = engines
+    let mut candidates: Vec<&Rc<Upstream>> = engines
         .iter()
-        .filter(|each| each.stage() != stage && !each.is_changing_role(now_ms) && !rests(each))
+        .filter(|each| each.stage() != stage && !each.is_changing_role(now_ms) && !is_paused(each))
         .filter(|each| {
-            each.verdict(now_ms) == HealthStatus::Healthy && each.age_ms(now_ms) >= SETTLED_MS
+            each.verdict(now_ms) == HealthStatus::Healthy
+                && each.age_ms(now_ms) >= MIN_ENGINE_AGE_MS
         })
         .collect();
     let mut chosen = Vec::new();
     while chosen.len() < count {
-        let least = free.iter().enumerate().min_by(|(_, a), (_, b)| {
-            let by_zone = there[a.zone.as_str()].cmp(&there[b.zone.as_str()]);
+        let best = candidates.iter().enumerate().min_by(|(_, a), (_, b)| {
+            let by_zone = in_zone[a.zone.as_str()].cmp(&in_zone[b.zone.as_str()]);
             by_zone.then(a.load(now_ms).total_cmp(&b.load(now_ms)))
         });
-        let Some((at, _)) = least else {
+        let Some((at, _)) = best else {
             break;
         };
-        let engine = free.swap_remove(at);
-        *there.entry(&engine.zone).or_default() += 1;
+        let engine = candidates.swap_remove(at);
+        *in_zone.entry(&engine.zone).or_default() += 1;
         chosen.push(Rc::clone(engine));
     }
     chosen
 }
 
-/// The record of an order that is wished for.
-pub fn order_record(relay: &Relay, wish: &PlannedChange) -> RoleOrderRecord {
+/// The record of the order for a planned change.
+pub fn order_record(relay: &Relay, planned: &PlannedChange) -> RoleOrderRecord {
     RoleOrderRecord {
         holder: relay.role_orders.append_lease.borrow().holder(),
         instance: relay.settings.borrow().name.clone(),
-        engine: wish.engine.id.clone(),
-        stage: wish.stage,
+        engine: planned.engine.id.clone(),
+        stage: planned.stage,
     }
 }
--- a/crates/relay/src/role_orders/sending.rs
+++ b/crates/relay/src/role_orders/sending.rs
@@ -1,4 +1,4 @@
-//! One order on its way to an engine.
+//! Sending of a role order to an engine.
 
 use std::time::Duration;
 
@@ -14,49 +14,54 @@
 use crate::relay::Relay;
 use crate::upstream::{Stage, Upstream};
 
-/// Time for one call to an engine about its role, in ms: hundreds of round trips.
-const CALL_MS: u64 = 500;
+/// Timeout of a call to an engine, in ms: hundreds of round trips.
+const CALL_TIMEOUT_MS: u64 = 500;
 
-/// Time in which other instances are told of an order before its engine is, in ms: by way of two hubs,
-/// and one datagram more.
-const TELL_MS: u64 = 400;
+/// Time between the gossip of an order and its send, in ms: it reaches all instances over two hubs, with one
+/// datagram to spare.
+const GOSSIP_MS: u64 = 400;
 
-/// Time for which an ordered engine gets no work, in ms, unless its list entry changes before: it ends
-/// what it has, which takes as long as callers wait at most, and is away for some seconds. At half of
-/// that, one engine rejected 143 requests in the third of a second that it still took.
-const TURNING_MS: u64 = 12_000;
+/// Time for which an engine gets no requests after an order, in ms, unless its entry in the list changes before. The
+/// engine first finishes its requests, which takes up to the longest deadline, and then changes for some seconds.
+/// With half of that time, one engine rejected 143 requests in the third of a second in which it still got them.
+const ROLE_CHANGE_MS: u64 = 12_000;
 
-/// Notes that an order stands in the log, before it is given.
-pub fn order_logged(relay: &Relay, wish: &PlannedChange, ticket: SendPermit) {
-    let engine = &wish.engine;
+/// Records an order that this instance appended to the log, before it is sent.
+pub fn order_logged(relay: &Relay, planned: &PlannedChange, ticket: SendPermit) {
+    let engine = &planned.engine;
     let now_ms = relay.now_ms();
     relay.role_orders.last_fence.set(ticket.fence);
     relay
         .role_orders
-        .given
+        .ordered_ms
         .borrow_mut()
         .insert(engine.id.clone(), now_ms);
-    if let Some(asked) = relay.role_orders.asked.borrow_mut().get_mut(&wish.service) {
-        asked.plan.record_order(now_ms, wish.turn);
+    if let Some(state) = relay
+        .role_orders
+        .services
+        .borrow_mut()
+        .get_mut(&planned.service)
+    {
+        state.planner.record_order(now_ms, planned.change);
     }
-    // Told to the others before the engine is: what they send there in ignorance is rejected unrun.
-    engine.begin_role_change(now_ms, wish.stage, TURNING_MS, true);
+    // Gossiped before the order is sent: requests that peers would still send there would be rejected.
+    engine.begin_role_change(now_ms, planned.stage, ROLE_CHANGE_MS, true);
 }
 
-/// Gives an order that stands in the log.
+/// Sends an order whose record is in the log.
 ///
-/// It is sent once. Whether one without an answer was taken shows in the list of upstreams, and it
-/// is wished for again if it was not.
-pub async fn send_order(relay: &Relay, wish: &PlannedChange, ticket: SendPermit) {
-    let engine = &wish.engine;
-    actix_rt::time::sleep(Duration::from_millis(TELL_MS)).await;
-    let outcome = send(relay, wish, ticket).await;
-    // One without an answer may have been taken.
-    let may_turn = match &outcome {
+/// It is sent once. Whether an order without an answer was accepted shows in the list of upstreams; if it was not,
+/// the change is planned again.
+pub async fn send_order(relay: &Relay, planned: &PlannedChange, ticket: SendPermit) {
+    let engine = &planned.engine;
+    actix_rt::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
+    let outcome = send(relay, planned, ticket).await;
+    // An order without an answer may have been accepted.
+    let may_be_accepted = match &outcome {
         Ok(status) => status.is_success(),
-        Err(unsent) => unsent.may_have_been_taken,
+        Err(error) => error.may_have_been_accepted,
     };
-    if !may_turn {
+    if !may_be_accepted {
         engine.cancel_role_change();
     }
     let label = match &outcome {
@@ -67,65 +72,70 @@
     relay.metrics.role_orders.with_label_values(&[label]).inc();
     let result = match outcome {
         Ok(status) => status.as_u16().to_string(),
-        Err(unsent) => unsent.why,
+        Err(error) => error.why,
     };
     log::info!(
-        engine = engine.id, stage:? = wish.stage, fence = ticket.fence, result,
-        reading = wish.demand.prefill, making = wish.demand.decode,
-        readers = wish.split.prefill, makers = wish.split.decode, away = wish.split.changing;
-        "role ordered"
+        engine = engine.id, stage:? = planned.stage, fence = ticket.fence, result,
+        reading = planned.demand.prefill, making = planned.demand.decode,
+        readers = planned.split.prefill, makers = planned.split.decode, away = planned.split.changing;
+        "role change ordered"
     );
 }
 
-/// Why an order has no answer.
-struct Unsent {
+/// Why an order got no answer.
+struct OrderError {
     why: String,
-    may_have_been_taken: bool,
+    may_have_been_accepted: bool,
 }
 
-impl Unsent {
-    fn before(why: &impl ToString) -> Self {
+impl OrderError {
+    /// The order was not sent.
+    fn before_send(why: &impl ToString) -> Self {
         Self {
             why: why.to_string(),
-            may_have_been_taken: false,
+            may_have_been_accepted: false,
         }
     }
 }
 
-/// Asks the engine where it stands, and sends it the order if that still holds.
+/// Asks the engine for its report, and sends the order if it still applies.
 async fn send(
     relay: &Relay,
-    wish: &PlannedChange,
+    planned: &PlannedChange,
     ticket: SendPermit,
-) -> Result<StatusCode, Unsent> {
-    let engine = &wish.engine;
+) -> Result<StatusCode, OrderError> {
+    let engine = &planned.engine;
     let report = report(relay, engine).await?;
-    if report.is_busy || report.stage == wish.stage {
-        return Err(Unsent::before(&"its report says otherwise"));
+    if report.is_busy || report.stage == planned.stage {
+        return Err(OrderError::before_send(
+            &"the engine is busy or has the role already",
+        ));
     }
     if !engine.is_ready() {
-        return Err(Unsent::before(&"it is leaving"));
+        return Err(OrderError::before_send(&"the engine is leaving"));
     }
     let holder = relay.settings.borrow().name.clone();
     let (path, body) = relay.dialect.order_request(&RoleOrder {
         holder: &holder,
         fence: ticket.fence,
         orders_before: report.orders,
-        is_prefill: wish.stage == Stage::Prefill,
+        is_prefill: planned.stage == Stage::Prefill,
     });
     let request = request(relay, engine, Method::POST, &path, body)?;
     if !ticket.is_valid(since_boot_ms()) {
-        return Err(Unsent::before(&"too late to send it"));
+        return Err(OrderError::before_send(
+            &"the time to send the order is over",
+        ));
     }
     let sent = call(relay, engine, request).await;
-    let (status, _) = sent.map_err(|why| Unsent {
+    let (status, _) = sent.map_err(|why| OrderError {
         why,
-        may_have_been_taken: true,
+        may_have_been_accepted: true,
     })?;
     Ok(status)
 }
 
-async fn report(relay: &Relay, engine: &Upstream) -> Result<EngineReport, Unsent> {
+async fn report(relay: &Relay, engine: &Upstream) -> Result<EngineReport, OrderError> {
     let request = request(
         relay,
         engine,
@@ -135,12 +145,14 @@
     )?;
     let (status, body) = call(relay, engine, request)
         .await
-        .map_err(|why| Unsent::before(&why))?;
+        .map_err(|why| OrderError::before_send(&why))?;
     if status != StatusCode::OK {
-        return Err(Unsent::before(&format!("report: status {status}")));
+        return Err(OrderError::before_send(&format!(
+            "engine report: status {status}"
+        )));
     }
     let report = relay.dialect.parse_engine_report(&body);
-    report.ok_or_else(|| Unsent::before(&"report not understood"))
+    report.ok_or_else(|| OrderError::before_send(&"engine report could not be decoded"))
 }
 
 fn request(
@@ -149,7 +161,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<Request<Full<Bytes>>, Unsent> {
+) -> Result<Request<Full<Bytes>>, OrderError> {
     let mut headers = HeaderMap::new();
     relay
         .dialect
@@ -160,7 +172,7 @@
         .header(header::HOST, engine.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(body.into()));
-    let mut request = built.map_err(|error| Unsent::before(&error))?;
+    let mut request = built.map_err(|error| OrderError::before_send(&error))?;
     request.headers_mut().extend(headers);
     Ok(request)
 }
@@ -170,6 +182,6 @@
     engine: &Upstream,
     request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), String> {
-    let wait = Duration::from_millis(CALL_MS);
-    call_on_new_connection(engine.address, relay.clock, request, wait).await
+    let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
+    call_on_new_connection(engine.address, relay.clock, request, timeout).await
 }
