--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -20,8 +20,8 @@
 pub async fn send_periodically(relay: Rc<Relay>, socket: Rc<UdpSocket>) {
     loop {
         actix_rt::time::sleep(Duration::from_millis(PERIOD_MS)).await;
-        for (peer, told) in relay.due_gossip() {
-            match encode(told) {
+        for (peer, message) in relay.due_gossip() {
+            match encode(message) {
                 Ok(bytes) => send(&socket, peer, &bytes).await,
                 Err(error) => log::error!(peer:%, error:%; "gossip datagram could not be encoded"),
             }
@@ -42,7 +42,7 @@
         let received = socket.recv_from(&mut buffer).await;
         match received {
             Ok((length, peer)) => match decode(&buffer[..length]) {
-                Ok(told) => relay.receive_gossip(&told, peer),
+                Ok(message) => relay.receive_gossip(&message, peer),
                 Err(error) => log::debug!(peer:%, error:%; "gossip datagram could not be decoded"),
             },
             Err(error) => {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -102,12 +102,12 @@
     ranks: RefCell<HubRanking>,
     ranks_seen: Cell<(u64, u64)>,
     phase: Cell<Phase>,
-    beat: Cell<u64>,
+    heartbeat_seq: Cell<u64>,
     config: RefCell<Option<Rc<Config>>>,
     retries: RefCell<HashMap<String, FleetRetryBudget>>,
     /// Estimates learned from requests and answers.
     pub learned: Learned,
-    suspects: RefCell<PoisonTracker>,
+    poison_tracker: RefCell<PoisonTracker>,
     /// Role orders to engines.
     pub role_orders: RoleOrders,
     /// Tasks that one instance performs for the fleet.
@@ -144,11 +144,11 @@
             ranks_seen: Cell::default(),
             phase: Cell::default(),
             in_flight: Rc::default(),
-            beat: Cell::default(),
+            heartbeat_seq: Cell::default(),
             config: RefCell::default(),
             retries: RefCell::default(),
             learned: Learned::default(),
-            suspects: RefCell::default(),
+            poison_tracker: RefCell::default(),
             role_orders,
             singleton_tasks,
             list_position: RefCell::new(LogFollower::new(own)),
--- a/crates/relay/src/relay/peers.rs
+++ b/crates/relay/src/relay/peers.rs
@@ -50,8 +50,8 @@
             .borrow()
             .heartbeat_seq(&own)
             .unwrap_or_default();
-        let beat = unix_ms().max(before + 1).max(self.beat.get() + 1);
-        self.beat.set(beat);
+        let heartbeat_seq = unix_ms().max(before + 1).max(self.heartbeat_seq.get() + 1);
+        self.heartbeat_seq.set(heartbeat_seq);
         let member = self.own_member();
         let now_ms = self.now_ms();
         self.gossip.borrow_mut().add_member(now_ms, member.clone());
@@ -78,7 +78,7 @@
             gossip_address: settings.peer,
             zone: settings.zone.clone(),
             ready: self.is_ready(),
-            heartbeat_seq: self.beat.get(),
+            heartbeat_seq: self.heartbeat_seq.get(),
             link_mbps: settings.link_mbps,
         }
     }
@@ -158,11 +158,16 @@
                 upstream.begin_role_change(now_ms, change.stage, change.remaining_ms.into(), false);
             }
         }
-        for part in &message.prefilled_parts {
-            if let Some(upstream) = upstreams.get_by_key(part.upstream) {
+        for prefilled in &message.prefilled_parts {
+            if let Some(upstream) = upstreams.get_by_key(prefilled.upstream) {
                 let kv_tokens = self.engine_limits(&upstream.service).kv_tokens;
-                let tokens = f64::from(part.tokens);
-                upstream.note_cached_part(part.part, tokens, part.progress, kv_tokens as f64);
+                let tokens = f64::from(prefilled.tokens);
+                upstream.note_cached_part(
+                    prefilled.part,
+                    tokens,
+                    prefilled.progress,
+                    kv_tokens as f64,
+                );
             }
         }
     }
--- a/crates/relay/src/relay/poison.rs
+++ b/crates/relay/src/relay/poison.rs
@@ -22,9 +22,11 @@
 impl Relay {
     /// Whether the health check that decides if one more upstream ended under a suspected request is running.
     pub fn is_attribution_pending(&self, call: &Call) -> bool {
-        let deciding = self.suspects.borrow().undecided_upstreams(call.key);
+        let undecided = self.poison_tracker.borrow().undecided_upstreams(call.key);
         let upstreams = self.upstreams.borrow();
-        let known = deciding.iter().filter_map(|key| upstreams.get_by_key(*key));
+        let known = undecided
+            .iter()
+            .filter_map(|key| upstreams.get_by_key(*key));
         known
             .into_iter()
             .any(|upstream| upstream.is_health_check_running())
@@ -33,18 +35,18 @@
     /// Returns a refusal for a known poison request; see [`crate::attribution::ensure_not_poison`].
     pub fn check_poison(&self, call: &Call) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
-        let mut suspects = self.suspects.borrow_mut();
-        if !suspects.is_poison(now_ms, call.key) {
+        let mut tracker = self.poison_tracker.borrow_mut();
+        if !tracker.is_poison(now_ms, call.key) {
             return Ok(());
         }
-        suspects.record_refusal(now_ms, call.key);
+        tracker.record_refusal(now_ms, call.key);
         Err(Refusal::new(Reason::PoisonRequest))
     }
 
     /// Records evidence on whether a request or its upstream caused a loss, and gossips it if it is new.
     pub fn record_attribution(&self, evidence: FailureEvidence) {
         let now_ms = self.now_ms();
-        if self.suspects.borrow_mut().observe(now_ms, evidence) {
+        if self.poison_tracker.borrow_mut().observe(now_ms, evidence) {
             self.gossip.borrow_mut().add_evidence(evidence);
         }
     }
@@ -53,7 +55,7 @@
     pub(super) fn note_left(&self, id: &str) {
         let removed = self.upstreams.borrow().last_removed(id);
         if let Some(upstream) = removed {
-            self.suspects
+            self.poison_tracker
                 .borrow_mut()
                 .upstream_unlisted(self.now_ms(), upstream);
         }
@@ -61,7 +63,7 @@
 
     /// Clears a suspected request that an upstream answered completely.
     pub fn record_answered(&self, call: &Call) {
-        let is_suspected = self.suspects.borrow().is_tracked(call.key);
+        let is_suspected = self.poison_tracker.borrow().is_tracked(call.key);
         if is_suspected {
             self.record_attribution(FailureEvidence::Answered(call.key));
         }
@@ -69,21 +71,21 @@
 
     /// Known poison requests, the most recent first, at most as many as gossip carries.
     pub fn poison_requests(&self) -> Vec<RequestKey> {
-        self.suspects.borrow().recent_poison(self.now_ms())
+        self.poison_tracker.borrow().recent_poison(self.now_ms())
     }
 
     /// Records poison requests that a peer or the store names.
     pub fn learn_poison_requests(&self, requests: &[RequestKey]) {
         let now_ms = self.now_ms();
-        let mut suspects = self.suspects.borrow_mut();
+        let mut tracker = self.poison_tracker.borrow_mut();
         for request in requests {
-            suspects.mark_poison(now_ms, *request);
+            tracker.mark_poison(now_ms, *request);
         }
     }
 
     /// Poison requests detected here that are not in the store yet.
     pub fn unsaved_poison_requests(&self) -> Vec<RequestKey> {
-        self.suspects.borrow().unsaved(self.now_ms())
+        self.poison_tracker.borrow().unsaved(self.now_ms())
     }
 
     /// Whether there are other instances but no gossip arrives from any of them.
@@ -108,17 +110,20 @@
 
     /// Marks saved poison requests as unsaved: the store may have lost their records.
     pub fn poison_records_may_be_lost(&self) {
-        self.suspects.borrow_mut().mark_all_unsaved();
+        self.poison_tracker.borrow_mut().mark_all_unsaved();
     }
 
     /// Notes that the store has the record of a poison request.
     pub fn poison_request_saved(&self, request: RequestKey) {
-        self.suspects.borrow_mut().mark_saved(request);
+        self.poison_tracker.borrow_mut().mark_saved(request);
     }
 
     /// Logs each request that has become known as a poison request.
     pub(super) fn log_new_poison_requests(&self) {
-        let found = self.suspects.borrow_mut().take_new_poison(self.now_ms());
+        let found = self
+            .poison_tracker
+            .borrow_mut()
+            .take_new_poison(self.now_ms());
         for (request, upstreams_lost) in found {
             log::warn!(key:% = request, upstreams_lost; "request refused from now on: it terminates upstreams");
         }
@@ -126,16 +131,16 @@
 
     /// Applies the failure attributions and poison requests that a peer gossiped.
     pub(super) fn apply_attributions(&self, now_ms: u64, message: &GossipMessage) {
-        let mut suspects = self.suspects.borrow_mut();
+        let mut tracker = self.poison_tracker.borrow_mut();
         for evidence in &message.evidence {
-            if suspects.receive(now_ms, *evidence) {
+            if tracker.receive(now_ms, *evidence) {
                 self.gossip
                     .borrow_mut()
                     .forward_evidence(*evidence, message.kind);
             }
         }
         for request in &message.poison {
-            suspects.mark_poison(now_ms, *request);
+            tracker.mark_poison(now_ms, *request);
         }
     }
 }
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -23,7 +23,7 @@
 const FLUSH_MS: u64 = 150;
 
 /// Shuts down within `grace_ms`: no longer offers the instance to callers, then closes its listeners, and
-/// returns once no request is in flight. `announce` informs the other instances.
+/// returns once no request is in flight or the time is nearly over. `announce` informs the other instances.
 pub async fn shut_down(
     relay: &Rc<Relay>,
     phase: &watch::Sender<Phase>,
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -26,7 +26,7 @@
 pub enum Effect {
     /// A new incarnation was added.
     Joined,
-    /// The standing or stage of an upstream changed.
+    /// The state or stage of an upstream changed.
     Changed,
     /// An upstream was removed.
     Left,
