--- a/crates/relay/src/role_orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -42,7 +42,7 @@
 const ENGINES_PER_ORDER: usize = 48;
 
 /// Interval at which a log reader that does not lead checks for orders of another instance, in ms. It is shorter
-/// than the pause that `lease::Turns` requires after such an order, so it need not wait before its own first one.
+/// than the pause that `lease::AppendLease` requires after such an order, so it need not wait before its own first one.
 pub const STANDBY_READ_INTERVAL_MS: u64 = 6_000;
 
 /// Minimum age of an engine for an order, in ms; one that has just returned may be about to leave again.
--- a/crates/relay/src/role_orders/sending.rs
+++ b/crates/relay/src/role_orders/sending.rs
@@ -27,10 +27,10 @@
 const ROLE_CHANGE_MS: u64 = 12_000;
 
 /// Records an order that this instance appended to the log, before it is sent.
-pub fn order_logged(relay: &Relay, planned: &PlannedChange, ticket: SendPermit) {
+pub fn order_logged(relay: &Relay, planned: &PlannedChange, permit: SendPermit) {
     let engine = &planned.engine;
     let now_ms = relay.now_ms();
-    relay.role_orders.last_fence.set(ticket.fence);
+    relay.role_orders.last_fence.set(permit.fence);
     relay
         .role_orders
         .ordered_ms
@@ -52,10 +52,10 @@
 ///
 /// It is sent once. Whether an order without an answer was accepted shows in the list of upstreams; if it was not,
 /// the change is planned again.
-pub async fn send_order(relay: &Relay, planned: &PlannedChange, ticket: SendPermit) {
+pub async fn send_order(relay: &Relay, planned: &PlannedChange, permit: SendPermit) {
     let engine = &planned.engine;
     actix_rt::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
-    let outcome = send(relay, planned, ticket).await;
+    let outcome = send(relay, planned, permit).await;
     // An order without an answer may have been accepted.
     let may_be_accepted = match &outcome {
         Ok(status) => status.is_success(),
@@ -75,7 +75,7 @@
         Err(error) => error.why,
     };
     log::info!(
-        engine = engine.id, stage:? = planned.stage, fence = ticket.fence, result,
+        engine = engine.id, stage:? = planned.stage, fence = permit.fence, result,
         reading = planned.demand.prefill, making = planned.demand.decode,
         readers = planned.split.prefill, makers = planned.split.decode, away = planned.split.changing;
         "role change ordered"
@@ -102,7 +102,7 @@
 async fn send(
     relay: &Relay,
     planned: &PlannedChange,
-    ticket: SendPermit,
+    permit: SendPermit,
 ) -> Result<StatusCode, OrderError> {
     let engine = &planned.engine;
     let report = report(relay, engine).await?;
@@ -117,12 +117,12 @@
     let holder = relay.settings.borrow().name.clone();
     let (path, body) = relay.dialect.order_request(&RoleOrder {
         holder: &holder,
-        fence: ticket.fence,
+        fence: permit.fence,
         orders_before: report.orders,
         is_prefill: planned.stage == Stage::Prefill,
     });
     let request = request(relay, engine, Method::POST, &path, body)?;
-    if !ticket.is_valid(since_boot_ms()) {
+    if !permit.is_valid(since_boot_ms()) {
         return Err(OrderError::before_send(
             &"the time to send the order is over",
         ));
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -170,7 +170,9 @@
     pub fn receive_gossip(&self, terms: TaskSettings, message: &GossipMessage) {
         self.clock.borrow_mut().receive(since_boot_ms(), message);
         if let Some(fence) = message.last_task_token {
-            self.append_lease.borrow_mut().observe_fence(since_boot_ms(), fence);
+            self.append_lease
+                .borrow_mut()
+                .observe_fence(since_boot_ms(), fence);
         }
         let Some(windows) = terms.usage.filter(|_| !message.tallies.is_empty()) else {
             return;
--- a/crates/relay/src/singleton_tasks/tasks.rs
+++ b/crates/relay/src/singleton_tasks/tasks.rs
@@ -89,8 +89,8 @@
 }
 
 /// Applies a record that this instance appended. Its content is fixed from now on, even if the call fails.
-pub fn task_logged(relay: &Relay, record: TaskRecord, ticket: SendPermit) {
-    relay.singleton_tasks.last_fence.set(ticket.fence);
+pub fn task_logged(relay: &Relay, record: TaskRecord, permit: SendPermit) {
+    relay.singleton_tasks.last_fence.set(permit.fence);
     apply_record(relay, record);
 }
 
