--- a/crates/entry/src/control/wishes.rs
+++ b/crates/entry/src/control/desired_states.rs
@@ -1,36 +1,38 @@
-//! What the engines of a group should be doing, from the bundle in force, their reports and the forecast.
+//! Derives the desired states of the engines of a group from the bundle in force, their reports and
+//! the forecast.
 
-use lease::Wish;
+use lease::DesiredState;
 use wire::OrderKind;
 
 use super::Control;
 
-/// Loads under way at once in a group, so that the weight store's rate is shared out.
-const LOADS_AT_ONCE: usize = 2;
+/// Maximum number of concurrent model loads in a group, which limits the load on the weight store.
+const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// Time after a roll for which old versions stay loaded for requests admitted under them.
-const KEEP_OLD_MS: u64 = 30_000;
+/// Time after a roll for which old model versions stay loaded, for requests that still use them.
+const OLD_VERSION_RETENTION_MS: u64 = 30_000;
 
 impl Control {
-    /// What the engines of a group should be doing: versions first, then roles.
-    pub(super) fn wishes(&self, name: &str, now_ms: u64) -> Vec<Wish> {
-        let mut wishes = self.load_wishes(name);
-        wishes.extend(self.unload_wishes(name, now_ms));
-        if wishes.is_empty() {
-            wishes = self.strays(name);
+    /// Desired states of the engines of a group. Roles change only when all model versions are
+    /// right.
+    pub(super) fn desired_states(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
+        let mut desired_states = self.missing_loads(name);
+        desired_states.extend(self.outdated_loads(name, now_ms));
+        if desired_states.is_empty() {
+            desired_states = self.lost_roles(name);
         }
-        if wishes.is_empty() {
-            wishes = self.role_wishes(name, now_ms);
+        if desired_states.is_empty() {
+            desired_states = self.planned_roles(name, now_ms);
         }
-        wishes
+        desired_states
     }
 
-    fn load_wishes(&self, name: &str) -> Vec<Wish> {
+    fn missing_loads(&self, name: &str) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
-        let cursor = self.app.cursor.borrow();
-        let loading = cursor
+        let log_reader = self.app.log_reader.borrow();
+        let loading = log_reader
             .state()
             .open_orders(name)
             .filter(|order| order.placed.kind == OrderKind::Load)
@@ -44,36 +46,37 @@
                 let model = bundle.model(&engine.model)?;
                 let argument = format!("{}@{}", model.name, model.version);
                 let report = upstreams.engines.get(&engine.name)?.report.as_ref()?;
-                let has = report.loaded.contains(&argument);
-                (!has).then(|| Wish {
+                let is_loaded = report.loaded.contains(&argument);
+                (!is_loaded).then(|| DesiredState {
                     engine: engine.name.clone(),
                     kind: OrderKind::Load,
                     argument,
                 })
             });
         missing
-            .take(LOADS_AT_ONCE.saturating_sub(loading))
+            .take(MAX_CONCURRENT_LOADS.saturating_sub(loading))
             .collect()
     }
 
-    /// Versions that no bundle in force names, once every instance has moved on for a while.
-    fn unload_wishes(&self, name: &str, now_ms: u64) -> Vec<Wish> {
+    /// Unloads of versions that the bundle in force does not name, once all instances use this
+    /// bundle and `OLD_VERSION_RETENTION_MS` has passed.
+    fn outdated_loads(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
         let version = bundle.bundle().version;
-        let moved_on = self
+        let all_updated = self
             .app
-            .members
+            .peer_table
             .borrow()
             .live(now_ms)
             .all(|beat| beat.bundle_version >= version);
-        if !moved_on || now_ms < self.rolled.borrow().1 + KEEP_OLD_MS {
+        if !all_updated || now_ms < self.last_roll.borrow().1 + OLD_VERSION_RETENTION_MS {
             return Vec::new();
         }
         let upstreams = self.app.upstreams.borrow();
         let fleet = self.app.fleet.borrow();
-        let mut wishes = Vec::new();
+        let mut desired_states = Vec::new();
         for engine in fleet.iter().filter(|engine| engine.group == name) {
             let report = upstreams
                 .engines
@@ -87,20 +90,21 @@
                 continue;
             }
             if let Some(old) = report.loaded.iter().find(|loaded| **loaded != current) {
-                wishes.push(Wish {
+                desired_states.push(DesiredState {
                     engine: engine.name.clone(),
                     kind: OrderKind::Unload,
                     argument: old.clone(),
                 });
             }
         }
-        wishes
+        desired_states
     }
 
-    /// Engines whose role differs from their last order: a stray order reached them, or they
-    /// were restarted. Giving the last order again, under a new number, puts them right.
-    fn strays(&self, name: &str) -> Vec<Wish> {
-        let cursor = self.app.cursor.borrow();
+    /// Roles of engines that differ from their last order, because a late order of an earlier lease
+    /// holder reached them or they were restarted. The last order is placed again with a new
+    /// fencing token.
+    fn lost_roles(&self, name: &str) -> Vec<DesiredState> {
+        let log_reader = self.app.log_reader.borrow();
         let upstreams = self.app.upstreams.borrow();
         let of_group = upstreams
             .engines
@@ -108,11 +112,12 @@
             .filter(|(_, engine)| engine.group == name);
         of_group
             .filter_map(|(engine, entry)| {
-                let last = cursor.state().order(engine)?;
+                let last = log_reader.state().last_order(engine)?;
                 let report = entry.report.as_ref()?;
-                let role = last.placed.kind == OrderKind::Role && last.settled && last.done;
-                let strayed = role && !report.changing && report.role != last.placed.argument;
-                strayed.then(|| Wish {
+                let was_ordered = last.placed.kind == OrderKind::Role && last.settled && last.done;
+                let is_lost =
+                    was_ordered && !report.changing && report.role != last.placed.argument;
+                is_lost.then(|| DesiredState {
                     engine: engine.clone(),
                     kind: OrderKind::Role,
                     argument: last.placed.argument.clone(),
@@ -121,45 +126,46 @@
             .collect()
     }
 
-    fn role_wishes(&self, name: &str, now_ms: u64) -> Vec<Wish> {
+    fn planned_roles(&self, name: &str, now_ms: u64) -> Vec<DesiredState> {
         let Some(bundle) = self.app.bundle() else {
             return Vec::new();
         };
         let (mut prompt, mut output) = (0.0, 0.0);
-        for beat in self.app.members.borrow().live(now_ms) {
+        for beat in self.app.peer_table.borrow().live(now_ms) {
             prompt += beat.prompt_rate;
             output += beat.output_rate;
         }
         let fleet = self.app.fleet.borrow();
-        let places: Vec<usize> = fleet
+        let indices: Vec<usize> = fleet
             .iter()
             .filter(|engine| engine.group == name)
-            .filter_map(|engine| fleet.place(&engine.name))
+            .filter_map(|engine| fleet.index_of(&engine.name))
             .collect();
-        // The forecast is for the whole model; this group takes its share.
-        let all = places
-            .first()
-            .map_or(1, |&place| fleet.of_model(&fleet.get(place).model).len());
-        let share = places.len() as f64 / all.max(1) as f64;
+        // The forecast is for the whole model; this group gets a share in proportion to its
+        // engines.
+        let engines_of_model = indices.first().map_or(1, |&index| {
+            fleet.indices_of_model(&fleet.get(index).model).len()
+        });
+        let share = indices.len() as f64 / engines_of_model.max(1) as f64;
         let forecast = self
             .app
             .forecast
             .borrow()
-            .with_others(prompt, output)
+            .with_peer_rates(prompt, output)
             .scaled(share);
-        let allows = |place: usize, role| bundle.allows(&fleet.get(place).name, role);
+        let allows = |index: usize, role| bundle.allows_role(&fleet.get(index).name, role);
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(name) else {
             return Vec::new();
         };
         let changes = group
             .planner
-            .plan(now_ms, &fleet, &places, &forecast, allows);
-        let wishes = changes.iter().map(|change| Wish {
+            .plan(now_ms, &fleet, &indices, &forecast, allows);
+        let desired_states = changes.iter().map(|change| DesiredState {
             engine: fleet.get(change.engine).name.clone(),
             kind: OrderKind::Role,
             argument: change.role.to_string(),
         });
-        wishes.collect()
+        desired_states.collect()
     }
 }
--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -1,4 +1,4 @@
-//! Talks to a model engine: opens, resumes and cancels streams.
+//! HTTP client for model engines: opens, resumes and cancels streams.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 
 use crate::app::App;
 
-/// Time that a cancel may take; it is sent once and its loss costs engine time only.
-const CANCEL_MS: u64 = 1_000;
+/// Timeout of a cancel. It is sent only once: if it is lost, only engine time is wasted.
+const CANCEL_TIMEOUT_MS: u64 = 1_000;
 
-/// Header in which an engine names the request that an answer belongs to.
-const REQUEST_ID: &str = "x-request-id";
+/// Response header with the id of the request that is answered.
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// What an engine is asked to do.
+/// Request body for an engine.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct EngineRequest<'a> {
     pub(crate) request_id: &'a str,
     pub(crate) model: &'a str,
     pub(crate) prompt: &'a str,
@@ -28,7 +28,7 @@
     pub(crate) priority: usize,
 }
 
-/// Tokens that an answer cost.
+/// Number of tokens of an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Usage {
     #[serde(default)]
@@ -38,52 +38,52 @@
     pub(crate) cached_tokens: u32,
 }
 
-/// Part of an answer.
+/// Event of an answer stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum EngineEvent {
     /// A token with its number, from 1.
     Token(u32, String),
-    /// The end mark.
+    /// The end of the answer.
     End(Usage),
 }
 
-/// An engine did not answer as it should.
+/// A request to an engine failed.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub(crate) enum EngineError {
-    /// No connection could be made: nothing was asked.
+    /// The connection failed, so nothing was sent.
     #[display("no connection: {detail}")]
     NeverSent {
-        /// What the system said.
+        /// Error of the operating system.
         detail: String,
     },
-    /// It refused and has not begun.
+    /// The engine refused the request and has not started it.
     #[display("refused with {status}")]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
     /// The answer belongs to another request.
-    #[display("answer of another request")]
-    Crossed,
-    /// Nothing came for too long.
+    #[display("answer belongs to another request")]
+    WrongRequest,
+    /// No event arrived in time.
     #[display("silent for {limit_ms} ms")]
-    Silent {
-        /// How long.
+    Timeout {
+        /// Timeout, in ms.
         limit_ms: u64,
     },
-    /// It lives, but the answer can no longer be in time.
-    #[display("too late")]
-    Hopeless,
-    /// The connection broke, or what came was no answer.
+    /// The engine is responsive, but the answer can no longer meet its deadline.
+    #[display("too late to meet the deadline")]
+    TooLate,
+    /// The connection failed, or the answer was invalid.
     #[display("broken: {detail}")]
     Broken {
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
     },
 }
 
-/// Parts of an answer as they come.
-pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Part, EngineError>>>>;
+/// Stream of the events of an answer.
+pub(crate) type EngineEvents = Pin<Box<dyn Stream<Item = Result<EngineEvent, EngineError>>>>;
 
 #[derive(Deserialize)]
 struct Chunk {
@@ -98,31 +98,35 @@
 }
 
 /// Opens a stream on an engine.
-pub(crate) async fn open(app: &App, address: &str, ask: &Ask<'_>) -> Result<Parts, EngineError> {
+pub(crate) async fn open(
+    app: &App,
+    address: &str,
+    request: &EngineRequest<'_>,
+) -> Result<EngineEvents, EngineError> {
     let url = format!("http://{address}/v1/completions");
-    let sent = app.client.post(url).send_json(ask).await;
-    parts(sent, ask.request_id)
+    let sent = app.client.post(url).send_json(request).await;
+    events(sent, request.request_id)
 }
 
-/// Opens a stream again, after the token of a number.
+/// Resumes a stream after the token with the number `after`.
 pub(crate) async fn resume(
     app: &App,
     address: &str,
     request_id: &str,
     after: u32,
-) -> Result<Parts, EngineError> {
+) -> Result<EngineEvents, EngineError> {
     let url = format!("http://{address}/v1/streams/{request_id}");
     let request = app.client.get(url).insert_header(("last-event-id", after));
-    parts(request.send().await, request_id)
+    events(request.send().await, request_id)
 }
 
-/// Tells an engine that nobody waits for an answer any more.
+/// Cancels a request whose answer is no longer needed.
 pub(crate) async fn cancel(app: &App, address: &str, request_id: &str) {
     let url = format!("http://{address}/v1/streams/{request_id}");
     let request = app
         .client
         .delete(url)
-        .timeout(Duration::from_millis(CANCEL_MS));
+        .timeout(Duration::from_millis(CANCEL_TIMEOUT_MS));
     if let Err(error) = request.send().await {
         log::debug!(step = "cancel", peer = address, request_id; "{error}");
     }
@@ -130,7 +134,7 @@
 
 type Sent<S> = Result<awc::ClientResponse<S>, awc::error::SendRequestError>;
 
-fn parts<S>(sent: Sent<S>, request_id: &str) -> Result<Parts, EngineError>
+fn events<S>(sent: Sent<S>, request_id: &str) -> Result<EngineEvents, EngineError>
 where
     S: Stream<Item = Result<bytes::Bytes, actix_http::error::PayloadError>> + Unpin + 'static,
 {
@@ -147,11 +151,11 @@
             status: response.status().as_u16(),
         });
     }
-    // A connection that an engine or something between has mixed up would hand this caller the
-    // answer to another's question; the id is the only thing that tells.
-    let named = response.headers().get(REQUEST_ID);
+    // If an engine or a proxy mixes up connections, the caller would get the answer to another
+    // caller's request. Only the id reveals this.
+    let named = response.headers().get(REQUEST_ID_HEADER);
     if named.and_then(|value| value.to_str().ok()) != Some(request_id) {
-        return Err(EngineError::Crossed);
+        return Err(EngineError::WrongRequest);
     }
     let events = response.eventsource().filter_map(|event| async {
         match event {
@@ -164,17 +168,17 @@
     Ok(Box::pin(events))
 }
 
-fn part(id: &str, data: &str) -> Result<Option<Part>, EngineError> {
+fn part(id: &str, data: &str) -> Result<Option<EngineEvent>, EngineError> {
     if data == "[DONE]" {
         return Ok(None);
     }
     let broken = |detail: String| EngineError::Broken { detail };
     let chunk: Chunk = serde_json::from_str(data).map_err(|error| broken(error.to_string()))?;
     if let Some(usage) = chunk.usage {
-        return Ok(Some(Part::End(usage)));
+        return Ok(Some(EngineEvent::End(usage)));
     }
     let number = id.parse().map_err(|_| broken(format!("event id `{id}`")))?;
     let text = chunk.choices.into_iter().next().map(|choice| choice.text);
-    text.map(|text| Some(Part::Token(number, text)))
+    text.map(|text| Some(EngineEvent::Token(number, text)))
         .ok_or_else(|| broken("event without a choice".to_owned()))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,31 +1,32 @@
-//! An entry instance: callers, administration and upstreams.
+//! An entry instance: serves callers, the administration API and peers, and sends requests to
+//! upstreams.
 //!
-//! One thread owns all state of an instance, so no lock stands on the path of a request; orders
-//! to engines alone leave from a thread of their own, at which the lease guard is aimed. See
+//! One thread owns all state of an instance, so that requests need no locks. Only orders to engines
+//! are sent from a separate thread, which is the target of the lease guard's signal. See
 //! docs/ARCHITECTURE.md.
 
 mod admin;
 mod app;
 mod auth;
-mod beats;
-mod booking;
 mod call;
-mod caller;
 mod completion;
 mod control;
 mod engine;
 mod error;
-mod follow;
+mod heartbeats;
 mod instance;
+mod instance_list;
+mod load_guard;
+mod log_follower;
 mod lookup;
 mod metrics;
 mod openai;
-mod ordering;
-mod platform;
-mod pump;
+mod order_sender;
 mod refusal;
+mod request_context;
 mod resume;
 mod routes;
+mod runner;
 mod upstreams;
 
 pub use error::{Error, Result};
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -1,15 +1,15 @@
-//! `GET /v1/lookup`: which instances a caller should use.
+//! `GET /v1/lookup`: names the instances that a caller should use.
 
-use once::{Key, KeyPlace};
+use once::{IdempotencyKey, InstanceEpoch};
 use serde::{Deserialize, Serialize};
-use wire::{Beat, Condition};
+use wire::{Condition, Heartbeat};
 
 use crate::app::App;
 
-/// Most instances that one answer names.
-const INSTANCES: usize = 6;
+/// Maximum number of instances in an answer.
+const MAX_INSTANCES: usize = 6;
 
-/// What a caller asks.
+/// Query of a lookup.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Query {
     zone: Option<String>,
@@ -22,21 +22,21 @@
     zone: String,
 }
 
-/// The answer.
+/// Answer of a lookup.
 #[derive(Debug, Serialize)]
 pub(crate) struct Lookup {
     instances: Vec<Instance>,
-    /// Time for which the answer may be kept. A leaving instance still serves for as long.
+    /// Time for which the answer may be cached. A leaving instance goes on serving for as long.
     keep_ms: u64,
-    /// What an idempotency key must begin with; none while this instance has no witness.
+    /// Prefix for idempotency keys; `None` while there is no witness for this instance.
     key_prefix: Option<String>,
 }
 
-/// Names instances that serve, the caller's availability zone first, and none that leaves.
+/// Lists ready instances, those of the caller's availability zone first.
 pub(crate) fn lookup(app: &App, query: &Query) -> Lookup {
     let zone = query.zone.as_deref().unwrap_or(&app.settings.zone);
-    let members = app.members.borrow();
-    let ready = members.ready(app.now_ms(), zone);
+    let peer_table = app.peer_table.borrow();
+    let ready = peer_table.ready(app.now_ms(), zone);
     let mut instances: Vec<Instance> = ready.into_iter().map(Instance::from).collect();
     if app.condition.get() == Condition::Ready {
         let me = Instance {
@@ -44,15 +44,15 @@
             address: app.caller_address.clone(),
             zone: app.settings.zone.clone(),
         };
-        let first_far = instances.iter().position(|other| other.zone != zone);
-        let place = if me.zone == zone {
+        let first_other_zone = instances.iter().position(|other| other.zone != zone);
+        let index = if me.zone == zone {
             0
         } else {
-            first_far.unwrap_or(instances.len())
+            first_other_zone.unwrap_or(instances.len())
         };
-        instances.insert(place, me);
+        instances.insert(index, me);
     }
-    instances.truncate(INSTANCES);
+    instances.truncate(MAX_INSTANCES);
     Lookup {
         instances,
         keep_ms: app.settings.limits.stop_grace_ms,
@@ -60,40 +60,48 @@
     }
 }
 
-/// A key prefix with this instance as home and a witness in another availability zone, if one
-/// is there: a home and a witness that fail together leave outcomes unknown.
+/// Creates a key prefix with this instance as home. The witness is in another availability zone if
+/// possible: if home and witness fail together, the outcome of a call is unknown.
 pub(crate) fn key_prefix(app: &App) -> Option<String> {
     if app.condition.get() != Condition::Ready {
         return None;
     }
     let now_ms = app.now_ms();
-    let members = app.members.borrow();
-    let ready = members.ready(now_ms, &app.settings.zone);
-    let usable = |beat: &&&Beat| members.address(&beat.instance, beat.incarnation).is_some();
-    let usable: Vec<&&Beat> = ready.iter().filter(usable).collect();
-    let far: Vec<&&Beat> = usable
+    let peer_table = app.peer_table.borrow();
+    let ready = peer_table.ready(now_ms, &app.settings.zone);
+    let usable = |beat: &&&Heartbeat| {
+        peer_table
+            .address(&beat.instance, beat.incarnation)
+            .is_some()
+    };
+    let usable: Vec<&&Heartbeat> = ready.iter().filter(usable).collect();
+    let other_zones: Vec<&&Heartbeat> = usable
         .iter()
         .copied()
         .filter(|beat| beat.zone != app.settings.zone)
         .collect();
-    let pool = if far.is_empty() { &usable } else { &far };
-    let pick = rand::Rng::random_range(&mut *app.rng.borrow_mut(), 0..pool.len().max(1));
-    let witness = pool.get(pick)?;
-    let home = KeyPlace {
+    let candidates = if other_zones.is_empty() {
+        &usable
+    } else {
+        &other_zones
+    };
+    let index = rand::Rng::random_range(&mut *app.rng.borrow_mut(), 0..candidates.len().max(1));
+    let witness = candidates.get(index)?;
+    let home = InstanceEpoch {
         instance: app.identity.instance.clone(),
         incarnation: app.identity.incarnation,
-        epoch: app.epochs.at(now_ms),
+        epoch: app.epochs.epoch_at(now_ms),
     };
-    let witness = KeyPlace {
+    let witness = InstanceEpoch {
         instance: witness.instance.clone(),
         incarnation: witness.incarnation,
         epoch: witness.epoch,
     };
-    Some(Key::prefix(&home, &witness))
+    Some(IdempotencyKey::prefix(&home, &witness))
 }
 
-impl From<&Beat> for Instance {
-    fn from(beat: &Beat) -> Self {
+impl From<&Heartbeat> for Instance {
+    fn from(beat: &Heartbeat) -> Self {
         Self {
             instance: beat.instance.clone(),
             address: beat.caller_address.clone(),
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/order_sender.rs
@@ -1,4 +1,4 @@
-//! Gives orders to engines, from a thread of its own at which the lease guard is aimed.
+//! Sends orders to engines from a dedicated thread, the target of the lease guard's signal.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,20 +7,20 @@
 use actix_http::Uri;
 use actix_service::Service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
-use lease::{Guard, Send as Order, Watch};
+use lease::{ArmedGuard, ConnectionGuard, OutgoingOrder};
 use serde::Serialize;
 use tick::Clock;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use wire::OrderKind;
 
-/// What became of sending an order.
-pub(crate) type Sent = Result<u16, String>;
+/// HTTP status of the answer to an order, or why there is none.
+pub(crate) type SendResult = Result<u16, String>;
 
-struct Errand {
-    order: Order,
+struct SendTask {
+    order: OutgoingOrder,
     address: String,
-    reply: oneshot::Sender<Sent>,
+    reply: oneshot::Sender<SendResult>,
 }
 
 #[derive(Serialize)]
@@ -30,48 +30,48 @@
     argument: &'a str,
 }
 
-/// The ordering thread.
+/// Handle of the thread that sends orders.
 #[derive(Clone)]
-pub(crate) struct Orderer {
-    errands: mpsc::UnboundedSender<Errand>,
+pub(crate) struct OrderSender {
+    tasks: mpsc::UnboundedSender<SendTask>,
 }
 
-impl Orderer {
-    /// Starts the thread.
+impl OrderSender {
+    /// Starts the thread; fails if the guard cannot be set up.
     pub(crate) async fn start(clock: Clock) -> std::io::Result<Self> {
-        let (errands, receiver) = mpsc::unbounded_channel();
+        let (tasks, receiver) = mpsc::unbounded_channel();
         let (ready, started) = oneshot::channel();
         actix_rt::Arbiter::new().spawn_fn(move || {
             actix_rt::spawn(serve(clock, receiver, ready));
         });
         let started = started.await;
-        started.unwrap_or_else(|_| Err(std::io::Error::other("the ordering thread ended")))?;
-        Ok(Self { errands })
+        started.unwrap_or_else(|_| Err(std::io::Error::other("the order thread ended")))?;
+        Ok(Self { tasks })
     }
 
-    /// Sends one order and gives the status of the answer.
-    pub(crate) async fn send(&self, order: Order, address: String) -> Sent {
+    /// Sends an order and returns the status of the answer.
+    pub(crate) async fn send(&self, order: OutgoingOrder, address: String) -> SendResult {
         let (reply, answer) = oneshot::channel();
-        let errand = Errand {
+        let task = SendTask {
             order,
             address,
             reply,
         };
-        if self.errands.send(errand).is_err() {
-            return Err("the ordering thread has ended".to_owned());
+        if self.tasks.send(task).is_err() {
+            return Err("the order thread has ended".to_owned());
         }
         answer
             .await
-            .unwrap_or_else(|_| Err("the ordering thread has ended".to_owned()))
+            .unwrap_or_else(|_| Err("the order thread has ended".to_owned()))
     }
 }
 
 async fn serve(
     clock: Clock,
-    mut errands: mpsc::UnboundedReceiver<Errand>,
+    mut tasks: mpsc::UnboundedReceiver<SendTask>,
     ready: oneshot::Sender<std::io::Result<()>>,
 ) {
-    let guard = match Guard::new(clock) {
+    let guard = match ConnectionGuard::new(clock) {
         Ok(guard) => Rc::new(guard),
         Err(error) => {
             let _ = ready.send(Err(error));
@@ -79,29 +79,34 @@
         }
     };
     let _ = ready.send(Ok(()));
-    // One at a time: the guard has one slot.
-    while let Some(errand) = errands.recv().await {
-        let sent = send(&guard, clock, &errand.order, &errand.address).await;
-        let _ = errand.reply.send(sent);
+    // One at a time: the guard can watch only one connection.
+    while let Some(task) = tasks.recv().await {
+        let sent = send(&guard, clock, &task.order, &task.address).await;
+        let _ = task.reply.send(sent);
     }
 }
 
-async fn send(guard: &Rc<Guard>, clock: Clock, order: &Order, address: &str) -> Sent {
-    let left_ms = order.until_ms.saturating_sub(clock.now_ms());
+async fn send(
+    guard: &Rc<ConnectionGuard>,
+    clock: Clock,
+    order: &OutgoingOrder,
+    address: &str,
+) -> SendResult {
+    let left_ms = order.expires_ms.saturating_sub(clock.now_ms());
     let limit = Duration::from_millis(left_ms);
     let connector = GuardedConnector {
         guard: guard.clone(),
-        until_ms: order.until_ms,
-        watch: Rc::default(),
+        expires_ms: order.expires_ms,
+        armed: Rc::default(),
     };
-    let watch = connector.watch.clone();
+    let armed = connector.armed.clone();
     let client = awc::Client::builder()
         .connector(awc::Connector::new().connector(connector).timeout(limit))
         .timeout(limit)
         .disable_redirects()
         .finish();
     let body = Body {
-        order: order.order,
+        order: order.fencing_token,
         kind: match order.kind {
             OrderKind::Role => "role",
             OrderKind::Load => "load",
@@ -109,22 +114,22 @@
         },
         argument: &order.argument,
     };
-    // The connection is closed after the exchange, so none outlives its lease in a pool.
+    // The connection is closed after the exchange, so that no pooled connection outlives its lease.
     let request = client
         .post(format!("http://{address}/orders"))
         .force_close();
     let sent = request.send_json(&body).await;
     let status = sent.map(|response| response.status().as_u16());
-    watch.borrow_mut().take();
+    armed.borrow_mut().take();
     status.map_err(|error| error.to_string())
 }
 
-/// Connects as usual, then puts the connection under the guard before a byte is written.
+/// Connector that arms the guard for each connection before a byte is written.
 #[derive(Clone)]
 struct GuardedConnector {
-    guard: Rc<Guard>,
-    until_ms: u64,
-    watch: Rc<RefCell<Option<Watch>>>,
+    guard: Rc<ConnectionGuard>,
+    expires_ms: u64,
+    armed: Rc<RefCell<Option<ArmedGuard>>>,
 }
 
 impl Service<ConnectInfo<Uri>> for GuardedConnector {
@@ -140,7 +145,7 @@
         let this = self.clone();
         Box::pin(async move {
             let connection = connect.await?;
-            this.put_under_guard(connection.io_ref())
+            this.arm_guard(connection.io_ref())
                 .map_err(ConnectError::Io)?;
             Ok(connection)
         })
@@ -148,9 +153,9 @@
 }
 
 impl GuardedConnector {
-    fn put_under_guard(&self, stream: &TcpStream) -> std::io::Result<()> {
-        let watch = self.guard.watch(stream, self.until_ms)?;
-        self.watch.replace(Some(watch));
+    fn arm_guard(&self, stream: &TcpStream) -> std::io::Result<()> {
+        let armed = self.guard.arm(stream, self.expires_ms)?;
+        self.armed.replace(Some(armed));
         Ok(())
     }
 }
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -1,30 +1,30 @@
-//! Failures at the log service.
+//! Errors of the log service.
 
 use derive_more::{Display, Error};
 
-/// What is known of an append that failed.
+/// Whether a failed call may have taken effect.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It took no effect.
+pub enum AppendEffect {
+    /// The call took no effect.
     #[display("not done")]
-    NotDone,
-    /// It may have taken effect, or may yet.
+    NotApplied,
+    /// The call may have taken effect, or may still do so.
     #[display("unknown")]
     Unknown,
 }
 
-/// The log service did not do what was asked.
+/// A call to the log service failed.
 #[derive(Debug, Display, Error, Clone)]
-#[display("{step} at {peer}: {detail} ({fate})")]
+#[display("{operation} at {peer}: {detail} ({effect})")]
 pub struct Error {
-    /// What was being done.
-    pub step: &'static str,
+    /// Operation that failed.
+    pub operation: &'static str,
     /// Address of the log service.
     pub peer: String,
     /// What went wrong.
     pub detail: String,
-    /// Whether it may have taken effect.
-    pub fate: Fate,
+    /// Whether the call may have taken effect.
+    pub effect: AppendEffect,
 }
 
 /// Result of a call to the log service.
--- a/crates/feed/src/http.rs
+++ b/crates/feed/src/http.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP.
+//! HTTP client of the log service.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Serialize};
 
-use crate::{Entry, Error, Fate, Log, Page, Result};
+use crate::{AppendEffect, Error, Log, Page, RawRecord, Result};
 
-/// Time that an answer may take beyond the wait that was asked for. A log that is slower is
-/// treated as down, since peers then know more than it tells.
-const ANSWER_MS: u64 = 2_000;
+/// Timeout of an answer, in addition to the requested wait. A slower log is treated as down, since
+/// peers are then likely to be more up to date.
+const TIMEOUT_MS: u64 = 2_000;
 
-/// Largest page, in bytes.
-const PAGE_BYTES: usize = 64 << 20;
+/// Maximum size of a page, in bytes.
+const MAX_PAGE_BYTES: usize = 64 << 20;
 
 #[derive(Serialize)]
 struct AppendRequest {
@@ -39,7 +39,7 @@
     data: String,
 }
 
-/// Client of one log service.
+/// Client of a log service.
 #[derive(Clone)]
 pub struct HttpLog {
     address: String,
@@ -47,7 +47,7 @@
 }
 
 impl HttpLog {
-    /// A client for the service at an IP address and port.
+    /// Creates a client for the service at an IP address and port.
     pub fn new(address: &str) -> Self {
         Self {
             address: address.to_owned(),
@@ -55,19 +55,24 @@
         }
     }
 
-    fn error(&self, step: &'static str, fate: Fate, detail: impl std::fmt::Display) -> Error {
+    fn error(
+        &self,
+        operation: &'static str,
+        effect: AppendEffect,
+        detail: impl std::fmt::Display,
+    ) -> Error {
         Error {
-            step,
+            operation,
             peer: self.address.clone(),
             detail: detail.to_string(),
-            fate,
+            effect,
         }
     }
 }
 
 impl Log for HttpLog {
     async fn append(&self, records: &[Vec<u8>]) -> Result<u64> {
-        let step = "append";
+        let operation = "append";
         let request = AppendRequest {
             records: records
                 .iter()
@@ -77,28 +82,29 @@
         let sent = self
             .client
             .post(format!("http://{}/append", self.address))
-            .timeout(Duration::from_millis(ANSWER_MS))
+            .timeout(Duration::from_millis(TIMEOUT_MS))
             .send_json(&request)
             .await;
-        let mut response = sent.map_err(|error| self.error(step, fate(&error), error))?;
+        let mut response =
+            sent.map_err(|error| self.error(operation, append_effect(&error), error))?;
         if !response.status().is_success() {
-            // The service answers 503 before it writes; anything else says nothing.
-            let fate = match response.status().as_u16() {
-                503 => Fate::NotDone,
-                _ => Fate::Unknown,
+            // The service answers 503 only before it writes; any other status is inconclusive.
+            let effect = match response.status().as_u16() {
+                503 => AppendEffect::NotApplied,
+                _ => AppendEffect::Unknown,
             };
-            return Err(self.error(step, fate, response.status()));
+            return Err(self.error(operation, effect, response.status()));
         }
         let answer: AppendAnswer = response
             .json()
             .await
-            .map_err(|error| self.error(step, Fate::Unknown, error))?;
+            .map_err(|error| self.error(operation, AppendEffect::Unknown, error))?;
         Ok(answer.first)
     }
 
     async fn read(&self, from: u64, wait_ms: u64) -> Result<Page> {
-        let step = "read";
-        let failed = |detail: String| self.error(step, Fate::NotDone, detail);
+        let operation = "read";
+        let failed = |detail: String| self.error(operation, AppendEffect::NotApplied, detail);
         let url = format!(
             "http://{}/records?from={from}&wait_ms={wait_ms}",
             self.address
@@ -106,7 +112,7 @@
         let request = self
             .client
             .get(url)
-            .timeout(Duration::from_millis(wait_ms + ANSWER_MS));
+            .timeout(Duration::from_millis(wait_ms + TIMEOUT_MS));
         let mut response = request
             .send()
             .await
@@ -116,32 +122,32 @@
         }
         let answer: ReadAnswer = response
             .json()
-            .limit(PAGE_BYTES)
+            .limit(MAX_PAGE_BYTES)
             .await
             .map_err(|error| failed(error.to_string()))?;
         let entries = answer.records.into_iter().map(|record| {
             let data = STANDARD
                 .decode(&record.data)
                 .map_err(|error| failed(error.to_string()))?;
-            Ok(Entry {
+            Ok(RawRecord {
                 offset: record.offset,
                 data,
             })
         });
         Ok(Page {
-            first: answer.first,
-            next: answer.next,
-            entries: entries.collect::<Result<_>>()?,
+            oldest_offset: answer.first,
+            next_offset: answer.next,
+            records: entries.collect::<Result<_>>()?,
         })
     }
 }
 
-/// Only a connection that was never made proves that nothing was written.
-fn fate(error: &awc::error::SendRequestError) -> Fate {
+/// Only a failure to connect proves that nothing was written.
+fn append_effect(error: &awc::error::SendRequestError) -> AppendEffect {
     match error {
         awc::error::SendRequestError::Connect(_) | awc::error::SendRequestError::Url(_) => {
-            Fate::NotDone
+            AppendEffect::NotApplied
         }
-        _ => Fate::Unknown,
+        _ => AppendEffect::Unknown,
     }
 }
--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of upstreams passed on, and refusals of our own.
+//! Answers to callers: forwarded answers of upstreams, and refusals by this instance.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -12,15 +12,16 @@
 use http_body::{Body, Frame, SizeHint};
 use log::kv::ToValue;
 
-/// An answer that ends early. Its connection is closed, so that it does not look whole.
+/// Error of an answer that ends early. The caller's connection is closed, so that the answer does not
+/// look complete.
 #[derive(Debug, Display, Error)]
 #[display("the answer broke off: {why}")]
-pub struct BrokenOff {
-    /// What happened.
+pub struct TruncatedAnswer {
+    /// Cause.
     pub why: String,
 }
 
-type Frames = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>;
+type Frames = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedAnswer>>>>;
 
 enum Content {
     Whole(Bytes),
@@ -30,42 +31,42 @@
 /// Body of an answer to a caller.
 pub struct AnswerBody {
     content: Content,
-    busy: Option<Busy>,
+    active: Option<ActiveRequest>,
 }
 
 impl AnswerBody {
-    /// A body that is all there.
+    /// A complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self {
             content: Content::Whole(bytes.into()),
-            busy: None,
+            active: None,
         }
     }
 
-    /// Passes on what a stream gives.
-    pub fn stream(frames: impl Stream<Item = Result<Bytes, BrokenOff>> + 'static) -> Self {
+    /// A body whose chunks come from a stream.
+    pub fn stream(frames: impl Stream<Item = Result<Bytes, TruncatedAnswer>> + 'static) -> Self {
         Self {
             content: Content::Streamed(Box::pin(frames)),
-            busy: None,
+            active: None,
         }
     }
 
-    /// Keeps the process counted as busy until the body has been sent.
-    pub fn counted(&mut self, busy: Busy) {
-        self.busy = Some(busy);
+    /// Keeps the request counted as active until the body has been sent.
+    pub fn track(&mut self, active: ActiveRequest) {
+        self.active = Some(active);
     }
 }
 
-/// Counts a request from its arrival until its answer is out.
+/// Guard that counts a request from its arrival until its answer has been sent.
 ///
-/// A process that leaves ends when none is left. Connections without a request do not hold it
-/// up, since callers keep some open that they may never use again.
-pub struct Busy {
+/// A process that shuts down ends when no request is active. Idle connections do not delay it, since
+/// callers may keep them open without ever using them again.
+pub struct ActiveRequest {
     count: Rc<Cell<usize>>,
 }
 
-impl Busy {
-    /// One more request.
+impl ActiveRequest {
+    /// Counts one more request.
     pub fn enter(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self {
@@ -74,7 +75,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.count.set(self.count.get().saturating_sub(1));
     }
@@ -82,12 +83,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match &mut self.content {
             Content::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Content::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
@@ -110,7 +111,7 @@
     }
 }
 
-/// Why a request was not served.
+/// Reason why a request was not served.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// This instance knows no configuration yet.
@@ -119,34 +120,34 @@
     /// No route matches.
     #[display("no such route")]
     NoRoute,
-    /// The caller has no key of a workspace.
+    /// The caller presented no valid key of a workspace.
     #[display("no valid key")]
     NoKey,
-    /// The request cannot be read.
+    /// The request cannot be parsed.
     #[display("the request is malformed")]
     Malformed,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     #[display("the request's body did not come in time")]
-    Unread,
+    BodyTimeout,
     /// The body is longer than allowed.
     #[display("the body is too long")]
     TooLong,
-    /// No upstream may take it now.
+    /// No upstream can take the request now.
     #[display("no upstream is free")]
     NoUpstream,
-    /// It would come too late.
+    /// The answer would come too late.
     #[display("no upstream would answer in time")]
     TooLate,
-    /// An upstream rejected it without running it.
+    /// Upstreams rejected the request without running it.
     #[display("an upstream rejected it unrun")]
     Rejected,
-    /// Upstreams end under it.
+    /// The request ends the upstreams that run it.
     #[display("upstreams end under this request")]
-    Poisonous,
-    /// It was sent and no whole answer came.
+    PoisonRequest,
+    /// The request was sent, and no complete answer came.
     #[display("the upstream's answer was lost")]
     Lost,
-    /// Its time ran out.
+    /// The deadline passed.
     #[display("out of time")]
     TimedOut,
 }
@@ -158,25 +159,25 @@
 }
 
 impl Reason {
-    /// Its name in metrics.
+    /// Label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoConfig => "no_config",
             Self::NoRoute => "no_route",
             Self::NoKey => "no_key",
             Self::Malformed => "malformed",
-            Self::Unread => "unread",
+            Self::BodyTimeout => "unread",
             Self::TooLong => "too_long",
             Self::NoUpstream => "no_upstream",
             Self::TooLate => "too_late",
             Self::Rejected => "rejected",
-            Self::Poisonous => "poisonous",
+            Self::PoisonRequest => "poisonous",
             Self::Lost => "lost",
             Self::TimedOut => "timed_out",
         }
     }
 
-    /// Whether the answer promises that the request has not run and never will.
+    /// Whether the answer's status promises that the request has not run and never will.
     pub fn says_not_run(self) -> bool {
         matches!(
             self.status(),
@@ -184,18 +185,18 @@
         )
     }
 
-    /// Status of the answer; 503 says that the request has not run and will not.
+    /// Status of the answer; 503 and 408 promise that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfig
             | Self::NoUpstream
             | Self::TooLate
             | Self::Rejected
-            | Self::Poisonous => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::PoisonRequest => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey => StatusCode::UNAUTHORIZED,
             Self::Malformed => StatusCode::BAD_REQUEST,
-            Self::Unread => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Lost => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -203,33 +204,33 @@
     }
 }
 
-/// A refusal, or an error of our own.
+/// A refusal or an error that this instance answers itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
-    /// Why.
+pub struct Refusal {
+    /// Reason.
     pub reason: Reason,
-    /// When to come back, where that may help.
+    /// Delay after which a retry may succeed; empty if retrying does not help.
     pub retry_after_ms: Option<u64>,
 }
 
-impl Refused {
-    /// A refusal that coming back does not help.
-    pub fn plain(reason: Reason) -> Self {
+impl Refusal {
+    /// A refusal without a retry delay.
+    pub fn new(reason: Reason) -> Self {
         Self {
             reason,
             retry_after_ms: None,
         }
     }
 
-    /// A refusal with the time after which another try may go better.
-    pub fn later(reason: Reason, retry_after_ms: u64) -> Self {
+    /// A refusal with the delay after which a retry may succeed.
+    pub fn with_retry_after(reason: Reason, retry_after_ms: u64) -> Self {
         Self {
             reason,
             retry_after_ms: Some(retry_after_ms),
         }
     }
 
-    /// The answer.
+    /// Builds the answer with the given JSON body.
     pub fn response(self, body: Vec<u8>) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::whole(body));
         *response.status_mut() = self.reason.status();
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, read and ready to be sent on.
+//! One request of a caller: what was read from it, and how far it has been served.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,11 +13,11 @@
 
 use crate::access::Admitted;
 use crate::config::{Route, Workspace};
-use crate::dialect::{Asked, Dialect, Sending};
+use crate::dialect::{Dialect, RequestHead, SendOptions};
 use crate::relay::Relay;
 use crate::urgency::Urgency;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TE,
@@ -28,46 +28,46 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// A request of a caller.
+/// One attempt of a caller's request.
 pub struct Call {
     /// Its route.
     pub route: Rc<Route>,
-    /// Workspace that it is for, if its caller named one by a key.
+    /// Workspace of the caller's key, if it presented one.
     pub workspace: Option<Rc<Workspace>>,
-    /// Service that is to run it.
+    /// Service that it is sent to.
     pub service: String,
-    /// What its head says.
-    pub asked: Asked,
-    /// What it asks, the same for all attempts of one request.
+    /// The fields that the dialect read from its head.
+    pub head: RequestHead,
+    /// Identity of its content, the same for all attempts of one request.
     pub key: RequestKey,
-    /// Number drawn from its id, the same wherever the attempt is seen.
-    pub draw: u64,
-    /// When its head had come, on the instance's clock.
+    /// Hash of the attempt's id, the same at every instance; the time of arrival if it has none.
+    pub id_hash: u64,
+    /// When its head was received, on the instance's clock.
     pub arrived_ms: u64,
-    /// Whether it lets longer prompts of its route go first.
-    pub yields: bool,
-    /// How long its caller had waited before this attempt, as its deadline tells.
-    pub waited_ms: u64,
-    /// When its answer must be complete.
-    pub due_ms: u64,
-    /// Sends of it that may have run.
-    pub sends: Cell<u32>,
-    /// Upstreams that it was sent to, those that rejected it included.
+    /// Whether longer prompts of its route are ranked before it.
+    pub yields_to_longer: bool,
+    /// Time that its caller had waited before this attempt, estimated from its deadline.
+    pub prior_wait_ms: u64,
+    /// Deadline of the complete answer, on the instance's clock.
+    pub deadline_at_ms: u64,
+    /// Number of its sends that may have run.
+    pub possible_runs: Cell<u32>,
+    /// Number of upstreams that it was sent to, including those that rejected it.
     pub attempts: Cell<u32>,
-    /// Reads of its prompt apart that reached an engine, but for the first that was accepted.
-    reads: Cell<u32>,
-    /// Whether a read of its prompt apart has been accepted.
-    pub(crate) has_read: Cell<bool>,
-    /// Arrivals of it at its service that the bound on repeats allows; the first always is.
-    pub(crate) covered: Cell<u32>,
-    /// Whether an upstream has begun with it, as far as is known.
-    pub has_begun: Cell<bool>,
-    /// Whether its answer has ended, well or not.
-    pub is_over: Cell<bool>,
-    /// Whether it has been sent to an upstream, run there or not.
+    /// Separate prefills that reached an engine, without the first that was accepted.
+    prefill_sends: Cell<u32>,
+    /// Whether a separate prefill has been accepted.
+    pub(crate) prefill_accepted: Cell<bool>,
+    /// Arrivals at its service that the retry budget has allowed so far, the first included.
+    pub(crate) allowed_arrivals: Cell<u32>,
+    /// Whether an upstream is known to have started it.
+    pub has_started: Cell<bool>,
+    /// Whether its answer has ended, successfully or not.
+    pub is_finished: Cell<bool>,
+    /// Whether it has been sent to an upstream at least once.
     pub is_sent: Cell<bool>,
-    /// Upstream that has it.
-    pub at: RefCell<String>,
+    /// Id of the upstream that it was last sent to; empty before the first send.
+    pub current_upstream: RefCell<String>,
     relay: Rc<Relay>,
     method: Method,
     target: PathAndQuery,
@@ -76,25 +76,25 @@
 }
 
 impl Call {
-    /// Takes a request over; gives nothing if its route has no service.
+    /// Builds the state of an admitted request; returns nothing if its route has no service.
     pub fn new(
         relay: &Rc<Relay>,
         admitted: Admitted,
-        asked: Asked,
+        head: RequestHead,
         arrived_ms: u64,
         parts: Parts,
         body: Bytes,
     ) -> Option<Self> {
         let Admitted { route, workspace } = admitted;
         let dialect = &*relay.dialect;
-        let draw = asked
+        let id_hash = head
             .attempt
             .as_ref()
             .map_or(arrived_ms, |id| xxh3_64(id.as_bytes()));
-        let service = route.service(draw)?.to_owned();
-        let wait_ms = asked.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-        let waited_ms = relay.learned.waited_ms(&route.name, asked.deadline_ms);
-        let yields = asked.prompt.as_ref().is_some_and(|prompt| {
+        let service = route.service(id_hash)?.to_owned();
+        let wait_ms = head.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+        let prior_wait_ms = relay.learned.prior_wait_ms(&route.name, head.deadline_ms);
+        let yields_to_longer = head.prompt.as_ref().is_some_and(|prompt| {
             relay
                 .learned
                 .yields_to_longer(&route.name, f64::from(prompt.input_tokens))
@@ -105,30 +105,30 @@
         strip_hop_by_hop(&mut headers, |name| dialect.is_end_to_end(name));
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
-        dialect.strip(&mut headers);
+        dialect.strip_reserved_headers(&mut headers);
         if let Some(workspace) = &workspace {
-            dialect.send_workspace(&mut headers, &workspace.name);
+            dialect.write_workspace(&mut headers, &workspace.name);
         }
         Some(Self {
             route,
             workspace,
             service,
-            asked,
+            head,
             key,
-            draw,
+            id_hash,
             arrived_ms,
-            yields,
-            waited_ms,
-            due_ms: arrived_ms.saturating_add(wait_ms),
-            sends: Cell::default(),
+            yields_to_longer,
+            prior_wait_ms,
+            deadline_at_ms: arrived_ms.saturating_add(wait_ms),
+            possible_runs: Cell::default(),
             attempts: Cell::default(),
-            reads: Cell::default(),
-            has_read: Cell::default(),
-            covered: Cell::new(1),
-            has_begun: Cell::default(),
-            is_over: Cell::default(),
+            prefill_sends: Cell::default(),
+            prefill_accepted: Cell::default(),
+            allowed_arrivals: Cell::new(1),
+            has_started: Cell::default(),
+            is_finished: Cell::default(),
             is_sent: Cell::default(),
-            at: RefCell::default(),
+            current_upstream: RefCell::default(),
             relay: Rc::clone(relay),
             method: parts.method,
             target,
@@ -137,66 +137,66 @@
         })
     }
 
-    /// Time left.
+    /// Time until the deadline.
     pub fn left_ms(&self, now_ms: u64) -> u64 {
-        self.due_ms.saturating_sub(now_ms)
+        self.deadline_at_ms.saturating_sub(now_ms)
     }
 
-    /// Times that it has reached its service, as the bound on repeats counts them: rejected or not, but for
-    /// the first read of its prompt that was accepted.
+    /// Number of arrivals at its service as the retry budget counts them: every send, rejected or not,
+    /// except the first separate prefill that was accepted.
     pub(crate) fn arrivals(&self) -> u32 {
-        self.attempts.get() + self.reads.get()
+        self.attempts.get() + self.prefill_sends.get()
     }
 
-    /// Its prompt is sent to be read apart.
-    pub(crate) fn begins_read(&self) {
-        self.reads.set(self.reads.get() + 1);
+    /// Counts a separate prefill that is about to be sent.
+    pub(crate) fn note_prefill_sent(&self) {
+        self.prefill_sends.set(self.prefill_sends.get() + 1);
     }
 
-    /// That read has reached nobody.
-    pub(crate) fn read_is_unsent(&self) {
-        self.reads.set(self.reads.get() - 1);
+    /// Takes back the count of a separate prefill that did not reach an engine.
+    pub(crate) fn note_prefill_unsent(&self) {
+        self.prefill_sends.set(self.prefill_sends.get() - 1);
     }
 
-    /// That read was accepted.
-    pub(crate) fn read_is_accepted(&self) {
-        if !self.has_read.replace(true) {
-            self.reads.set(self.reads.get() - 1);
+    /// Records that a separate prefill was accepted; the first one no longer counts as an arrival.
+    pub(crate) fn note_prefill_accepted(&self) {
+        if !self.prefill_accepted.replace(true) {
+            self.prefill_sends.set(self.prefill_sends.get() - 1);
         }
     }
 
-    /// Rank at an engine, 0 first.
+    /// Rank in an engine's queue, 0 first.
     pub fn rank(&self, urgency: Urgency) -> u8 {
-        urgency.rank(self.priority(), self.yields)
+        urgency.rank(self.priority(), self.yields_to_longer)
     }
 
-    /// Its priority, 0 first: its workspace's goes before its route's.
+    /// Its priority, 0 first: that of its workspace if set, else that of its route.
     pub fn priority(&self) -> u8 {
         let workspace = self.workspace.as_ref();
         let own = workspace.and_then(|workspace| workspace.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// Name of its workspace, for logs.
+    /// Name of its workspace for logs; `-` if there is none.
     pub fn workspace_name(&self) -> &str {
         self.workspace
             .as_ref()
             .map_or("-", |workspace| &workspace.name)
     }
 
-    /// The caller's id for the attempt, for logs.
+    /// The caller's id of the attempt for logs; `-` if there is none.
     pub fn id(&self) -> &str {
-        let attempt = self.asked.attempt.as_ref();
+        let attempt = self.head.attempt.as_ref();
         attempt.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// The request as it is sent to an upstream.
-    pub fn request(&self, dialect: &dyn Dialect, sending: &Sending) -> Request<Full<Bytes>> {
+    /// Builds the request that is sent to an upstream.
+    pub fn request(&self, dialect: &dyn Dialect, options: &SendOptions) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         let mut headers = self.headers.clone();
-        dialect.send(&mut headers, sending);
+        dialect.write_send_options(&mut headers, options);
         *request.headers_mut() = headers;
         request
     }
@@ -204,29 +204,30 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let terms = self.relay.settings.borrow().duties;
-        self.relay.duties.ended_unanswered(terms, self);
-        if self.is_over.get() {
+        let settings = self.relay.settings.borrow().singleton_tasks;
+        self.relay.singleton_tasks.count_unanswered(settings, self);
+        if self.is_finished.get() {
             return;
         }
-        // The caller closed its connection, and all work on the request was dropped with it.
+        // The caller closed its connection, which dropped all work on the request.
         let now_ms = self.relay.now_ms();
         let labels = [self.route.name.as_str(), "left"];
         self.relay.metrics.requests.with_label_values(&labels).inc();
-        if self.relay.failed_lines.take(now_ms) {
+        if self.relay.failure_log_limit.take(now_ms) {
             log::info!(
                 request = self.id(), route = self.route.name, workspace = self.workspace_name(),
-                upstream = self.at.borrow().as_str(),
-                took_ms = now_ms - self.arrived_ms, sends = self.sends.get();
+                upstream = self.current_upstream.borrow().as_str(),
+                took_ms = now_ms - self.arrived_ms, sends = self.possible_runs.get();
                 "caller left"
             );
         }
     }
 }
 
-/// Takes out headers that concern one connection, those named in `Connection` included.
+/// Removes hop-by-hop headers, including those named in `Connection`.
 ///
-/// A caller could otherwise have the headers that identify its request dropped on the way.
+/// Headers for which `keeps` holds stay even if they are named there; otherwise a caller could remove
+/// the headers that identify its request.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap, keeps: impl Fn(&HeaderName) -> bool) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -246,7 +247,7 @@
     headers.remove("proxy-connection");
 }
 
-/// The host that a request names, in lower case and without a port.
+/// The host that a request names, in lower case and without the port.
 pub fn host(uri: &Uri, headers: &HeaderMap) -> Option<String> {
     let named = headers.get(header::HOST).map(HeaderValue::to_str);
     let host = match (uri.authority(), named) {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,42 +1,42 @@
-//! Passes requests on to upstreams.
+//! A reverse proxy that balances requests over upstreams.
 //!
-//! An instance follows a configuration and a list of upstreams that it is told; callers connect
-//! to it, and it places each request, sends it, and passes the answer on. The names that a
-//! deployment uses on the wire come from a [`dialect::Dialect`]. See docs/design/platform.md.
+//! An instance follows the configuration and the list of upstreams in the store. Callers connect to it; it
+//! chooses an upstream for each request, sends the request and streams the answer back. A
+//! [`dialect::Dialect`] supplies the header and path names of a deployment. See docs/design/platform.md.
 
 pub mod access;
-pub mod again;
 pub mod answer;
-pub mod audit;
-pub mod blame;
+pub mod attribution;
 pub mod call;
 pub mod config;
 pub mod dialect;
 pub mod directory;
-pub mod duties;
-pub mod events;
 pub mod forward;
-pub mod front;
-pub mod generate;
+pub mod generation;
 pub mod gossip;
 pub mod learned;
-pub mod leaving;
+pub mod listener;
+pub mod logging;
 pub mod metrics;
-pub mod nearby;
-pub mod orders;
-pub mod patience;
-pub mod place;
+pub mod placement;
 pub mod pool;
+pub mod prefill;
 pub mod prefix;
-pub mod reading;
+pub mod prior_wait;
 pub mod relay;
+pub mod retry;
+pub mod role_orders;
 pub mod send;
-pub mod state;
+pub mod shutdown;
+pub mod singleton_tasks;
+pub mod snapshot;
+pub mod sse;
 pub mod stream;
+pub mod subset;
 pub mod upstream;
 pub mod upstreams;
 pub mod urgency;
 
-pub use plan::RepeatTerms;
+pub use plan::RetryBudgetSettings;
 pub use relay::{Origin, Phase, Relay, Settings};
-pub use view::{cadence, followed, members};
+pub use view::{log_follower, members, polling};
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,132 +1,132 @@
-//! What one instance knows, and who may change it.
+//! The state of one instance.
 
 mod limits;
 mod list;
-mod others;
-mod repeats;
-mod suspects;
+mod peers;
+mod poison;
+mod retries;
 
 pub use list::{ChangesRead, Origin};
-pub(crate) use others::unix_ms;
-pub use suspects::PoisonRecord;
+pub(crate) use peers::unix_ms;
+pub use poison::PoisonRecord;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use plan::{RepeatTerms, Repeats};
+use plan::{FleetRetryBudget, RetryBudgetSettings};
 use tick::{Clock, since_boot_ms};
-use view::hubs::Ranks;
-use view::shared::Shared;
-use view::{Followed, InstanceKey, Members, PartRead, Said, Suspects};
+use view::gossip::GossipState;
+use view::hubs::HubRanking;
+use view::{InstanceKey, ListedEntries, LogFollower, Members, PoisonTracker, PrefilledPart};
 
-use crate::audit::{LineBudget, lines_left_out};
 use crate::config::{Config, EngineLimits};
 use crate::dialect::Dialect;
-use crate::duties::{self, Duties};
 use crate::learned::Learned;
+use crate::logging::{LogRateLimit, lines_dropped};
 use crate::metrics::Metrics;
-use crate::orders::Orders;
-use crate::state::{Asked, State};
+use crate::role_orders::RoleOrders;
+use crate::singleton_tasks::{self, SingletonTasks};
+use crate::snapshot::{LastQuery, Snapshot};
 use crate::upstreams::Upstreams;
 
-/// Lines in a second on requests that went well: two or three for each at the usual load.
-const SERVED_LINES: u32 = 60;
+/// Log lines per second about requests that succeed: two or three for each request at the usual load.
+const SUCCESS_LINES_PER_S: u32 = 60;
 
-/// Lines in a second on requests that did not; all of them but in a storm.
-const FAILED_LINES: u32 = 200;
+/// Log lines per second about requests that fail; only a burst of failures exceeds it.
+const FAILURE_LINES_PER_S: u32 = 200;
 
-/// What an instance is told of itself.
+/// Settings of one instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the instance, unique in the fleet.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub address: std::net::SocketAddr,
-    /// Where other instances tell it of their load.
+    /// Address for gossip and snapshots; without one the instance receives neither.
     pub peer: Option<std::net::SocketAddr>,
-    /// Where some instances can be asked before any is known.
+    /// Peers to ask for a snapshot before any member is known.
     pub seeds: Vec<std::net::SocketAddr>,
-    /// Bound on repeated sends.
-    pub repeats: RepeatTerms,
-    /// Longest time that callers may keep an answer of the directory, in ms.
+    /// Limit on retries.
+    pub retry_budget: RetryBudgetSettings,
+    /// How long callers may cache the addresses of instances, in ms.
     pub addresses_ttl_ms: u64,
-    /// Time by which orders of two instances to one engine must be apart, in ms.
+    /// Minimum time between orders that two instances send to one engine, in ms.
     pub lease_ms: u64,
-    /// Speed of its link.
+    /// Bandwidth of the instance's link, in Mbit/s.
     pub link_mbps: u32,
-    /// What one instance does for all.
-    pub duties: duties::Terms,
+    /// Singleton tasks that the deployment has.
+    pub singleton_tasks: singleton_tasks::TaskSettings,
 }
 
-/// How far a process has come on its way out.
+/// Lifecycle phase of a process; it only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Phase {
-    /// It serves.
+    /// Serves requests.
     #[default]
     Serving,
-    /// It is not handed out any more, and serves who still comes.
+    /// No longer offered to callers, but still accepts connections: callers cache its address.
     Leaving,
-    /// It takes no new connections and finishes what it has.
+    /// Accepts no new connections and finishes the requests in flight.
     Closing,
 }
 
 /// The state of one instance.
 pub struct Relay {
-    /// Settings.
+    /// Settings of this instance.
     pub settings: RefCell<Settings>,
-    /// Names on the wire.
+    /// Header and path names of the deployment.
     pub dialect: Rc<dyn Dialect>,
-    /// Clock that all times go by, begun with the process.
+    /// Monotonic clock, 0 at the start of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// Upstreams.
+    /// Upstreams in use.
     pub upstreams: RefCell<Upstreams>,
-    /// Instances.
+    /// Known instances, this one included.
     pub members: RefCell<Members>,
-    /// Requests whose answers are not out yet.
-    pub busy: Rc<Cell<usize>>,
-    /// Prompt parts to be told to other instances.
-    pub(crate) reads: RefCell<Vec<PartRead>>,
-    /// What others told, and what goes on to them.
-    pub(crate) shared: RefCell<Shared>,
-    /// When other instances were last asked.
-    pub asked: Asked,
-    /// Lines on requests that went well.
-    pub served_lines: LineBudget,
-    /// Lines on requests that did not.
-    pub failed_lines: LineBudget,
-    ranks: RefCell<Ranks>,
+    /// Requests whose answers are not complete yet.
+    pub in_flight: Rc<Cell<usize>>,
+    /// Cached prompt parts to announce in the next gossip datagrams.
+    pub(crate) prefix_news: RefCell<Vec<PrefilledPart>>,
+    /// Gossip received from peers and waiting to be sent to them.
+    pub(crate) gossip: RefCell<GossipState>,
+    /// When a peer was last asked for a snapshot.
+    pub last_query: LastQuery,
+    /// Rate limit of log lines about requests that succeed.
+    pub success_log_limit: LogRateLimit,
+    /// Rate limit of log lines about requests that fail.
+    pub failure_log_limit: LogRateLimit,
+    ranks: RefCell<HubRanking>,
     ranks_seen: Cell<(u64, u64)>,
     phase: Cell<Phase>,
-    beat: Cell<u64>,
+    heartbeat_seq: Cell<u64>,
     config: RefCell<Option<Rc<Config>>>,
-    repeats: RefCell<HashMap<String, Repeats>>,
-    /// What answers and requests have taught.
+    retries: RefCell<HashMap<String, FleetRetryBudget>>,
+    /// Estimates learned from requests and answers.
     pub learned: Learned,
-    suspects: RefCell<Suspects>,
-    /// Orders to engines.
-    pub orders: Orders,
-    /// What one instance does for all.
-    pub duties: Duties,
-    /// How far the list of upstreams was read.
-    pub list: RefCell<Followed>,
-    /// What the list last said.
-    pub(crate) said: RefCell<Said>,
-    /// How far the configuration was read.
-    pub configs: RefCell<Followed>,
+    poison_tracker: RefCell<PoisonTracker>,
+    /// Role orders to engines.
+    pub role_orders: RoleOrders,
+    /// Tasks that one instance performs for the fleet.
+    pub singleton_tasks: SingletonTasks,
+    /// Log position up to which the list of upstreams was applied.
+    pub list_position: RefCell<LogFollower>,
+    /// Entries of the list as last read, to tell new ones from rewritten ones.
+    pub(crate) last_listed: RefCell<ListedEntries>,
+    /// Log position up to which the configuration was applied.
+    pub config_position: RefCell<LogFollower>,
 }
 
 impl Relay {
-    /// An instance that knows nothing yet.
+    /// Creates an instance without configuration, upstreams or members.
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Rc<Self> {
         let metrics = Metrics::new(&settings.name, &settings.zone);
         let upstreams = Upstreams::new(&settings.zone, clock);
-        let orders = Orders::new(settings.lease_ms);
-        let duties = Duties::new(settings.lease_ms);
+        let role_orders = RoleOrders::new(settings.lease_ms);
+        let singleton_tasks = SingletonTasks::new(settings.lease_ms);
         let own = InstanceKey::of(&settings.name);
         Rc::new(Self {
             settings: RefCell::new(settings),
@@ -135,51 +135,53 @@
             metrics,
             upstreams: RefCell::new(upstreams),
             members: RefCell::default(),
-            reads: RefCell::default(),
-            shared: RefCell::default(),
-            asked: Asked::default(),
-            served_lines: LineBudget::new("served", SERVED_LINES),
-            failed_lines: LineBudget::new("failed", FAILED_LINES),
+            prefix_news: RefCell::default(),
+            gossip: RefCell::default(),
+            last_query: LastQuery::default(),
+            success_log_limit: LogRateLimit::new("served", SUCCESS_LINES_PER_S),
+            failure_log_limit: LogRateLimit::new("failed", FAILURE_LINES_PER_S),
             ranks: RefCell::default(),
             ranks_seen: Cell::default(),
             phase: Cell::default(),
-            busy: Rc::default(),
-            beat: Cell::default(),
+            in_flight: Rc::default(),
+            heartbeat_seq: Cell::default(),
             config: RefCell::default(),
-            repeats: RefCell::default(),
+            retries: RefCell::default(),
             learned: Learned::default(),
-            suspects: RefCell::default(),
-            orders,
-            duties,
-            list: RefCell::new(Followed::new(own)),
-            said: RefCell::default(),
-            configs: RefCell::new(Followed::new(own)),
+            poison_tracker: RefCell::default(),
+            role_orders,
+            singleton_tasks,
+            list_position: RefCell::new(LogFollower::new(own)),
+            last_listed: RefCell::default(),
+            config_position: RefCell::new(LogFollower::new(own)),
         })
     }
 
-    /// Time on the instance's clock.
+    /// Time since the start of the process, in ms.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// How far it is on its way out.
+    /// Current lifecycle phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Goes on to a later phase.
+    /// Enters a later phase; an earlier or the same one changes nothing.
     pub fn enter(&self, phase: Phase) {
         if phase > self.phase.get() {
             self.phase.set(phase);
             match phase {
                 Phase::Serving => {}
-                Phase::Leaving => log::info!("not handed out any more"),
-                Phase::Closing => log::info!(busy = self.busy.get(); "no new connections any more"),
+                Phase::Leaving => log::info!("leaving: no longer offered to callers"),
+                Phase::Closing => {
+                    log::info!(busy = self.in_flight.get(); "closing: accepting no new connections");
+                }
             }
         }
     }
 
-    /// Whether callers may be sent here: only with a configuration can anything be served.
+    /// Whether callers may be sent here; without a configuration no request can be served.
     pub fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving && self.config.borrow().is_some()
     }
@@ -189,7 +191,7 @@
         self.config.borrow().clone()
     }
 
-    /// Takes a version into force unless a newer one is; gives whether it was taken.
+    /// Puts a version into force and returns true, unless that version or a newer one is in force.
     pub fn configure(&self, config: Config) -> bool {
         let mut current = self.config.borrow_mut();
         if current
@@ -199,75 +201,81 @@
             return false;
         }
         log::info!(
-            version = config.version, routes = config.routes(), keys = config.access.keys(),
+            version = config.version, routes = config.route_count(), keys = config.access.key_count(),
             workspaces = config.access.workspaces().len();
-            "configuration taken"
+            "configuration applied"
         );
         self.metrics
             .config_version
             .set(config.version.cast_signed());
-        self.duties.learn_names(&config.access);
+        self.singleton_tasks.learn_workspace_names(&config.access);
         *current = Some(Rc::new(config));
         true
     }
 
-    /// All metrics as text, those of the moment included.
+    /// All metrics in the text format, after setting the gauges to their current values.
     pub fn metrics_text(&self) -> Vec<u8> {
         let metrics = &self.metrics;
         let now_ms = self.now_ms();
         let age = |age_ms: Option<u64>| age_ms.map_or(i64::MAX, u64::cast_signed);
-        let config_age_ms = age_ms(&self.configs.borrow());
+        let config_age_ms = age_ms(&self.config_position.borrow());
         let load_age_ms = self.members.borrow().load_age_ms(now_ms);
         let upstreams = self.upstreams.borrow().len();
         metrics.config_age_ms.set(age(config_age_ms));
         metrics.list_age_ms.set(age(self.list_age_ms()));
         metrics.load_age_ms.set(age(load_age_ms));
         metrics.upstreams.set(upstreams.cast_signed() as i64);
-        metrics.limited.set(self.limited().cast_signed() as i64);
-        metrics.instances.set(self.instances().cast_signed() as i64);
-        metrics.in_flight.set(self.busy.get().cast_signed() as i64);
         metrics
-            .poisonous
-            .set(self.poisonous().len().cast_signed() as i64);
-        let terms = self.settings.borrow().repeats;
+            .limited_upstreams
+            .set(self.limited().cast_signed() as i64);
+        metrics
+            .instances
+            .set(self.instance_count().cast_signed() as i64);
+        metrics
+            .in_flight
+            .set(self.in_flight.get().cast_signed() as i64);
+        metrics
+            .poison_requests
+            .set(self.poison_requests().len().cast_signed() as i64);
+        let terms = self.settings.borrow().retry_budget;
         let share = self.share();
-        for (service, repeats) in self.repeats.borrow_mut().iter_mut() {
-            let left = repeats.left(now_ms, &terms, &share);
+        for (service, retries) in self.retries.borrow_mut().iter_mut() {
+            let left = retries.remaining(now_ms, &terms, &share);
             metrics
-                .repeats_left
+                .retries_left
                 .with_label_values(&[service])
                 .set(left as i64);
         }
-        let budgets = [&self.served_lines, &self.failed_lines];
-        let left_out = budgets.map(|budget| (budget.kind(), budget.left_out()));
-        for (kind, lines) in left_out
+        let limits = [&self.success_log_limit, &self.failure_log_limit];
+        let dropped = limits.map(|limit| (limit.kind(), limit.dropped()));
+        for (kind, lines) in dropped
             .into_iter()
-            .chain([("slow_reader", lines_left_out())])
+            .chain([("slow_reader", lines_dropped())])
         {
             metrics
-                .lines_left_out
+                .lines_dropped
                 .with_label_values(&[kind])
                 .set(lines.cast_signed());
         }
         metrics.text()
     }
 
-    /// What this instance knows, for another one.
-    pub fn state(&self) -> State {
-        State {
+    /// The snapshot for a peer that asks.
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
             config: self.config().map(|config| (&*config).into()),
             upstreams: self.upstreams.borrow().entries(self.now_ms()),
-            doubted: self.upstreams.borrow().doubts(self.now_ms()),
-            list_age_ms: known_age_ms(&self.list.borrow()),
-            list_next: self.list.borrow().held(),
-            config_age_ms: known_age_ms(&self.configs.borrow()),
-            config_next: self.configs.borrow().held(),
-            members: self.members.borrow().all(),
-            poisonous: self.poisonous(),
+            unconfirmed: self.upstreams.borrow().unconfirmed_entries(self.now_ms()),
+            list_age_ms: known_age_ms(&self.list_position.borrow()),
+            list_next: self.list_position.borrow().held_offset(),
+            config_age_ms: known_age_ms(&self.config_position.borrow()),
+            config_next: self.config_position.borrow().held_offset(),
+            members: self.members.borrow().snapshot(),
+            poisonous: self.poison_requests(),
         }
     }
 
-    /// Limits of a service's engines; nothing is known of what is not configured.
+    /// Limits of a service's engines; all zero if none are configured.
     pub fn engine_limits(&self, service: &str) -> EngineLimits {
         let config = self.config.borrow();
         let service = config.as_ref().and_then(|config| config.service(service));
@@ -276,18 +284,20 @@
             .unwrap_or_default()
     }
 
-    /// Instances that serve now, among which connections are split.
-    pub fn instances(&self) -> usize {
-        self.members.borrow().count()
+    /// Number of instances that serve now; connection limits are divided by it.
+    pub fn instance_count(&self) -> usize {
+        self.members.borrow().reachable_count()
     }
 }
 
-/// Age of what this instance could tell another one, if it has taken in all that it knows of.
-fn known_age_ms(followed: &Followed) -> Option<u64> {
+/// Age of a log's content for a snapshot; none while records are known to be missing.
+fn known_age_ms(followed: &LogFollower) -> Option<u64> {
     let is_behind = followed.is_behind();
     age_ms(followed).filter(|_| !is_behind)
 }
 
-fn age_ms(followed: &Followed) -> Option<u64> {
-    followed.next().map(|_| followed.age_ms(since_boot_ms()))
+fn age_ms(followed: &LogFollower) -> Option<u64> {
+    followed
+        .next_offset()
+        .map(|_| followed.age_ms(since_boot_ms()))
 }
--- /dev/null
+++ b/crates/relay/src/relay/poison.rs
@@ -0,0 +1,146 @@
+//! Poison requests: requests that terminate the upstreams that run them.
+
+use serde::{Deserialize, Serialize};
+use view::poison::RETENTION_MS;
+use view::{FailureEvidence, GossipMessage, RequestKey};
+
+use super::Relay;
+use super::peers::unix_ms;
+use crate::answer::{Reason, Refusal};
+use crate::call::Call;
+
+/// Record of a poison request in the store.
+///
+/// Without it, each instance would have to lose upstreams again to detect the request once all of them had
+/// been killed at the same time.
+#[derive(Debug, Clone, Copy, Serialize, Deserialize)]
+pub struct PoisonRecord {
+    /// Wall clock time at which the request was detected, in ms since 1970.
+    pub found_unix_ms: u64,
+}
+
+impl Relay {
+    /// Whether the health check that decides if one more upstream ended under a suspected request is running.
+    pub fn is_attribution_pending(&self, call: &Call) -> bool {
+        let undecided = self.poison_tracker.borrow().undecided_upstreams(call.key);
+        let upstreams = self.upstreams.borrow();
+        let known = undecided
+            .iter()
+            .filter_map(|key| upstreams.get_by_key(*key));
+        known
+            .into_iter()
+            .any(|upstream| upstream.is_health_check_running())
+    }
+
+    /// Returns a refusal for a known poison request; see [`crate::attribution::ensure_not_poison`].
+    pub fn check_poison(&self, call: &Call) -> Result<(), Refusal> {
+        let now_ms = self.now_ms();
+        let mut tracker = self.poison_tracker.borrow_mut();
+        if !tracker.is_poison(now_ms, call.key) {
+            return Ok(());
+        }
+        tracker.record_refusal(now_ms, call.key);
+        Err(Refusal::new(Reason::PoisonRequest))
+    }
+
+    /// Records evidence on whether a request or its upstream caused a loss, and gossips it if it is new.
+    pub fn record_attribution(&self, evidence: FailureEvidence) {
+        let now_ms = self.now_ms();
+        if self.poison_tracker.borrow_mut().observe(now_ms, evidence) {
+            self.gossip.borrow_mut().add_evidence(evidence);
+        }
+    }
+
+    /// Notes that the last removed incarnation of an upstream ended: evidence against requests it had lost.
+    pub(super) fn note_left(&self, id: &str) {
+        let removed = self.upstreams.borrow().last_removed(id);
+        if let Some(upstream) = removed {
+            self.poison_tracker
+                .borrow_mut()
+                .upstream_unlisted(self.now_ms(), upstream);
+        }
+    }
+
+    /// Clears a suspected request that an upstream answered completely.
+    pub fn record_answered(&self, call: &Call) {
+        let is_suspected = self.poison_tracker.borrow().is_tracked(call.key);
+        if is_suspected {
+            self.record_attribution(FailureEvidence::Answered(call.key));
+        }
+    }
+
+    /// Known poison requests, the most recent first, at most as many as gossip carries.
+    pub fn poison_requests(&self) -> Vec<RequestKey> {
+        self.poison_tracker.borrow().recent_poison(self.now_ms())
+    }
+
+    /// Records poison requests that a peer or the store names.
+    pub fn learn_poison_requests(&self, requests: &[RequestKey]) {
+        let now_ms = self.now_ms();
+        let mut tracker = self.poison_tracker.borrow_mut();
+        for request in requests {
+            tracker.mark_poison(now_ms, *request);
+        }
+    }
+
+    /// Poison requests detected here that are not in the store yet.
+    pub fn unsaved_poison_requests(&self) -> Vec<RequestKey> {
+        self.poison_tracker.borrow().unsaved(self.now_ms())
+    }
+
+    /// Whether there are other instances but no gossip arrives from any of them.
+    pub fn hears_no_peer(&self) -> bool {
+        !self.gossip.borrow().has_senders() && self.instance_count() > 1
+    }
+
+    /// The record for the store of a poison request detected now.
+    pub fn poison_record(&self) -> PoisonRecord {
+        PoisonRecord {
+            found_unix_ms: unix_ms(),
+        }
+    }
+
+    /// Applies a record from the store, unless the request is old enough to be forgotten.
+    pub fn load_poison_record(&self, request: RequestKey, record: PoisonRecord) {
+        if unix_ms() < record.found_unix_ms.saturating_add(RETENTION_MS) {
+            self.learn_poison_requests(&[request]);
+            self.poison_request_saved(request);
+        }
+    }
+
+    /// Marks saved poison requests as unsaved: the store may have lost their records.
+    pub fn poison_records_may_be_lost(&self) {
+        self.poison_tracker.borrow_mut().mark_all_unsaved();
+    }
+
+    /// Notes that the store has the record of a poison request.
+    pub fn poison_request_saved(&self, request: RequestKey) {
+        self.poison_tracker.borrow_mut().mark_saved(request);
+    }
+
+    /// Logs each request that has become known as a poison request.
+    pub(super) fn log_new_poison_requests(&self) {
+        let found = self
+            .poison_tracker
+            .borrow_mut()
+            .take_new_poison(self.now_ms());
+        for (request, upstreams_lost) in found {
+            log::warn!(key:% = request, upstreams_lost; "request refused from now on: it terminates upstreams");
+        }
+    }
+
+    /// Applies the failure attributions and poison requests that a peer gossiped.
+    pub(super) fn apply_attributions(&self, now_ms: u64, message: &GossipMessage) {
+        let mut tracker = self.poison_tracker.borrow_mut();
+        for evidence in &message.evidence {
+            if tracker.receive(now_ms, *evidence) {
+                self.gossip
+                    .borrow_mut()
+                    .forward_evidence(*evidence, message.kind);
+            }
+        }
+        for request in &message.poison {
+            tracker.mark_poison(now_ms, *request);
+        }
+    }
+}
--- /dev/null
+++ b/crates/relay/src/role_orders/sending.rs
@@ -0,0 +1,187 @@
+//! Sending of a role order to an engine.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{HeaderMap, Method, Request, StatusCode, header};
+use http_body_util::Full;
+use lease::SendPermit;
+use tick::since_boot_ms;
+
+use super::{PlannedChange, RoleOrder};
+use crate::dialect::EngineReport;
+use crate::pool::call_on_new_connection;
+use crate::relay::Relay;
+use crate::upstream::{Stage, Upstream};
+
+/// Timeout of a call to an engine, in ms: hundreds of round trips.
+const CALL_TIMEOUT_MS: u64 = 500;
+
+/// Time between the gossip of an order and its send, in ms: it reaches all instances over two hubs, with one
+/// datagram to spare.
+const GOSSIP_MS: u64 = 400;
+
+/// Time for which an engine gets no requests after an order, in ms, unless its entry in the list changes before. The
+/// engine first finishes its requests, which takes up to the longest deadline, and then changes for some seconds.
+/// With half of that time, one engine rejected 143 requests in the third of a second in which it still got them.
+const ROLE_CHANGE_MS: u64 = 12_000;
+
+/// Records an order that this instance appended to the log, before it is sent.
+pub fn order_logged(relay: &Relay, planned: &PlannedChange, permit: SendPermit) {
+    let engine = &planned.engine;
+    let now_ms = relay.now_ms();
+    relay.role_orders.last_fence.set(permit.fence);
+    relay
+        .role_orders
+        .ordered_ms
+        .borrow_mut()
+        .insert(engine.id.clone(), now_ms);
+    if let Some(state) = relay
+        .role_orders
+        .services
+        .borrow_mut()
+        .get_mut(&planned.service)
+    {
+        state.planner.record_order(now_ms, planned.change);
+    }
+    // Gossiped before the order is sent: requests that peers would still send there would be rejected.
+    engine.begin_role_change(now_ms, planned.stage, ROLE_CHANGE_MS, true);
+}
+
+/// Sends an order whose record is in the log.
+///
+/// It is sent once. Whether an order without an answer was accepted shows in the list of upstreams; if it was not,
+/// the change is planned again.
+pub async fn send_order(relay: &Relay, planned: &PlannedChange, permit: SendPermit) {
+    let engine = &planned.engine;
+    actix_rt::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
+    let outcome = send(relay, planned, permit).await;
+    // An order without an answer may have been accepted.
+    let may_be_accepted = match &outcome {
+        Ok(status) => status.is_success(),
+        Err(error) => error.may_have_been_accepted,
+    };
+    if !may_be_accepted {
+        engine.cancel_role_change();
+    }
+    let label = match &outcome {
+        Ok(status) if status.is_success() => "taken",
+        Ok(_) => "refused",
+        Err(_) => "unanswered",
+    };
+    relay.metrics.role_orders.with_label_values(&[label]).inc();
+    let result = match outcome {
+        Ok(status) => status.as_u16().to_string(),
+        Err(error) => error.why,
+    };
+    log::info!(
+        engine = engine.id, stage:? = planned.stage, fence = permit.fence, result,
+        reading = planned.demand.prefill, making = planned.demand.decode,
+        readers = planned.split.prefill, makers = planned.split.decode, away = planned.split.changing;
+        "role change ordered"
+    );
+}
+
+/// Why an order got no answer.
+struct OrderError {
+    why: String,
+    may_have_been_accepted: bool,
+}
+
+impl OrderError {
+    /// The order was not sent.
+    fn before_send(why: &impl ToString) -> Self {
+        Self {
+            why: why.to_string(),
+            may_have_been_accepted: false,
+        }
+    }
+}
+
+/// Asks the engine for its report, and sends the order if it still applies.
+async fn send(
+    relay: &Relay,
+    planned: &PlannedChange,
+    permit: SendPermit,
+) -> Result<StatusCode, OrderError> {
+    let engine = &planned.engine;
+    let report = report(relay, engine).await?;
+    if report.is_busy || report.stage == planned.stage {
+        return Err(OrderError::before_send(
+            &"the engine is busy or has the role already",
+        ));
+    }
+    if !engine.is_ready() {
+        return Err(OrderError::before_send(&"the engine is leaving"));
+    }
+    let holder = relay.settings.borrow().name.clone();
+    let (path, body) = relay.dialect.order_request(&RoleOrder {
+        holder: &holder,
+        fence: permit.fence,
+        orders_before: report.orders,
+        is_prefill: planned.stage == Stage::Prefill,
+    });
+    let request = request(relay, engine, Method::POST, &path, body)?;
+    if !permit.is_valid(since_boot_ms()) {
+        return Err(OrderError::before_send(
+            &"the time to send the order is over",
+        ));
+    }
+    let sent = call(relay, engine, request).await;
+    let (status, _) = sent.map_err(|why| OrderError {
+        why,
+        may_have_been_accepted: true,
+    })?;
+    Ok(status)
+}
+
+async fn report(relay: &Relay, engine: &Upstream) -> Result<EngineReport, OrderError> {
+    let request = request(
+        relay,
+        engine,
+        Method::GET,
+        relay.dialect.report_path(),
+        Vec::new(),
+    )?;
+    let (status, body) = call(relay, engine, request)
+        .await
+        .map_err(|why| OrderError::before_send(&why))?;
+    if status != StatusCode::OK {
+        return Err(OrderError::before_send(&format!(
+            "engine report: status {status}"
+        )));
+    }
+    let report = relay.dialect.parse_engine_report(&body);
+    report.ok_or_else(|| OrderError::before_send(&"engine report could not be decoded"))
+}
+
+fn request(
+    relay: &Relay,
+    engine: &Upstream,
+    method: Method,
+    path: &str,
+    body: Vec<u8>,
+) -> Result<Request<Full<Bytes>>, OrderError> {
+    let mut headers = HeaderMap::new();
+    relay
+        .dialect
+        .write_expected_instance(&mut headers, &engine.id);
+    let built = Request::builder()
+        .method(method)
+        .uri(path)
+        .header(header::HOST, engine.address.to_string())
+        .header(header::CONTENT_TYPE, "application/json")
+        .body(Full::new(body.into()));
+    let mut request = built.map_err(|error| OrderError::before_send(&error))?;
+    request.headers_mut().extend(headers);
+    Ok(request)
+}
+
+async fn call(
+    relay: &Relay,
+    engine: &Upstream,
+    request: Request<Full<Bytes>>,
+) -> Result<(StatusCode, Bytes), String> {
+    let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
+    call_on_new_connection(engine.address, relay.clock, request, timeout).await
+}
--- /dev/null
+++ b/crates/relay/src/shutdown.rs
@@ -0,0 +1,52 @@
+//! Graceful shutdown: the requests in flight finish before the process ends.
+
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::watch;
+
+use crate::relay::{Phase, Relay};
+
+/// Fraction of the grace period in which a leaving instance still accepts connections: callers cache its
+/// address for a while.
+const ACCEPT_SHARE: f64 = 0.35;
+
+/// Fraction of the grace period after which a leaving instance ends even with requests in flight; the
+/// remainder is for the exit of the process.
+const END_SHARE: f64 = 0.95;
+
+/// Interval between checks for requests in flight, in ms.
+const CHECK_INTERVAL_MS: u64 = 50;
+
+/// Time for the last answers to reach callers, in ms: several round trips.
+const FLUSH_MS: u64 = 150;
+
+/// Shuts down within `grace_ms`: no longer offers the instance to callers, then closes its listeners, and
+/// returns once no request is in flight or the time is nearly over. `announce` informs the other instances.
+pub async fn shut_down(
+    relay: &Rc<Relay>,
+    phase: &watch::Sender<Phase>,
+    grace_ms: f64,
+    announce: impl Future<Output = ()>,
+) {
+    let began_ms = relay.now_ms();
+    let at_ms = |share: f64| began_ms + (grace_ms * share) as u64;
+    enter(relay, phase, Phase::Leaving);
+    announce.await;
+    sleep(at_ms(ACCEPT_SHARE).saturating_sub(relay.now_ms())).await;
+    enter(relay, phase, Phase::Closing);
+    while relay.in_flight.get() > 0 && relay.now_ms() < at_ms(END_SHARE) {
+        sleep(CHECK_INTERVAL_MS).await;
+    }
+    sleep(FLUSH_MS).await;
+}
+
+fn enter(relay: &Relay, sender: &watch::Sender<Phase>, phase: Phase) {
+    relay.enter(phase);
+    sender.send_replace(phase);
+}
+
+async fn sleep(ms: u64) {
+    actix_rt::time::sleep(Duration::from_millis(ms)).await;
+}
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A relay on loopback with stand-ins for its upstreams.
+//! Starts an instance on loopback, with stub upstreams behind it.
 
 #![allow(
     dead_code,
@@ -6,8 +6,8 @@
     reason = "each test file uses a part of this"
 )]
 
-mod standin;
-mod wire;
+mod dialect;
+mod stub;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,36 +17,37 @@
 use http::{Method, Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use plan::RepeatTerms;
-use relay::config::{Config, EngineLimits, Kind, Limits, Route, Service, Target};
-use relay::front::{Duty, bind, serve};
-use relay::pool::{Fault, Pool, exchange};
-use relay::upstream::Entry;
-use relay::upstreams::Change;
+use plan::RetryBudgetSettings;
+use relay::config::{Config, EngineLimits, Limits, Route, RouteKind, Service, Target};
+use relay::listener::{ListenerKind, bind, serve};
+use relay::pool::{ExchangeError, Pool, exchange};
+use relay::upstream::UpstreamEntry;
+use relay::upstreams::ListChange;
 use relay::{Phase, Relay, Settings};
 use tick::Clock;
 use tokio::sync::watch;
 use view::Member;
 
-pub use standin::{Act, Seen, StandIn};
-pub use wire::Wire;
+pub use dialect::TestDialect;
+pub use stub::{Action, ReceivedRequest, StubUpstream};
 
-/// Time for which the process of a relay has been running: longer than any of its windows.
-pub const AGE: Duration = Duration::from_secs(60);
+/// How long the process of an instance seems to have been running: longer than any of its time
+/// windows, so that the whole retry budget is available.
+pub const PROCESS_AGE: Duration = Duration::from_secs(60);
 
-/// A relay that listens on loopback.
-pub struct Bed {
-    /// The relay.
+/// An instance that listens on loopback.
+pub struct TestInstance {
+    /// State of the instance.
     pub relay: Rc<Relay>,
-    /// Where callers connect.
+    /// Address at which it accepts callers.
     pub address: SocketAddr,
-    /// Its phase.
+    /// Sets the phase that its listener follows.
     pub phase: watch::Sender<Phase>,
     pool: Rc<Pool>,
 }
 
-/// A route of these tests.
-pub fn route(prefix: &str, kind: Kind, service: &str) -> Route {
+/// A route for `host.test`; an unsafe one gets a single attempt, a stream can be resumed.
+pub fn route(prefix: &str, kind: RouteKind, service: &str) -> Route {
     Route {
         name: prefix.trim_matches('/').to_owned(),
         host: "host.test".to_owned(),
@@ -59,22 +60,23 @@
             service: service.to_owned(),
             weight: 1,
         }],
-        max_attempts: if kind == Kind::Unsafe { 1 } else { 2 },
-        resumable: kind == Kind::Stream,
+        max_attempts: if kind == RouteKind::Unsafe { 1 } else { 2 },
+        resumable: kind == RouteKind::Stream,
         gap_goal_ms: 300,
         is_public: false,
     }
 }
 
-/// Version 1 of a configuration with the usual routes.
+/// A configuration of this version with routes for an unsafe, a safe, a resumable and a
+/// non-resumable request.
 pub fn config(version: u64) -> Config {
-    let mut once = route("/once/", Kind::Stream, "llm");
+    let mut once = route("/once/", RouteKind::Stream, "llm");
     once.resumable = false;
     once.max_attempts = 1;
     let routes = vec![
-        route("/claims/", Kind::Unsafe, "desk"),
-        route("/reads/", Kind::Safe, "desk"),
-        route("/grades/", Kind::Stream, "llm"),
+        route("/claims/", RouteKind::Unsafe, "desk"),
+        route("/reads/", RouteKind::Safe, "desk"),
+        route("/grades/", RouteKind::Stream, "llm"),
         once,
     ];
     let engine = Service {
@@ -97,7 +99,7 @@
     Config::new(version, routes, services, Limits::default())
 }
 
-/// Settings of these tests.
+/// Settings of instance `a` in zone `here`.
 pub fn settings() -> Settings {
     Settings {
         name: "a".to_owned(),
@@ -105,7 +107,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
         peer: None,
         seeds: Vec::new(),
-        repeats: RepeatTerms {
+        retry_budget: RetryBudgetSettings {
             ratio: 0.2,
             window_ms: 10_000,
             slack: 50.0,
@@ -113,37 +115,49 @@
         addresses_ttl_ms: 2_000,
         lease_ms: 3_000,
         link_mbps: 20,
-        duties: relay::duties::Terms::default(),
+        singleton_tasks: relay::singleton_tasks::TaskSettings::default(),
     }
 }
 
-impl Bed {
-    /// Starts a relay with these upstreams.
-    pub fn start(entries: Vec<Entry>) -> Self {
+impl TestInstance {
+    /// Starts an instance with these upstreams and the usual settings.
+    pub fn start(entries: Vec<UpstreamEntry>) -> Self {
         Self::start_with(settings(), entries)
     }
 
-    /// Starts a relay with these settings and upstreams.
-    pub fn start_with(settings: Settings, entries: Vec<Entry>) -> Self {
-        let bed = Self::knowing_nothing(settings);
-        bed.relay.configure(config(1));
-        let own = bed.relay.heartbeat();
-        let now_ms = bed.relay.now_ms();
-        bed.relay.members.borrow_mut().heard(now_ms, own);
+    /// Starts an instance with these settings and upstreams. It knows itself as a member, as it has
+    /// no retries to spend before that.
+    pub fn start_with(settings: Settings, entries: Vec<UpstreamEntry>) -> Self {
+        let instance = Self::unconfigured(settings);
+        instance.relay.configure(config(1));
+        let own = instance.relay.heartbeat();
+        let now_ms = instance.relay.now_ms();
+        instance
+            .relay
+            .members
+            .borrow_mut()
+            .record_heartbeat(now_ms, own);
         for entry in entries {
-            bed.relay.apply(Change::Put(entry), relay::Origin::Read);
+            instance
+                .relay
+                .apply_change(ListChange::Put(entry), relay::Origin::Read);
         }
-        bed
+        instance
     }
 
-    /// Starts a relay that has no configuration and no upstreams.
-    pub fn knowing_nothing(settings: Settings) -> Self {
-        let clock = Clock::of_age(AGE);
-        let relay = Relay::new(settings, Rc::new(Wire), clock);
+    /// Starts an instance without a configuration or upstreams.
+    pub fn unconfigured(settings: Settings) -> Self {
+        let clock = Clock::of_age(PROCESS_AGE);
+        let relay = Relay::new(settings, Rc::new(TestDialect), clock);
         let listener = bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("an address");
         let (phase, phases) = watch::channel(Phase::Serving);
-        actix_rt::spawn(serve(Rc::clone(&relay), Duty::Callers, listener, phases));
+        actix_rt::spawn(serve(
+            Rc::clone(&relay),
+            ListenerKind::Callers,
+            listener,
+            phases,
+        ));
         Self {
             relay,
             address,
@@ -152,17 +166,20 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
-    pub async fn ask(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
-        let (response, lease) = exchange(&self.pool, usize::MAX, request).await?;
-        // The connection lives until the answer is read; the pool is not what is tested here.
-        std::mem::forget(lease);
+    /// Sends a request and returns the head of the response; its body can still be read.
+    pub async fn send(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, ExchangeError> {
+        let (response, connection) = exchange(&self.pool, usize::MAX, request).await?;
+        // Dropping it would close the connection while the body is yet to be read.
+        std::mem::forget(connection);
         Ok(response)
     }
 
-    /// Sends a request and gives status and body; nothing for a body that broke off.
-    pub async fn get(&self, request: Request<Full<Bytes>>) -> (u16, Option<String>) {
-        let response = self.ask(request).await.expect("an answer's head");
+    /// Sends a request and returns the status and the body; `None` for a body that was truncated.
+    pub async fn fetch(&self, request: Request<Full<Bytes>>) -> (u16, Option<String>) {
+        let response = self.send(request).await.expect("an answer's head");
         let status = response.status().as_u16();
         let body = response.into_body().collect().await.ok();
         let body = body.map(|body| String::from_utf8_lossy(&body.to_bytes()).into_owned());
@@ -170,7 +187,7 @@
     }
 }
 
-/// A request to `path` under an id.
+/// A request to `path` at `host.test` with 3 s to its deadline, under the attempt id `id`.
 pub fn request(method: Method, path: &str, id: &str) -> Request<Full<Bytes>> {
     let body = if method == Method::POST { "body" } else { "" };
     Request::builder()
@@ -183,8 +200,8 @@
         .expect("a request")
 }
 
-/// Waits until something holds, for at most some seconds.
-pub async fn until(holds: impl Fn() -> bool) -> bool {
+/// Polls until `holds` is true; false if it isn't after five seconds.
+pub async fn wait_until(holds: impl Fn() -> bool) -> bool {
     for _ in 0..500 {
         if holds() {
             return true;
@@ -194,27 +211,29 @@
     false
 }
 
-/// Another instance, to be told things.
-pub fn listener() -> Member {
+/// A ready peer to which gossip is addressed; nobody receives it.
+pub fn peer_member() -> Member {
     let address: SocketAddr = "127.0.0.1:2".parse().expect("an address");
     Member {
-        name: "told".to_owned(),
+        name: "peer".to_owned(),
         address,
-        peer: Some(address),
+        gossip_address: Some(address),
         zone: "here".to_owned(),
         ready: true,
-        beat: 1,
+        heartbeat_seq: 1,
         link_mbps: 20,
     }
 }
 
-/// Lets one relay tell another one all that it has to tell now.
-pub fn tell(from: &Relay, to: &Relay) {
-    let other = listener();
-    let address = other.address;
-    from.members.borrow_mut().heard(from.now_ms(), other);
-    from.wrote(from.heartbeat());
-    for (_, told) in from.told_now() {
-        to.heard(&told, address);
+/// Delivers to `to` the gossip messages that `from` would send to a peer now.
+pub fn deliver_gossip(from: &Relay, to: &Relay) {
+    let peer = peer_member();
+    let address = peer.address;
+    from.members
+        .borrow_mut()
+        .record_heartbeat(from.now_ms(), peer);
+    from.heartbeat_stored(from.heartbeat());
+    for (_, message) in from.due_gossip() {
+        to.receive_gossip(&message, address);
     }
 }
--- /dev/null
+++ b/crates/view/src/poison.rs
@@ -0,0 +1,287 @@
+//! Detects poison requests, which crash every upstream that runs them.
+//!
+//! A poison request ends each engine that begins to answer it, together with everything else that
+//! the engine runs. It is retried, its caller sends it again to any instance, and each time the
+//! attempt has a new id. If losses counted only against the engine, each would look like the fault
+//! of another engine, and one request would take down all decode engines again and again.
+//!
+//! So losses count against the request as well, identified by its content and not by its attempt,
+//! and instances gossip what they see. A request that gets a whole answer is cleared. See
+//! docs/design/retries.md.
+
+use std::collections::HashMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::{RequestKey, UpstreamKey};
+
+/// Upstreams that must end under a request before it counts as poison. After one, others may still
+/// run it, since upstreams also end for reasons of their own. A third is not risked: an
+/// engine that ends takes its running answers along (9 to 37 in an observed case), while few
+/// requests meet two upstreams that end for their own reasons.
+const ENDED_THRESHOLD: usize = 2;
+
+/// How long a request is remembered after it last came, in ms: far longer than callers wait before
+/// they try again, and short enough to find out that the upstreams have been fixed.
+pub const RETENTION_MS: u64 = 3_600_000;
+
+/// Most requests, and most ended upstreams, that are tracked: the losses of hundreds of engines
+/// with a dozen answers each that all end at once. About 100 bytes each.
+const MAX_TRACKED: usize = 4_096;
+
+/// Most losses tracked per request: more than it takes to refuse it.
+const MAX_LOSSES: usize = 8;
+
+/// Most poison requests in one datagram, the most recent ones: more than can end upstreams at the
+/// same time before the fleet has none left.
+const MAX_PER_MESSAGE: usize = 32;
+
+/// Evidence for failure attribution: whether a request or its upstream is at fault.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub enum FailureEvidence {
+    /// The connection to the upstream ended before the answer was complete.
+    Lost {
+        /// The request that was running.
+        request: RequestKey,
+        /// The upstream that was running it.
+        upstream: UpstreamKey,
+    },
+    /// The upstream ended after such a loss: it accepts no connections or is no longer listed. A
+    /// connection that an upstream closes while it stays up is no evidence against the request:
+    /// among 189 answers that were reset at random within a minute, five requests met three such
+    /// upstreams.
+    Ended(UpstreamKey),
+    /// An upstream answered the request completely, so the request is not poison.
+    Answered(RequestKey),
+}
+
+/// Whether this instance must write a request to the store once it counts as poison.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+enum StoreRecord {
+    /// No: only peers have seen upstreams end under it.
+    #[default]
+    PeersOnly,
+    /// Yes: this instance has seen one end.
+    Unsaved,
+    /// No longer: the store has it.
+    Saved,
+}
+
+#[derive(Debug, Default)]
+struct Suspect {
+    lost: Vec<UpstreamKey>,
+    /// Losses from before the request was answered. They do not count again when gossip repeats
+    /// them.
+    cleared: Vec<UpstreamKey>,
+    /// Whether a peer or the store says that it is poison.
+    is_marked: bool,
+    store_record: StoreRecord,
+    is_reported: bool,
+    at_ms: u64,
+}
+
+impl Suspect {
+    fn is_old(&self, now_ms: u64) -> bool {
+        now_ms >= self.at_ms + RETENTION_MS
+    }
+
+    fn is_poison(&self, now_ms: u64, ended: &HashMap<UpstreamKey, u64>) -> bool {
+        let ended = |key: &&UpstreamKey| ended.contains_key(key);
+        let is_suspected =
+            self.is_marked || self.lost.iter().filter(ended).count() >= ENDED_THRESHOLD;
+        is_suspected && !self.is_old(now_ms)
+    }
+}
+
+/// Requests under which connections to upstreams were lost lately, as seen by all instances.
+#[derive(Debug, Default)]
+pub struct PoisonTracker {
+    requests: HashMap<RequestKey, Suspect>,
+    ended: HashMap<UpstreamKey, u64>,
+}
+
+impl PoisonTracker {
+    /// Takes in evidence that was seen here. Returns whether it is new.
+    pub fn observe(&mut self, now_ms: u64, evidence: FailureEvidence) -> bool {
+        let is_new = self.receive(now_ms, evidence);
+        if let FailureEvidence::Lost { request, .. } = evidence
+            && let Some(suspect) = self.requests.get_mut(&request)
+            && suspect.store_record == StoreRecord::PeersOnly
+        {
+            suspect.store_record = StoreRecord::Unsaved;
+        }
+        is_new
+    }
+
+    /// Takes in evidence from this instance or a peer. Returns whether it is new.
+    pub fn receive(&mut self, now_ms: u64, evidence: FailureEvidence) -> bool {
+        match evidence {
+            FailureEvidence::Lost { request, upstream } => self.lost(now_ms, request, upstream),
+            FailureEvidence::Ended(upstream) => self.ended(now_ms, upstream),
+            FailureEvidence::Answered(request) => self.answered(request),
+        }
+    }
+
+    fn lost(&mut self, now_ms: u64, request: RequestKey, upstream: UpstreamKey) -> bool {
+        let suspect = self.requests.entry(request).or_default();
+        if suspect.is_old(now_ms) {
+            *suspect = Suspect::default();
+        }
+        let is_known = suspect.lost.contains(&upstream) || suspect.cleared.contains(&upstream);
+        if is_known || suspect.lost.len() >= MAX_LOSSES {
+            return false;
+        }
+        suspect.lost.push(upstream);
+        suspect.at_ms = now_ms;
+        self.evict(now_ms);
+        true
+    }
+
+    fn ended(&mut self, now_ms: u64, upstream: UpstreamKey) -> bool {
+        if self.ended.len() >= MAX_TRACKED {
+            self.ended.retain(|_, at_ms| now_ms < *at_ms + RETENTION_MS);
+            let oldest = self.ended.iter().min_by_key(|(_, at_ms)| **at_ms);
+            if let Some(oldest) = oldest.map(|(key, _)| *key) {
+                self.ended.remove(&oldest);
+            }
+        }
+        self.ended.insert(upstream, now_ms).is_none()
+    }
+
+    /// Records that an upstream is no longer listed. This is evidence if it was lost under a
+    /// request before.
+    pub fn upstream_unlisted(&mut self, now_ms: u64, upstream: UpstreamKey) {
+        let is_lost = |suspect: &Suspect| suspect.lost.contains(&upstream);
+        if self.requests.values().any(is_lost) {
+            self.ended(now_ms, upstream);
+        }
+    }
+
+    fn answered(&mut self, request: RequestKey) -> bool {
+        let Some(suspect) = self.requests.get_mut(&request) else {
+            return false;
+        };
+        let was_suspected = suspect.is_marked || !suspect.lost.is_empty();
+        suspect.is_marked = false;
+        let lost = std::mem::take(&mut suspect.lost);
+        suspect.cleared.extend(lost);
+        was_suspected
+    }
+
+    /// Records that a peer, or the store, says that a request is poison.
+    pub fn mark_poison(&mut self, now_ms: u64, request: RequestKey) {
+        let suspect = self.requests.entry(request).or_default();
+        // An answer to it is known here, which may not have reached the peer yet.
+        if !suspect.cleared.is_empty() || (suspect.is_marked && !suspect.is_old(now_ms)) {
+            return;
+        }
+        suspect.is_marked = true;
+        suspect.at_ms = now_ms;
+        self.evict(now_ms);
+    }
+
+    /// Whether no upstream may get a request any more.
+    pub fn is_poison(&self, now_ms: u64, request: RequestKey) -> bool {
+        let suspect = self.requests.get(&request);
+        suspect.is_some_and(|suspect| suspect.is_poison(now_ms, &self.ended))
+    }
+
+    /// Upstreams lost under a request, if the end of one more of them would make the request
+    /// poison.
+    pub fn undecided_upstreams(&self, request: RequestKey) -> Vec<UpstreamKey> {
+        let Some(suspect) = self.requests.get(&request) else {
+            return Vec::new();
+        };
+        let (ended, undecided): (Vec<UpstreamKey>, Vec<UpstreamKey>) = suspect
+            .lost
+            .iter()
+            .partition(|upstream| self.ended.contains_key(upstream));
+        if ended.len() + 1 == ENDED_THRESHOLD {
+            undecided
+        } else {
+            Vec::new()
+        }
+    }
+
+    /// Whether an answer to the request would be evidence.
+    pub fn is_tracked(&self, request: RequestKey) -> bool {
+        self.requests.contains_key(&request)
+    }
+
+    /// Records that a request came and was refused, so that it is remembered for longer.
+    pub fn record_refusal(&mut self, now_ms: u64, request: RequestKey) {
+        if let Some(suspect) = self.requests.get_mut(&request) {
+            suspect.at_ms = now_ms;
+        }
+    }
+
+    /// The poison requests that came last.
+    ///
+    /// Instances gossip them all the time, so that a peer that was frozen, cut off or just started
+    /// knows them from the first datagram and need not lose upstreams of its own.
+    pub fn recent_poison(&self, now_ms: u64) -> Vec<RequestKey> {
+        let found = self.requests.iter();
+        let mut found: Vec<(u64, RequestKey)> = found
+            .filter(|(_, suspect)| suspect.is_poison(now_ms, &self.ended))
+            .map(|(request, suspect)| (suspect.at_ms, *request))
+            .collect();
+        found.sort_unstable_by_key(|(at_ms, _)| std::cmp::Reverse(*at_ms));
+        found.truncate(MAX_PER_MESSAGE);
+        found.into_iter().map(|(_, request)| request).collect()
+    }
+
+    /// Poison requests that earlier calls have not returned, each with the number of upstreams lost
+    /// under it.
+    pub fn take_new_poison(&mut self, now_ms: u64) -> Vec<(RequestKey, usize)> {
+        let mut found = Vec::new();
+        for (request, suspect) in &mut self.requests {
+            if !suspect.is_reported && suspect.is_poison(now_ms, &self.ended) {
+                suspect.is_reported = true;
+                found.push((*request, suspect.lost.len()));
+            }
+        }
+        found
+    }
+
+    /// Poison requests that were found out here and are not in the store yet.
+    pub fn unsaved(&self, now_ms: u64) -> Vec<RequestKey> {
+        let is_unsaved = |suspect: &Suspect| suspect.store_record == StoreRecord::Unsaved;
+        self.requests
+            .iter()
+            .filter(|(_, suspect)| is_unsaved(suspect) && suspect.is_poison(now_ms, &self.ended))
+            .map(|(request, _)| *request)
+            .collect()
+    }
+
+    /// Records that the store has a poison request.
+    pub fn mark_saved(&mut self, request: RequestKey) {
+        if let Some(suspect) = self.requests.get_mut(&request) {
+            suspect.store_record = StoreRecord::Saved;
+        }
+    }
+
+    /// Records that the store may have lost what was written to it.
+    pub fn mark_all_unsaved(&mut self) {
+        for suspect in self.requests.values_mut() {
+            if suspect.store_record == StoreRecord::Saved {
+                suspect.store_record = StoreRecord::Unsaved;
+            }
+        }
+    }
+
+    /// If too many requests are tracked, drops old ones and then the one that came longest ago,
+    /// poison requests last.
+    fn evict(&mut self, now_ms: u64) {
+        if self.requests.len() <= MAX_TRACKED {
+            return;
+        }
+        let ended = &self.ended;
+        self.requests.retain(|_, suspect| !suspect.is_old(now_ms));
+        let age = |suspect: &Suspect| (suspect.is_poison(now_ms, ended), suspect.at_ms);
+        let first = self.requests.iter().min_by_key(|(_, it)| age(it));
+        let first = first.map(|(request, _)| *request);
+        if let Some(first) = first.filter(|_| self.requests.len() > MAX_TRACKED) {
+            self.requests.remove(&first);
+        }
+    }
+}
--- /dev/null
+++ b/crates/view/tests/poison.rs
@@ -0,0 +1,172 @@
+//! Detection of poison requests, and how it spreads in fleets of several sizes.
+
+mod common;
+
+use common::{Fleet, one_in_ten, upstream};
+use view::poison::RETENTION_MS;
+use view::{FailureEvidence, PoisonTracker, RequestKey};
+
+/// Fleet sizes: two full meshes, and two with hubs.
+const SIZES: [usize; 4] = [2, 7, 80, 295];
+
+/// Time in which evidence reaches all instances, in ms: a report, a sum, a digest, and their
+/// transit.
+const SPREAD_MS: u64 = 350;
+
+/// The same if a tenth of the datagrams is lost, in ms. Full datagrams are sent five times a second
+/// on each of the three ways.
+const SPREAD_LOSSY_MS: u64 = 1_500;
+
+const REQUEST: RequestKey = RequestKey(7);
+
+fn lost(index: usize) -> FailureEvidence {
+    FailureEvidence::Lost {
+        request: REQUEST,
+        upstream: upstream(index),
+    }
+}
+
+fn ended(index: usize) -> FailureEvidence {
+    FailureEvidence::Ended(upstream(index))
+}
+
+fn tracker_after(evidence: &[FailureEvidence]) -> PoisonTracker {
+    let mut poison = PoisonTracker::default();
+    for each in evidence {
+        poison.receive(0, *each);
+    }
+    poison
+}
+
+/// Guards against blaming a request for upstreams that end for their own reasons, or that close
+/// connections and stay up. Only two ended upstreams make it poison, in whatever order and however
+/// often the evidence arrives.
+#[test]
+fn two_ended_upstreams_make_a_request_poison() {
+    let cases: [(&[FailureEvidence], bool); 6] = [
+        (&[lost(1), ended(1)], false),
+        (&[lost(1), lost(1), ended(1), ended(1), ended(2)], false),
+        (&[lost(1), ended(1), lost(2)], false),
+        (&[ended(2), lost(2), lost(1), ended(1)], true),
+        (&[lost(1), lost(2), lost(3), lost(4)], false),
+        (&[lost(1), lost(2), lost(3), ended(3), ended(1)], true),
+    ];
+    for (evidence, is_poison) in cases {
+        assert_eq!(
+            tracker_after(evidence).is_poison(0, REQUEST),
+            is_poison,
+            "{evidence:?}"
+        );
+    }
+}
+
+/// Guards against an end that goes unnoticed, because the upstream restarts so fast that a check of
+/// the connection meets its successor. Its entry is replaced then. The removal of an upstream
+/// without a loss says nothing.
+#[test]
+fn unlisted_upstream_counts_as_ended() {
+    let mut poison = tracker_after(&[lost(1), ended(1), lost(2)]);
+    poison.upstream_unlisted(1, upstream(3));
+    assert!(!poison.is_poison(1, REQUEST));
+    poison.upstream_unlisted(1, upstream(2));
+    assert!(poison.is_poison(1, REQUEST));
+}
+
+/// Guards against blocking a request that many callers send alike, such as one without a body, when
+/// its upstreams end for another reason. An answer clears it, even if losses from before the answer
+/// arrive again by a longer way.
+#[test]
+fn answered_request_is_cleared() {
+    let mut poison = tracker_after(&[lost(1), ended(1), lost(2), ended(2)]);
+    assert!(poison.is_poison(0, REQUEST));
+    assert!(poison.receive(1, FailureEvidence::Answered(REQUEST)));
+    for each in [lost(1), lost(2), FailureEvidence::Answered(REQUEST)] {
+        assert!(!poison.receive(2, each), "{each:?} is not new");
+    }
+    poison.mark_poison(2, REQUEST);
+    assert!(!poison.is_poison(2, REQUEST));
+    poison.receive(3, lost(3));
+    poison.receive(3, ended(3));
+    poison.receive(3, lost(4));
+    poison.receive(3, ended(4));
+    assert!(poison.is_poison(3, REQUEST));
+}
+
+/// Guards against blocking a request for ever after the upstreams were fixed. It may run again when
+/// it has not come for a while, and stays refused while it comes.
+#[test]
+fn request_that_stays_away_is_forgotten() {
+    let mut poison = tracker_after(&[lost(1), ended(1), lost(2), ended(2)]);
+    poison.record_refusal(RETENTION_MS - 1, REQUEST);
+    assert!(poison.is_poison(RETENTION_MS, REQUEST));
+    assert!(!poison.is_poison(2 * RETENTION_MS, REQUEST));
+    poison.receive(2 * RETENTION_MS, lost(3));
+    assert!(!poison.is_poison(2 * RETENTION_MS, REQUEST));
+}
+
+/// Guards against unbounded memory, and against forgetting a poison request, when hundreds of
+/// engines end with a dozen answers each, over and over.
+#[test]
+fn flood_of_losses_evicts_no_poison_request() {
+    let mut poison = tracker_after(&[lost(1), ended(1), lost(2), ended(2)]);
+    for number in 0..20_000 {
+        let request = RequestKey(100 + number);
+        let upstream = upstream(10 + number as usize / 12);
+        poison.receive(1 + number, FailureEvidence::Lost { request, upstream });
+        poison.receive(1 + number, FailureEvidence::Ended(upstream));
+    }
+    assert!(poison.is_poison(20_001, REQUEST));
+    assert!(!poison.is_tracked(RequestKey(100)));
+}
+
+/// Guards against a request that ends one engine at each instance it comes to. No instance has seen
+/// two ends itself; all must know of them before the caller comes back.
+#[test]
+fn evidence_of_two_instances_reaches_all() {
+    for instances in SIZES {
+        let mut fleet = Fleet::new(instances);
+        fleet.run(1_000, |_, _| false);
+        let (first, second) = (0, instances - 1);
+        for (index, nth) in [(first, 1), (second, 2)] {
+            let now_ms = fleet.now_ms;
+            fleet.all[index].observe(now_ms, lost(nth));
+            fleet.all[index].observe(now_ms, ended(nth));
+            fleet.run(SPREAD_MS, |_, _| false);
+        }
+        let unaware_count = unaware_count(&fleet);
+        assert_eq!(unaware_count, 0, "of {instances}");
+    }
+}
+
+fn unaware_count(fleet: &Fleet) -> usize {
+    let knows = |each: &&common::Instance| each.poison.is_poison(fleet.now_ms, REQUEST);
+    fleet.running().count() - fleet.running().filter(knows).count()
+}
+
+/// Guards against an instance that was cut off or frozen while the fleet found the request out, and
+/// then loses upstreams of its own. It must learn of the request soon, with a tenth of the
+/// datagrams lost.
+#[test]
+fn isolated_instance_learns_poison_requests() {
+    for instances in SIZES {
+        let mut fleet = Fleet::new(instances);
+        let mut is_lost = one_in_ten();
+        fleet.run(1_000, |_, _| is_lost());
+        let isolated = instances / 2;
+        let now_ms = fleet.now_ms;
+        for each in [lost(1), ended(1), lost(2), ended(2)] {
+            fleet.all[0].observe(now_ms, each);
+        }
+        fleet.run(3_000, |from, to| {
+            from == isolated || to == isolated || is_lost()
+        });
+        let expected = usize::from(isolated != 0);
+        assert_eq!(
+            unaware_count(&fleet),
+            expected,
+            "of {instances}, while one is away"
+        );
+        fleet.run(SPREAD_LOSSY_MS, |_, _| is_lost());
+        assert_eq!(unaware_count(&fleet), 0, "of {instances}");
+    }
+}
