--- a/crates/conf/src/bundle.rs
+++ b/crates/conf/src/bundle.rs
@@ -1,4 +1,5 @@
-//! Bundles: what a deployment serves, to whom and on which upstreams.
+//! Parses and validates bundles, which define what a deployment serves, to whom and on which
+//! upstreams.
 
 use sha2::{Digest, Sha256};
 
@@ -6,18 +7,19 @@
 use crate::parse::parse;
 use crate::{Bundle, Error, Result};
 
-/// Longest deadline a class may give, in ms.
-const LONGEST_DEADLINE_MS: u64 = 3_600_000;
+/// Longest deadline of a class or a service.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Hexadecimal SHA-256 of a bundle's text, by which members see what is in force.
+/// Returns the hexadecimal SHA-256 of a bundle's text, by which members identify the bundle in
+/// force.
 pub fn digest(text: &str) -> String {
     crate::hex_sha256(&Sha256::digest(text.as_bytes()))
 }
 
-/// Parses and checks a bundle; `file` is only for messages.
+/// Parses and validates a bundle; `file` only appears in error messages.
 pub fn parse_bundle(text: &str, file: &str) -> Result<Bundle> {
     let bundle: Bundle = parse(text, file)?;
-    let problems = check(&bundle);
+    let problems = validate(&bundle);
     if problems.is_empty() {
         return Ok(bundle);
     }
@@ -27,7 +29,7 @@
     })
 }
 
-fn check(bundle: &Bundle) -> Vec<crate::Problem> {
+fn validate(bundle: &Bundle) -> Vec<crate::Problem> {
     let mut checker = Checker::default();
     if bundle.version != bundle.base + 1 {
         checker.fail("version", format!("{} is not base + 1", bundle.version));
@@ -45,7 +47,7 @@
     for (index, class) in bundle.classes.iter().enumerate() {
         checker.name(format!("classes[{index}].name"), &class.name);
         let field = format!("classes[{index}].deadline_ms");
-        checker.range(field, class.deadline_ms, 1, LONGEST_DEADLINE_MS);
+        checker.range(field, class.deadline_ms, 1, MAX_DEADLINE_MS);
     }
     checker.unique(
         "models",
@@ -59,8 +61,8 @@
         "members",
         bundle.members.iter().map(|member| member.name.as_str()),
     );
-    check_members(bundle, &mut checker);
-    check_upstreams(bundle, &mut checker);
+    validate_members(bundle, &mut checker);
+    validate_upstreams(bundle, &mut checker);
     let weight = bundle.policy.role_change_weight;
     if !(0.0..=1.0).contains(&weight) {
         checker.fail(
@@ -71,8 +73,8 @@
     checker.problems
 }
 
-fn check_members(bundle: &Bundle, checker: &mut Checker) {
-    let mut keys = std::collections::BTreeMap::new();
+fn validate_members(bundle: &Bundle, checker: &mut Checker) {
+    let mut fields_by_key = std::collections::BTreeMap::new();
     for (index, member) in bundle.members.iter().enumerate() {
         checker.name(format!("members[{index}].name"), &member.name);
         checker.range(
@@ -81,8 +83,8 @@
             1,
             1_000,
         );
-        for (place, workspace) in member.workspaces.iter().enumerate() {
-            let field = format!("members[{index}].workspaces[{place}]");
+        for (workspace_index, workspace) in member.workspaces.iter().enumerate() {
+            let field = format!("members[{index}].workspaces[{workspace_index}]");
             checker.name(format!("{field}.name"), &workspace.name);
             checker.sha256(format!("{field}.key_sha256"), &workspace.key_sha256);
             checker.range(
@@ -91,15 +93,15 @@
                 1,
                 1 << 20,
             );
-            let known = |class: &crate::Class| class.name == workspace.class;
-            if !workspace.class.is_empty() && !bundle.classes.iter().any(known) {
+            let is_named = |class: &crate::Class| class.name == workspace.class;
+            if !workspace.class.is_empty() && !bundle.classes.iter().any(is_named) {
                 checker.fail(
                     format!("{field}.class"),
                     format!("no class `{}`", workspace.class),
                 );
             }
             let key = workspace.key_sha256.to_ascii_lowercase();
-            if let Some(other) = keys.insert(key, field.clone()) {
+            if let Some(other) = fields_by_key.insert(key, field.clone()) {
                 checker.fail(
                     format!("{field}.key_sha256"),
                     format!("the same as {other}"),
@@ -109,15 +111,15 @@
     }
 }
 
-fn check_upstreams(bundle: &Bundle, checker: &mut Checker) {
+fn validate_upstreams(bundle: &Bundle, checker: &mut Checker) {
     for (index, service) in bundle.services.iter().enumerate() {
         checker.name(format!("services[{index}].name"), &service.name);
         let field = format!("services[{index}].deadline_ms");
-        checker.range(field, service.deadline_ms, 1, LONGEST_DEADLINE_MS);
-        for (place, path) in service.once_paths.iter().enumerate() {
+        checker.range(field, service.deadline_ms, 1, MAX_DEADLINE_MS);
+        for (path_index, path) in service.once_paths.iter().enumerate() {
             if !path.starts_with('/') {
                 checker.fail(
-                    format!("services[{index}].once_paths[{place}]"),
+                    format!("services[{index}].once_paths[{path_index}]"),
                     format!("`{path}` does not begin with /"),
                 );
             }
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -1,28 +1,28 @@
-//! Rules that a schema cannot state.
+//! Validation rules that JSON Schema cannot express.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name of anything in settings and bundles, in bytes.
-const NAME_BYTES: usize = 64;
+/// Maximum length of a name in settings and bundles.
+const MAX_NAME_BYTES: usize = 64;
 
-/// Length of a SHA-256 in hexadecimal.
-const SHA256_HEX: usize = 64;
+/// Length of a SHA-256 digest in hexadecimal digits.
+const SHA256_HEX_DIGITS: usize = 64;
 
-/// One wrong field.
+/// An invalid field and the reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{field}: {detail}")]
 pub struct Problem {
     /// Path of the field, such as `members[0].share`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value was rejected.
     pub detail: String,
 }
 
 impl Problem {
-    /// States what is wrong with a field.
+    /// Creates a problem from anything that can be displayed.
     pub fn new(field: impl Display, detail: impl Display) -> Self {
         Self {
             field: field.to_string(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Collects what is wrong, so that an operator sees all of it at once.
+/// Collects all invalid fields, so that an operator sees them in one run.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
     pub(crate) problems: Vec<Problem>,
@@ -55,14 +55,14 @@
     }
 
     pub(crate) fn sha256(&mut self, field: impl Display, value: &str) {
-        if value.len() != SHA256_HEX || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        if value.len() != SHA256_HEX_DIGITS || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             self.fail(field, "64 hexadecimal digits expected");
         }
     }
 
-    pub(crate) fn range(&mut self, field: impl Display, value: u64, least: u64, most: u64) {
-        if value < least || value > most {
-            self.fail(field, format!("{value} is outside {least} to {most}"));
+    pub(crate) fn range(&mut self, field: impl Display, value: u64, min: u64, max: u64) {
+        if value < min || value > max {
+            self.fail(field, format!("{value} is outside {min} to {max}"));
         }
     }
 
@@ -79,8 +79,9 @@
     }
 }
 
-/// Whether a text can name an instance, an upstream or anything in a bundle.
+/// Whether a string is a valid name of an instance, an upstream or an item of a bundle: 1 to 64
+/// letters, digits and `. _ - /`.
 pub fn is_name(value: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-/".contains(&byte);
-    (1..=NAME_BYTES).contains(&value.len()) && value.bytes().all(allowed)
+    (1..=MAX_NAME_BYTES).contains(&value.len()) && value.bytes().all(allowed)
 }
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -1,40 +1,40 @@
-//! What can be wrong with settings or a bundle.
+//! Errors of reading settings and bundles.
 
 use derive_more::{Display, Error};
 
 use crate::Problem;
 
-/// Settings or a bundle cannot be used.
+/// Why settings or a bundle were rejected.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The file cannot be read.
+    /// Reading the file failed.
     #[display("{file}: cannot be read: {source}")]
     Read {
-        /// File as it was named.
+        /// Name of the file as the caller gave it.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The text is not JSON, or not of the schema.
+    /// The text is not valid JSON or does not match the schema.
     #[display("{file}:{line}:{column}: {field}: {detail}")]
     Parse {
-        /// File as it was named.
+        /// Name of the file as the caller gave it.
         file: String,
         /// Line, from 1.
         line: usize,
         /// Column, from 1.
         column: usize,
-        /// Path of the field.
+        /// Path of the invalid field.
         field: String,
-        /// What is wrong.
+        /// Error of the JSON parser.
         detail: String,
     },
-    /// The text fits the schema but not the rules beyond it.
-    #[display("{file}: {}", list(problems))]
+    /// The text matches the schema but fails the additional checks.
+    #[display("{file}: {}", join(problems))]
     Check {
-        /// File as it was named.
+        /// Name of the file as the caller gave it.
         file: String,
-        /// Everything that is wrong.
+        /// All invalid fields.
         #[error(not(source))]
         problems: Vec<Problem>,
     },
@@ -44,7 +44,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Every wrong field with what is wrong there.
+    /// All invalid fields; for a file that cannot be read, the file in place of a field.
     pub fn problems(&self) -> Vec<Problem> {
         match self {
             Self::Read { file, source } => vec![Problem::new(file, source)],
@@ -54,7 +54,7 @@
     }
 }
 
-fn list(problems: &[Problem]) -> String {
+fn join(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
--- a/crates/conf/src/index.rs
+++ b/crates/conf/src/index.rs
@@ -1,4 +1,4 @@
-//! A bundle arranged for look-ups on the path of a request.
+//! Indexes a bundle for the lookups that handling a request needs.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -7,22 +7,22 @@
 
 use crate::{Bundle, Class, Model, Role, Service};
 
-/// Who a request is for.
+/// A workspace and its member, as found by the API key of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Member.
+    /// Name of the member that owns the workspace.
     pub member: String,
-    /// The member's weight among members.
+    /// Weight of the member when members compete for capacity.
     pub share: u32,
-    /// Workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Class of requests that name none.
+    /// Class of requests that do not name one.
     pub class: String,
-    /// Most requests of the workspace in flight at one instance.
+    /// Maximum number of the workspace's requests in flight at one instance.
     pub in_flight: u32,
 }
 
-/// A bundle with its digest and its keys by hash.
+/// A bundle with its digest, its tenants by API key hash and its engine roles by name.
 #[derive(Debug, Clone)]
 pub struct BundleIndex {
     bundle: Bundle,
@@ -32,14 +32,14 @@
 }
 
 impl BundleIndex {
-    /// Arranges a checked bundle.
+    /// Indexes a bundle that [`parse_bundle`](crate::parse_bundle) has validated.
     pub fn new(bundle: Bundle, digest: String) -> Self {
-        let last = last_class(&bundle).to_owned();
+        let default_class = lowest_priority_class(&bundle).to_owned();
         let mut tenants = Keyring::default();
         for member in &bundle.members {
             for workspace in &member.workspaces {
                 let class = match workspace.class.as_str() {
-                    "" => last.clone(),
+                    "" => default_class.clone(),
                     class => class.to_owned(),
                 };
                 let tenant = Tenant {
@@ -49,7 +49,7 @@
                     class,
                     in_flight: workspace.in_flight,
                 };
-                // A checked bundle holds hashes only.
+                // Always succeeds: validation accepts only hexadecimal hashes here.
                 if let Ok(key) = workspace.key_sha256.parse() {
                     tenants.add(key, tenant);
                 }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The bundle itself.
+    /// The bundle as it was parsed.
     pub fn bundle(&self) -> &Bundle {
         &self.bundle
     }
@@ -78,22 +78,22 @@
         &self.digest
     }
 
-    /// The tenant whose API key has this hash.
+    /// Finds a tenant by the hash of its API key.
     pub fn tenant(&self, key: &KeyHash) -> Option<&Tenant> {
         self.tenants.owner(key)
     }
 
-    /// A class by name.
+    /// Finds a request class by name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.bundle.classes.iter().find(|class| class.name == name)
     }
 
-    /// A model by name.
+    /// Finds a model by name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.bundle.models.iter().find(|model| model.name == name)
     }
 
-    /// A plain service by name.
+    /// Finds a plain service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.bundle
             .services
@@ -101,7 +101,7 @@
             .find(|service| service.name == name)
     }
 
-    /// Whether an engine may play a role; one that the bundle does not name may play any.
+    /// Whether an engine may take a role. An engine that `engine_roles` does not list may take any.
     pub fn allows_role(&self, engine: &str, role: Role) -> bool {
         self.roles
             .get(engine)
@@ -109,12 +109,13 @@
     }
 }
 
-fn last_class(bundle: &Bundle) -> &str {
+/// The class with the highest rank, since rank 0 is served first.
+fn lowest_priority_class(bundle: &Bundle) -> &str {
     let last = bundle.classes.iter().max_by_key(|class| class.rank);
     last.map_or("", |class| class.name.as_str())
 }
 
-/// Hexadecimal digits of a digest.
+/// Formats the bytes of a SHA-256 digest in lowercase hexadecimal.
 pub fn hex_sha256(digest: &[u8]) -> String {
     digest
         .iter()
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of a process and bundles of a deployment, read and checked.
+//! Parses and validates the settings of a process and the bundles of a deployment.
 //!
-//! Both come from JSON Schemas under `schema/`, from which the plain structs are generated; this
-//! crate adds the checks that a schema cannot state and says, for everything that is wrong,
-//! where it stands. See docs/SETTINGS.md.
+//! The structs are generated from the JSON Schemas under `schema/`. This crate adds the checks
+//! that JSON Schema cannot express and reports the path of every invalid field. See
+//! docs/SETTINGS.md.
 
 #[allow(missing_docs, dead_code, clippy::all, clippy::pedantic)]
 #[path = "gen/bundle.rs"]
--- a/crates/conf/src/parse.rs
+++ b/crates/conf/src/parse.rs
@@ -1,4 +1,4 @@
-//! JSON with comments into generated structs, with the place of what is wrong.
+//! Deserializes JSON with comments and locates errors by line, column and field.
 
 use std::io::Read;
 
@@ -7,10 +7,10 @@
 
 use crate::{Error, Result};
 
-/// Parses JSON with `//`, `#` and `/* */` comments; `file` is only for messages.
+/// Parses JSON with `//`, `#` and `/* */` comments; `file` only appears in error messages.
 pub(crate) fn parse<T: DeserializeOwned>(text: &str, file: &str) -> Result<T> {
     let mut plain = String::with_capacity(text.len());
-    // Comments turn into blanks, so lines and columns stay those of the file.
+    // Comments are replaced by spaces, so errors keep the line and column of the file.
     StripComments::new(text.as_bytes())
         .read_to_string(&mut plain)
         .map_err(|error| Error::Parse {
@@ -23,17 +23,17 @@
     let mut deserializer = serde_json::Deserializer::from_str(&plain);
     let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let path = error.path().to_string();
-        // A text that ends too early has no field to blame.
+        // A text that ends too early yields the path "?", as no field caused the error.
         let field = if path == "?" { ".".to_owned() } else { path };
-        located(file, field, error.inner())
+        parse_error(file, field, error.inner())
     })?;
     deserializer
         .end()
-        .map_err(|error| located(file, ".".to_owned(), &error))?;
+        .map_err(|error| parse_error(file, ".".to_owned(), &error))?;
     Ok(value)
 }
 
-fn located(file: &str, field: String, error: &serde_json::Error) -> Error {
+fn parse_error(file: &str, field: String, error: &serde_json::Error) -> Error {
     Error::Parse {
         file: file.to_owned(),
         line: error.line(),
