--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,80 +1,80 @@
-//! Messages about calls that may not be repeated. See docs/design/once.md.
+//! Messages about calls that must run at most once. See docs/design/once.md.
 
-use crate::codec::name;
+use crate::codec::read_text;
 use crate::peer_capnp::{self as schema, CallState as WireState, ClaimVerdict as WireVerdict};
 use crate::{Error, Result};
 
-/// Length of a SHA-256, in bytes.
+/// Length of a SHA-256 digest.
 const DIGEST_BYTES: usize = 32;
 
-/// A witness's word on a home that wants to dispatch a call.
+/// A witness's reply to a home that is about to dispatch a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ClaimVerdict {
-    /// The home may dispatch.
+    /// The home may dispatch the call.
     Granted,
-    /// The key was closed: it must never be dispatched.
+    /// The key was fenced, so the call must never be dispatched.
     Fenced,
-    /// The key is older than the witness keeps records.
+    /// The key is older than the witness's records.
     Expired,
     /// The key names another witness, or an earlier incarnation of this one.
     Foreign,
 }
 
-/// What is known of a call by its key.
+/// State of the call that a key identifies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallState {
-    /// It was never dispatched and never will be.
+    /// The call was not dispatched and never will be.
     Unseen,
-    /// It may be under way.
+    /// The call may be running.
     Running,
-    /// It was dispatched and its outcome is lost.
+    /// The call was dispatched and its outcome is lost.
     Unknown,
-    /// It ran; the answer is here.
+    /// The call ran and its answer is known.
     Done,
-    /// The key was first used with another body.
+    /// The key was first used for a call with a different digest.
     Conflict,
-    /// The key is older than records are kept.
+    /// The key is older than the records that are kept.
     Expired,
-    /// The one who was asked is not the one that the key names.
+    /// The key names a different instance than the one that was asked.
     Foreign,
 }
 
-/// A whole answer of a plain service.
+/// A complete answer of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `content-type` header.
     pub content_type: String,
-    /// Body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
 
-/// What is known of a call, with its answer if there is one.
+/// State of a call, with its answer if the call is done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallStatus {
     /// State of the call.
     pub state: CallState,
-    /// Its answer, when the state is `Done`.
+    /// Answer of the service; present only in the state `Done`.
     pub answer: Option<Answer>,
 }
 
-/// A call on its way to its home.
+/// A call that another instance forwards to its home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// Idempotency key.
     pub key: String,
     /// SHA-256 of service, path and body.
     pub body_digest: [u8; DIGEST_BYTES],
-    /// Service by name.
+    /// Name of the service.
     pub service: String,
     /// Path on the service.
     pub path: String,
-    /// Body.
+    /// Body of the call.
     pub body: Vec<u8>,
-    /// Time left until the caller's deadline.
+    /// Time left until the caller's deadline, in ms.
     pub deadline_ms: u64,
-    /// Member on whose behalf the call is made.
+    /// Member that makes the call.
     pub member: String,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl CallStatus {
-    /// A status that has no answer.
+    /// Creates a status for a call that is not done.
     pub fn without_answer(state: CallState) -> Self {
         Self {
             state,
@@ -118,7 +118,7 @@
     }
 }
 
-/// Reads a digest, whose length the schema cannot state.
+/// Converts the bytes of a digest and checks their length, which the schema cannot restrict.
 pub fn parse_digest(field: &'static str, bytes: &[u8]) -> Result<[u8; DIGEST_BYTES]> {
     bytes.try_into().map_err(|_| Error::Field {
         field,
@@ -131,13 +131,13 @@
 
     fn try_from(wire: schema::call::Reader) -> Result<Self> {
         Ok(Self {
-            key: name("call.key", wire.get_key())?,
+            key: read_text("call.key", wire.get_key())?,
             body_digest: parse_digest("call.bodyDigest", wire.get_body_digest()?)?,
-            service: name("call.service", wire.get_service())?,
-            path: name("call.path", wire.get_path())?,
+            service: read_text("call.service", wire.get_service())?,
+            path: read_text("call.path", wire.get_path())?,
             body: wire.get_body()?.to_vec(),
             deadline_ms: wire.get_deadline_ms(),
-            member: name("call.member", wire.get_member())?,
+            member: read_text("call.member", wire.get_member())?,
         })
     }
 }
@@ -148,7 +148,7 @@
     fn try_from(wire: schema::answer::Reader) -> Result<Self> {
         Ok(Self {
             status: wire.get_status(),
-            content_type: name("answer.contentType", wire.get_content_type())?,
+            content_type: read_text("answer.contentType", wire.get_content_type())?,
             body: wire.get_body()?.to_vec(),
         })
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,31 +1,34 @@
-//! Checked reads of single fields and of whole frames.
+//! Framing of messages and validated reads of text fields.
 
 use capnp::message::{Builder, HeapAllocator, ReaderOptions};
 use capnp::serialize;
 
 use crate::{Error, Result};
 
-/// Longest text in any record but a bundle's, in bytes.
-const NAME_BYTES: usize = 512;
+/// Maximum length of a text field other than the text of a bundle.
+const MAX_TEXT_BYTES: usize = 512;
 
-/// Most words a reader walks through; a frame of ours has 1 MiB at most.
-const TRAVERSAL_WORDS: usize = 1024 * 1024;
+/// Limit on the 8-byte words that decoding one message may visit: 8 MiB, while frames have at most
+/// 1 MiB. It bounds the work that a malicious message with overlapping pointers can cause.
+const MAX_TRAVERSAL_WORDS: usize = 1024 * 1024;
 
-pub(crate) fn name(
+/// Reads a text field of limited length.
+pub(crate) fn read_text(
     field: &'static str,
     text: capnp::Result<capnp::text::Reader>,
 ) -> Result<String> {
-    let text = free(field, text)?;
-    if text.len() > NAME_BYTES {
+    let text = read_unbounded_text(field, text)?;
+    if text.len() > MAX_TEXT_BYTES {
         return Err(Error::Field {
             field,
-            detail: format!("{} bytes, more than {NAME_BYTES}", text.len()),
+            detail: format!("{} bytes, more than {MAX_TEXT_BYTES}", text.len()),
         });
     }
     Ok(text)
 }
 
-pub(crate) fn free(
+/// Reads a text field of any length, which the frame bounds.
+pub(crate) fn read_unbounded_text(
     field: &'static str,
     text: capnp::Result<capnp::text::Reader>,
 ) -> Result<String> {
@@ -36,15 +39,16 @@
     Ok(text)
 }
 
-/// Wraps what fills a message into bytes with their segment table.
+/// Serializes a message with its segment table.
 pub(crate) fn frame(message: &Builder<HeapAllocator>) -> Vec<u8> {
     serialize::write_message_to_words(message)
 }
 
+/// Reads a message with its segment table.
 pub(crate) fn unframe(
     mut bytes: &[u8],
 ) -> Result<capnp::message::Reader<capnp::serialize::OwnedSegments>> {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(TRAVERSAL_WORDS));
+    options.traversal_limit_in_words(Some(MAX_TRAVERSAL_WORDS));
     Ok(serialize::read_message(&mut bytes, options)?)
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,27 +1,27 @@
-//! What can be wrong with bytes that claim to be one of our messages.
+//! Errors of decoding messages.
 
 use derive_more::{Display, Error};
 
-/// A message could not be read.
+/// Why a message was rejected.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The bytes are no Cap'n Proto message, or one cut short.
+    /// The bytes are not a complete Cap'n Proto message, or hold a value that the schema lacks.
     #[display("frame: {detail}")]
     Frame {
-        /// What the decoder said.
+        /// Error of the Cap'n Proto decoder.
         detail: String,
     },
-    /// One field holds what its schema does not allow.
+    /// A field has an invalid value.
     #[display("field {field}: {detail}")]
     Field {
         /// Path of the field in the schema.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the value was rejected.
         detail: String,
     },
 }
 
-/// Result of reading a message.
+/// Result of decoding a message.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl From<capnp::Error> for Error {
--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -1,67 +1,69 @@
 //! Heartbeats between instances.
 
-use crate::codec::name;
+use crate::codec::read_text;
 use crate::peer_capnp::{self as schema, Condition as WireCondition};
 use crate::{Error, Result};
 
-/// Where an instance is in its life.
+/// Lifecycle state of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Condition {
-    /// It has no current state yet.
+    /// It has not yet learned the state of the log, from the log or from a peer.
     #[default]
     Starting,
-    /// It serves.
+    /// It serves requests.
     Ready,
-    /// It ends what it holds and takes nothing new.
+    /// It finishes its requests and accepts no new ones.
     Leaving,
 }
 
-/// Work that an instance has put on an engine and that the engine may not report yet.
+/// Load that an instance has sent to an engine, which the engine's own report may not yet
+/// include.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Sender's monotonic clock.
+    /// Time on the sender's monotonic clock.
     pub at_ms: u64,
-    /// Prompt tokens without a first token yet, by rank.
+    /// Prompt tokens of the requests that wait for their first output token, by class rank.
     pub prompt_tokens: Vec<u64>,
-    /// Output tokens still expected.
+    /// Output tokens that are still expected.
     pub output_tokens: u64,
-    /// Requests without a first token yet, by rank.
+    /// Requests that wait for their first output token, by class rank.
     pub waiting: Vec<u64>,
-    /// Requests that produce output.
+    /// Requests that are producing output.
     pub running: u64,
 }
 
-/// What an instance tells another about itself.
+/// The state that an instance sends to its peers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
-    /// Instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Number drawn at its start.
+    /// Random number that the process chose at its start.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Where it is in its life.
+    /// Lifecycle state.
     pub condition: Condition,
-    /// First log offset that it has not applied.
+    /// Offset of the first record of the log that it has not applied.
     pub applied_offset: u64,
-    /// Its count of key epochs, which idempotency keys carry.
+    /// Current epoch of the instance, which its idempotency keys include.
     pub epoch: u64,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: String,
-    /// Work it has sent to engines; `None` where this beat does not tell.
+    /// Load that it has sent to each engine; `None` leaves the load of the previous heartbeat in
+    /// effect.
     pub sent_load: Option<Vec<EngineLoad>>,
-    /// Version of the bundle in force there.
+    /// Version of the bundle in force at the instance.
     pub bundle_version: u64,
-    /// Prompt tokens a ms that arrive there.
+    /// Prompt tokens that arrive at the instance, per ms.
     pub prompt_rate: f64,
-    /// Output tokens a ms that are asked for there.
+    /// Output tokens that its callers request, per ms.
     pub output_rate: f64,
 }
 
 impl Heartbeat {
-    /// Encodes the beat as one framed message.
+    /// Encodes the heartbeat as one framed message.
     pub fn encode(&self) -> Vec<u8> {
         let mut message = capnp::message::Builder::new_default();
         self.fill(message.init_root());
@@ -74,7 +76,7 @@
         Self::try_from(message.get_root::<schema::beat::Reader>()?)
     }
 
-    /// Writes the beat into a message.
+    /// Writes the heartbeat into a message.
     pub fn fill(&self, mut out: schema::beat::Builder) {
         out.set_instance(&self.instance);
         out.set_incarnation(self.incarnation);
@@ -90,9 +92,9 @@
             return;
         };
         out.set_tells_load(true);
-        let mut sent = out.init_sent(loads.len() as u32);
+        let mut wire_loads = out.init_sent(loads.len() as u32);
         for (index, load) in loads.iter().enumerate() {
-            let mut out = sent.reborrow().get(index as u32);
+            let mut out = wire_loads.reborrow().get(index as u32);
             out.set_engine(&load.engine);
             out.set_at_ms(load.at_ms);
             out.set_output_tokens(load.output_tokens);
@@ -135,13 +137,13 @@
 
     fn try_from(wire: schema::beat::Reader) -> Result<Self> {
         Ok(Self {
-            instance: name("beat.instance", wire.get_instance())?,
+            instance: read_text("beat.instance", wire.get_instance())?,
             incarnation: wire.get_incarnation(),
-            zone: name("beat.zone", wire.get_zone())?,
+            zone: read_text("beat.zone", wire.get_zone())?,
             condition: wire.get_condition()?.into(),
             applied_offset: wire.get_applied_offset(),
             epoch: wire.get_epoch(),
-            caller_address: name("beat.callerAddress", wire.get_caller_address())?,
+            caller_address: read_text("beat.callerAddress", wire.get_caller_address())?,
             sent_load: loads(wire)?,
             bundle_version: wire.get_bundle_version(),
             prompt_rate: rate("beat.promptRate", wire.get_prompt_rate())?,
@@ -158,7 +160,7 @@
     loads.collect::<Result<_>>().map(Some)
 }
 
-/// A rate that is no number or below 0 would poison every sum it enters.
+/// Checks a rate: a negative or non-finite value would corrupt every sum that includes it.
 fn rate(field: &'static str, value: f64) -> Result<f64> {
     if value.is_finite() && value >= 0.0 {
         return Ok(value);
@@ -174,7 +176,7 @@
 
     fn try_from(wire: schema::load::Reader) -> Result<Self> {
         Ok(Self {
-            engine: name("load.engine", wire.get_engine())?,
+            engine: read_text("load.engine", wire.get_engine())?,
             at_ms: wire.get_at_ms(),
             prompt_tokens: wire.get_prompt_tokens()?.iter().collect(),
             output_tokens: wire.get_output_tokens(),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages between instances and records in the log, with their codecs.
+//! Encodes and decodes messages between instances and records of the log.
 //!
-//! The Cap'n Proto types stay inside this crate and at the edge of `peer`: everything else
-//! uses the plain types here, reached by `From` and `TryFrom`, so that a field that is missing
-//! or out of range is refused in one place. See docs/ARCHITECTURE.md.
+//! Only this crate and the RPC layer of `peer` use the Cap'n Proto types. All other code uses the
+//! plain types defined here. `TryFrom` converts into them and rejects missing and out-of-range
+//! fields, so that no other crate has to check them. See docs/ARCHITECTURE.md.
 
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 #[path = "gen/record_capnp.rs"]
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -1,39 +1,39 @@
-//! One record of the platform's log.
+//! Records of the platform's log.
 
 use capnp::message::Builder;
 
-use crate::codec::{frame, free, name, unframe};
+use crate::codec::{frame, read_text, read_unbounded_text, unframe};
 use crate::record_capnp::{self as schema, OrderKind as WireKind};
 use crate::{Error, Result, Snapshot};
 
-/// Who wrote a record, and its place among that writer's own.
+/// Identifies a record by its writer and the writer's sequence number.
 ///
-/// A lost answer leaves the writer not knowing whether its append took effect. Readers drop
-/// a sequence number that they have seen, so the writer may append again without harm.
+/// A writer that gets no answer does not know whether its append took effect. Readers ignore
+/// sequence numbers that they have already seen, so the writer can safely append again.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
-    /// Instance that wrote the record.
+    /// Name of the instance that wrote the record.
     pub writer: String,
-    /// Number drawn at the start of that process.
+    /// Random number that the process chose at its start.
     pub incarnation: u64,
-    /// Counts up by one with each record of the incarnation.
+    /// Incremented with each record of the incarnation.
     pub sequence: u64,
 }
 
-/// A bundle as an operator published it.
+/// An operator's publication of a bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BundlePublished {
-    /// Version it claims.
+    /// Version of the bundle.
     pub version: u64,
-    /// Version it replaces.
+    /// Version that the bundle replaces.
     pub base: u64,
     /// Hexadecimal SHA-256 of `text`.
     pub digest: String,
-    /// The bundle as published.
+    /// Text of the bundle, as JSON with comments.
     pub text: String,
 }
 
-/// Names a bundle without its text.
+/// Reference to a published bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BundleRef {
     /// Version of the bundle.
@@ -42,102 +42,103 @@
     pub digest: String,
 }
 
-/// A claim of the lease over a group of engines.
+/// An instance's claim to the lease for a group of engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseClaimed {
-    /// Group of engines.
+    /// Name of the group of engines.
     pub group: String,
-    /// Offset of the record the claim supersedes; 0 if there is none.
+    /// Offset of the lease's latest record, which the claim supersedes; 0 if there is none.
     pub supersedes: u64,
-    /// Time for which the claim and each renewal hold.
+    /// Validity of the claim and of each renewal.
     pub ttl_ms: u64,
 }
 
-/// Names a lease by its fencing token.
+/// Reference to a lease by its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseRef {
-    /// Group of engines.
+    /// Name of the group of engines.
     pub group: String,
-    /// Offset of the claim that won.
+    /// Offset of the claim that was granted.
     pub fencing_token: u64,
 }
 
-/// What an engine can be told to do.
+/// Kinds of orders to engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OrderKind {
-    /// Change to the role named by the argument.
+    /// Change to the role in `argument`.
     Role,
-    /// Load the model version named by the argument.
+    /// Load the model version in `argument`.
     Load,
-    /// Unload the model version named by the argument.
+    /// Unload the model version in `argument`.
     Unload,
 }
 
-/// An order to an engine, written before it is sent.
+/// An order to an engine. It is appended to the log before it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderPlaced {
-    /// Group of the engine.
+    /// Name of the engine's group.
     pub group: String,
-    /// Fencing token of the lease under which the order is given.
+    /// Fencing token of the lease under which the order is placed.
     pub fencing_token: u64,
-    /// Engine that is to carry it out.
+    /// Name of the engine that executes the order.
     pub engine: String,
-    /// Kind of order.
+    /// What the engine is to do.
     pub kind: OrderKind,
-    /// Role, or `model@version`.
+    /// Role, or `model@version`, depending on `kind`.
     pub argument: String,
 }
 
-/// The end of an order.
+/// The final outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderSettled {
-    /// Engine that had the order.
+    /// Name of the engine that received the order.
     pub engine: String,
     /// Offset of the order.
     pub order: u64,
-    /// Whether the engine did it, or it was given up.
+    /// True if the engine executed the order, false if the order was abandoned.
     pub done: bool,
 }
 
-/// What a record says.
+/// Content of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
     /// An operator published a bundle.
     BundlePublished(BundlePublished),
-    /// An operator signed a bundle off.
+    /// An operator approved a bundle.
     BundleSigned(BundleRef),
-    /// An operator put a signed bundle in force.
+    /// An operator put an approved bundle in force.
     BundleRolled(BundleRef),
-    /// An operator took back a bundle that is not in force.
+    /// An operator withdrew a bundle that is not in force.
     BundleWithdrawn(BundleRef),
     /// An operator drained an engine.
     EngineDrained(String),
-    /// An operator took an engine back into use.
+    /// An operator ended the drain of an engine.
     EngineUndrained(String),
-    /// An instance claims a lease.
+    /// An instance claimed a lease.
     LeaseClaimed(LeaseClaimed),
-    /// A holder renews its lease.
+    /// The holder renewed its lease.
     LeaseRenewed(LeaseRef),
-    /// A holder gives its lease up.
+    /// The holder released its lease.
     LeaseReleased(LeaseRef),
-    /// A holder is about to give an order.
+    /// The lease holder is about to send an order.
     OrderPlaced(OrderPlaced),
-    /// An order has ended.
+    /// An order was executed or abandoned.
     OrderSettled(OrderSettled),
-    /// State carried forward, so that older records may expire.
+    /// The state up to this record, which lets the log drop older records.
     Snapshot(Box<Snapshot>),
 }
 
 /// One record of the platform's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Who wrote it.
+    /// Writer and sequence number.
     pub origin: Origin,
-    /// Wall clock of the writer, for people only: no decision reads it.
+    /// Wall-clock time of the writer since the Unix epoch. It is only displayed; no decision depends
+    /// on it.
     pub wall_ms: u64,
-    /// Operator on whose behalf it was written, or the instance.
+    /// Operator for whom the record was written, or the instance itself.
     pub actor: String,
-    /// What it says.
+    /// Content of the record.
     pub body: Body,
 }
 
@@ -253,12 +254,12 @@
         let origin = wire.get_origin()?;
         Ok(Self {
             origin: Origin {
-                writer: name("origin.writer", origin.get_writer())?,
+                writer: read_text("origin.writer", origin.get_writer())?,
                 incarnation: origin.get_incarnation(),
                 sequence: origin.get_sequence(),
             },
             wall_ms: wire.get_wall_ms(),
-            actor: name("actor", wire.get_actor())?,
+            actor: read_text("actor", wire.get_actor())?,
             body: Body::try_from(wire.get_body())?,
         })
     }
@@ -274,14 +275,16 @@
             Which::BundleSigned(bundle) => Self::BundleSigned(bundle?.try_into()?),
             Which::BundleRolled(bundle) => Self::BundleRolled(bundle?.try_into()?),
             Which::BundleWithdrawn(bundle) => Self::BundleWithdrawn(bundle?.try_into()?),
-            Which::EngineDrained(engine) => Self::EngineDrained(name("engineDrained", engine)?),
+            Which::EngineDrained(engine) => {
+                Self::EngineDrained(read_text("engineDrained", engine)?)
+            }
             Which::EngineUndrained(engine) => {
-                Self::EngineUndrained(name("engineUndrained", engine)?)
+                Self::EngineUndrained(read_text("engineUndrained", engine)?)
             }
             Which::LeaseClaimed(claim) => {
                 let claim = claim?;
                 Self::LeaseClaimed(LeaseClaimed {
-                    group: name("leaseClaimed.group", claim.get_group())?,
+                    group: read_text("leaseClaimed.group", claim.get_group())?,
                     supersedes: claim.get_supersedes(),
                     ttl_ms: claim.get_ttl_ms(),
                 })
@@ -292,7 +295,7 @@
             Which::OrderSettled(settled) => {
                 let settled = settled?;
                 Self::OrderSettled(OrderSettled {
-                    engine: name("orderSettled.engine", settled.get_engine())?,
+                    engine: read_text("orderSettled.engine", settled.get_engine())?,
                     order: settled.get_order(),
                     done: settled.get_done(),
                 })
@@ -309,8 +312,8 @@
         Ok(Self {
             version: wire.get_version(),
             base: wire.get_base(),
-            digest: name("bundlePublished.digest", wire.get_digest())?,
-            text: free("bundlePublished.text", wire.get_text())?,
+            digest: read_text("bundlePublished.digest", wire.get_digest())?,
+            text: read_unbounded_text("bundlePublished.text", wire.get_text())?,
         })
     }
 }
@@ -321,7 +324,7 @@
     fn try_from(wire: schema::bundle_ref::Reader) -> Result<Self> {
         Ok(Self {
             version: wire.get_version(),
-            digest: name("bundleRef.digest", wire.get_digest())?,
+            digest: read_text("bundleRef.digest", wire.get_digest())?,
         })
     }
 }
@@ -331,7 +334,7 @@
 
     fn try_from(wire: schema::lease_ref::Reader) -> Result<Self> {
         Ok(Self {
-            group: name("leaseRef.group", wire.get_group())?,
+            group: read_text("leaseRef.group", wire.get_group())?,
             fencing_token: wire.get_fence(),
         })
     }
@@ -342,11 +345,11 @@
 
     fn try_from(wire: schema::order_placed::Reader) -> Result<Self> {
         Ok(Self {
-            group: name("orderPlaced.group", wire.get_group())?,
+            group: read_text("orderPlaced.group", wire.get_group())?,
             fencing_token: wire.get_fence(),
-            engine: name("orderPlaced.engine", wire.get_engine())?,
+            engine: read_text("orderPlaced.engine", wire.get_engine())?,
             kind: wire.get_kind()?.into(),
-            argument: name("orderPlaced.argument", wire.get_argument())?,
+            argument: read_text("orderPlaced.argument", wire.get_argument())?,
         })
     }
 }
--- a/crates/wire/src/snapshot.rs
+++ b/crates/wire/src/snapshot.rs
@@ -1,119 +1,119 @@
-//! State folded from the log, in the form that a snapshot carries.
+//! Snapshots of the state that the records of the log add up to.
 
 use capnp::message::Builder;
 
-use crate::codec::{frame, name, unframe};
+use crate::codec::{frame, read_text, unframe};
 use crate::record_capnp::snapshot as schema;
 use crate::{BundlePublished, Error, OrderPlaced, Result};
 
-/// The last sequence number seen of one writer.
+/// The last record of one writer, for dropping its duplicates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Writer {
-    /// Instance.
+    /// Name of the instance.
     pub writer: String,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: u64,
-    /// Last sequence number that took effect.
+    /// Sequence number of the last record that was applied.
     pub sequence: u64,
-    /// Offset of that record.
+    /// Offset of that record in the log.
     pub offset: u64,
 }
 
-/// An accepted bundle.
+/// A bundle whose publication was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BundleState {
-    /// The bundle as published.
+    /// Content of the publication.
     pub published: BundlePublished,
-    /// Offset of its publication.
+    /// Offset of the publication.
     pub offset: u64,
-    /// Operator who signed it off; empty until then.
+    /// Operator who approved the bundle; empty until then.
     pub signed_by: String,
-    /// Whether it was withdrawn.
+    /// Whether an operator withdrew the bundle.
     pub withdrawn: bool,
 }
 
-/// An engine that an operator drained.
+/// A drained engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Drain {
-    /// Engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Operator.
+    /// Operator who drained it.
     pub by: String,
-    /// Offset of the drain.
+    /// Offset of the record that drained it.
     pub offset: u64,
 }
 
-/// The lease over a group of engines.
+/// The lease for a group of engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseState {
-    /// Group of engines.
+    /// Name of the group of engines.
     pub group: String,
-    /// Instance that holds or held it.
+    /// Instance that was last granted the lease.
     pub holder: String,
     /// Incarnation of that instance.
     pub incarnation: u64,
-    /// Offset of the claim, which is the fencing token.
+    /// Fencing token: the offset of the claim that was granted.
     pub fencing_token: u64,
-    /// Offset of the last record of this lease; a claim names it to supersede it.
+    /// Offset of the latest claim, renewal or release. A new claim must name it in `supersedes`.
     pub last_offset: u64,
-    /// Sequence number that the holder gave that record.
+    /// Sequence number of that record among the holder's.
     pub sequence: u64,
-    /// Time for which each renewal holds.
+    /// Validity of the claim and of each renewal.
     pub ttl_ms: u64,
-    /// Whether the holder gave it up.
+    /// Whether the holder released the lease.
     pub released: bool,
 }
 
-/// The last order to an engine.
+/// The latest order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderState {
-    /// The order.
+    /// Content of the order.
     pub placed: OrderPlaced,
-    /// Its offset, which the engine gets as fencing token.
+    /// Offset of the order, which is its fencing token at the engine.
     pub offset: u64,
-    /// Whether it has ended.
+    /// Whether the order was executed or abandoned.
     pub settled: bool,
-    /// Whether it was carried out.
+    /// Whether the engine executed it.
     pub done: bool,
 }
 
-/// One line of the audit trail.
+/// An entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuditEntry {
     /// Offset of the record.
     pub offset: u64,
-    /// Wall clock of its writer.
+    /// Wall-clock time of the writer since the Unix epoch.
     pub wall_ms: u64,
-    /// Who asked for it.
+    /// Operator or instance that requested the action.
     pub actor: String,
-    /// What was asked.
+    /// Requested action.
     pub action: String,
-    /// What came of it.
+    /// Result of the action, such as a refusal with its reason.
     pub outcome: String,
 }
 
-/// State folded from all records below `next_offset`.
+/// The state after applying all records before `next_offset`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Snapshot {
-    /// First offset that is not folded in.
+    /// Offset of the first record that is not included.
     pub next_offset: u64,
-    /// Highest bundle version that was accepted.
+    /// Highest version of an accepted bundle.
     pub newest_version: u64,
-    /// Version in force; 0 if none is.
+    /// Version of the bundle in force; 0 if there is none.
     pub in_force_version: u64,
-    /// Offset of the roll that put it in force.
+    /// Offset of the record that put it in force.
     pub in_force_offset: u64,
-    /// Writers seen lately.
+    /// Recent writers.
     pub writers: Vec<Writer>,
-    /// Bundles that may still be rolled or are in force.
+    /// The bundle in force and those that can still be rolled.
     pub bundles: Vec<BundleState>,
-    /// Engines that are drained.
+    /// Drained engines.
     pub drains: Vec<Drain>,
-    /// Leases by group.
+    /// Leases, one for each group.
     pub leases: Vec<LeaseState>,
-    /// Last order by engine.
+    /// Latest order to each engine.
     pub orders: Vec<OrderState>,
-    /// The audit trail, oldest first.
+    /// Audit trail, oldest entry first.
     pub audit: Vec<AuditEntry>,
 }
 
@@ -220,6 +220,7 @@
     }
 }
 
+/// Converts a list and fails at the first invalid element.
 fn collect<W, T: TryFrom<W, Error = Error>>(wire: impl Iterator<Item = W>) -> Result<Vec<T>> {
     wire.map(T::try_from).collect()
 }
@@ -229,7 +230,7 @@
 
     fn try_from(wire: schema::writer::Reader) -> Result<Self> {
         Ok(Self {
-            writer: name("snapshot.writers.writer", wire.get_writer())?,
+            writer: read_text("snapshot.writers.writer", wire.get_writer())?,
             incarnation: wire.get_incarnation(),
             sequence: wire.get_sequence(),
             offset: wire.get_offset(),
@@ -244,7 +245,7 @@
         Ok(Self {
             published: wire.get_published()?.try_into()?,
             offset: wire.get_offset(),
-            signed_by: name("snapshot.bundles.signedBy", wire.get_signed_by())?,
+            signed_by: read_text("snapshot.bundles.signedBy", wire.get_signed_by())?,
             withdrawn: wire.get_withdrawn(),
         })
     }
@@ -255,8 +256,8 @@
 
     fn try_from(wire: schema::drain::Reader) -> Result<Self> {
         Ok(Self {
-            engine: name("snapshot.drains.engine", wire.get_engine())?,
-            by: name("snapshot.drains.by", wire.get_by())?,
+            engine: read_text("snapshot.drains.engine", wire.get_engine())?,
+            by: read_text("snapshot.drains.by", wire.get_by())?,
             offset: wire.get_offset(),
         })
     }
@@ -267,8 +268,8 @@
 
     fn try_from(wire: schema::lease::Reader) -> Result<Self> {
         Ok(Self {
-            group: name("snapshot.leases.group", wire.get_group())?,
-            holder: name("snapshot.leases.holder", wire.get_holder())?,
+            group: read_text("snapshot.leases.group", wire.get_group())?,
+            holder: read_text("snapshot.leases.holder", wire.get_holder())?,
             incarnation: wire.get_incarnation(),
             fencing_token: wire.get_fence(),
             last_offset: wire.get_renewed(),
@@ -299,9 +300,9 @@
         Ok(Self {
             offset: wire.get_offset(),
             wall_ms: wire.get_wall_ms(),
-            actor: name("snapshot.audit.actor", wire.get_actor())?,
-            action: name("snapshot.audit.action", wire.get_action())?,
-            outcome: name("snapshot.audit.outcome", wire.get_outcome())?,
+            actor: read_text("snapshot.audit.actor", wire.get_actor())?,
+            action: read_text("snapshot.audit.action", wire.get_action())?,
+            outcome: read_text("snapshot.audit.outcome", wire.get_outcome())?,
         })
     }
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Codecs: what is written is read back, and no bytes do harm.
+//! Round trips of the codecs, and decoding of arbitrary and corrupted bytes.
 
 use proptest::prelude::*;
 use wire::{
@@ -19,7 +19,7 @@
 }
 
 fn body() -> impl Strategy<Value = Body> {
-    let named =
+    let bundle_ref =
         || (any::<u64>(), text()).prop_map(|(version, digest)| BundleRef { version, digest });
     let lease = || {
         (text(), any::<u64>()).prop_map(|(group, fencing_token)| LeaseRef {
@@ -38,9 +38,9 @@
                 })
             }
         ),
-        named().prop_map(Body::BundleSigned),
-        named().prop_map(Body::BundleRolled),
-        named().prop_map(Body::BundleWithdrawn),
+        bundle_ref().prop_map(Body::BundleSigned),
+        bundle_ref().prop_map(Body::BundleRolled),
+        bundle_ref().prop_map(Body::BundleWithdrawn),
         text().prop_map(Body::EngineDrained),
         text().prop_map(Body::EngineUndrained),
         (text(), any::<u64>(), any::<u64>()).prop_map(|(group, supersedes, ttl_ms)| {
@@ -96,7 +96,7 @@
         )
 }
 
-fn beat() -> impl Strategy<Value = Heartbeat> {
+fn heartbeat() -> impl Strategy<Value = Heartbeat> {
     let load = (text(), any::<u64>()).prop_map(|(engine, tokens)| EngineLoad {
         engine,
         at_ms: tokens,
@@ -131,24 +131,24 @@
     })]
 
     #[test]
-    fn a_record_is_read_back_as_written(record in record()) {
+    fn an_encoded_record_decodes_to_the_same_record(record in record()) {
         prop_assert_eq!(Record::decode(&record.encode()), Ok(record));
     }
 
     #[test]
-    fn a_heartbeat_is_read_back_as_written(beat in beat()) {
-        prop_assert_eq!(Heartbeat::decode(&beat.encode()), Ok(beat));
+    fn an_encoded_heartbeat_decodes_to_the_same_heartbeat(heartbeat in heartbeat()) {
+        prop_assert_eq!(Heartbeat::decode(&heartbeat.encode()), Ok(heartbeat));
     }
 
     #[test]
-    fn foreign_bytes_are_an_error_and_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = Record::decode(&bytes);
         let _ = Heartbeat::decode(&bytes);
         let _ = Snapshot::decode(&bytes);
     }
 
     #[test]
-    fn damaged_records_do_no_harm(record in record(), place in any::<prop::sample::Index>(), bit in 0..8_u8) {
+    fn records_with_a_flipped_bit_or_cut_short_do_not_panic(record in record(), place in any::<prop::sample::Index>(), bit in 0..8_u8) {
         let mut bytes = record.encode();
         let place = place.index(bytes.len());
         bytes[place] ^= 1 << bit;
@@ -158,8 +158,8 @@
 }
 
 #[test]
-fn a_rate_that_is_no_number_is_refused_by_name() {
-    let beat = Heartbeat {
+fn a_rate_that_is_not_a_number_is_rejected_with_its_field() {
+    let heartbeat = Heartbeat {
         instance: "a".to_owned(),
         incarnation: 1,
         zone: "z".to_owned(),
@@ -172,6 +172,6 @@
         prompt_rate: f64::NAN,
         output_rate: 0.0,
     };
-    let error = Heartbeat::decode(&beat.encode()).expect_err("refused");
+    let error = Heartbeat::decode(&heartbeat.encode()).expect_err("a NaN rate is rejected");
     assert!(error.to_string().contains("beat.promptRate"), "{error}");
 }
--- a/schema/peer.capnp
+++ b/schema/peer.capnp
@@ -29,7 +29,7 @@
   promptRate @9 :Float64;
   outputRate @10 :Float64;
   tellsLoad @11 :Bool;
-  # Whether `sent` is told; without it the load is as told before.
+  # Whether `sent` is filled in; if not, the load of the previous heartbeat stays in effect.
 }
 
 enum ClaimVerdict {
@@ -77,15 +77,17 @@
 
 interface Peer {
   exchange @0 (beat :Beat) -> (beat :Beat);
-  # Each side tells the other how it is; load sent to engines rides along.
+  # Exchanges heartbeats, which include the load that each side has sent to engines.
   records @1 (from :UInt64) -> (entries :List(LogEntry), next :UInt64, snapshot :Data);
-  # What was read back from the log at or after `from`, or a snapshot when that is gone.
+  # Returns records that the peer has read from the log, starting at `from`, or a snapshot if it
+  # no longer holds them.
   claim @2 (key :Text, bodyDigest :Data) -> (verdict :ClaimVerdict);
-  # The home of a key asks its witness before it dispatches the call.
+  # The home of a key asks the key's witness for permission before it dispatches the call.
   fence @3 (key :Text, bodyDigest :Data) -> (status :CallStatus);
-  # An instance that cannot reach the home asks the witness to close the key.
+  # An instance that cannot reach the home asks the witness for the state of the call. The witness
+  # fences a key that it has not seen, so that the call is never dispatched.
   finish @4 (key :Text, answer :Answer) -> ();
-  # The home gives its witness the answer, so that it outlives the home.
+  # The home copies the answer to the witness, so that it survives a crash of the home.
   forward @5 (call :Call) -> (status :CallStatus);
-  # An instance that is not a key's home hands the call to the home.
+  # An instance that is not a key's home forwards the call to the home.
 }
--- a/schema/record.capnp
+++ b/schema/record.capnp
@@ -1,5 +1,5 @@
 @0xd3a1f08c5b7e4a11;
-# Records that an instance appends to the platform's log. See docs/design/log.md.
+# Records that instances append to the platform's log. See docs/design/log.md.
 
 struct Origin {
   writer @0 :Text;
