--- a/crates/conf/src/gen/bundle.rs
+++ b/crates/conf/src/gen/bundle.rs
@@ -7,10 +7,10 @@
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    #[doc = "Version this bundle was written against; 0 for the first."]
+    #[doc = "Version that this bundle replaces; 0 for the first bundle."]
     pub base: u64,
     pub classes: ::std::vec::Vec<Class>,
-    #[doc = "Engines that may not play every role."]
+    #[doc = "Engines that may not take every role."]
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub engine_roles: ::std::vec::Vec<EngineRoles>,
     pub members: ::std::vec::Vec<Member>,
@@ -19,21 +19,21 @@
     pub policy: PolicySettings,
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub services: ::std::vec::Vec<Service>,
-    #[doc = "Number of this bundle, one above its base."]
+    #[doc = "Version of this bundle; must be base + 1."]
     pub version: u64,
 }
 #[doc = "A request class."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    #[doc = "Time to the whole answer unless the caller gives one, in ms."]
+    #[doc = "Default deadline for the complete answer, in ms."]
     pub deadline_ms: u64,
     #[doc = "Name that callers use."]
     pub name: ::std::string::String,
-    #[doc = "0 is served first."]
+    #[doc = "Priority; 0 is the highest."]
     pub rank: u32,
 }
-#[doc = "Roles that one engine may play."]
+#[doc = "Roles that an engine may take."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct EngineRoles {
@@ -47,7 +47,7 @@
 pub struct Member {
     #[doc = "Name of the member."]
     pub name: ::std::string::String,
-    #[doc = "Weight among members when there is not room for all."]
+    #[doc = "Weight of the member when members compete for capacity."]
     pub share: u32,
     pub workspaces: ::std::vec::Vec<Workspace>,
 }
@@ -63,11 +63,11 @@
     #[doc = "Version of the weights."]
     pub version: ::std::string::String,
 }
-#[doc = "Tastes of the deployment."]
+#[doc = "Preferences of the deployment for placement and roles."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySettings {
-    #[doc = "0 changes roles for any gain in goodput, 1 almost never."]
+    #[doc = "Cost of a role change: at 0 any gain in goodput justifies one, at 1 almost none does."]
     #[serde(default = "defaults::policy_settings_role_change_weight")]
     pub role_change_weight: f64,
 }
@@ -78,7 +78,7 @@
         }
     }
 }
-#[doc = "What an engine is set up for."]
+#[doc = "Stages that an engine serves: prefill, decode or both (mixed)."]
 #[derive(
     :: serde :: Deserialize,
     :: serde :: Serialize,
@@ -137,12 +137,12 @@
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    #[doc = "Time to the whole answer unless the caller gives one, in ms."]
+    #[doc = "Default deadline for the complete answer, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 2000>")]
     pub deadline_ms: u64,
     #[doc = "Name of the service in the instance list and in the path."]
     pub name: ::std::string::String,
-    #[doc = "Paths whose calls may not be repeated."]
+    #[doc = "Paths whose calls must run at most once."]
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub once_paths: ::std::vec::Vec<::std::string::String>,
 }
@@ -150,10 +150,10 @@
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    #[doc = "Class of requests that name none; the last in rank when empty."]
+    #[doc = "Class of requests that do not name one; if empty, the class with the highest rank number."]
     #[serde(default)]
     pub class: ::std::string::String,
-    #[doc = "Most requests of the workspace in flight at one instance."]
+    #[doc = "Maximum number of the workspace's requests in flight at one instance."]
     #[serde(default = "defaults::default_u64::<u32, 256>")]
     pub in_flight: u32,
     #[doc = "Hexadecimal SHA-256 of the workspace's API key."]
--- a/crates/conf/src/gen/settings.rs
+++ b/crates/conf/src/gen/settings.rs
@@ -3,14 +3,14 @@
 #![allow(clippy::match_single_binding)]
 #![allow(clippy::clone_on_copy)]
 
-#[doc = "Times of the leases over groups of engines."]
+#[doc = "Timing of the leases for groups of engines."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseSettings {
-    #[doc = "Time that a successor waits beyond the ttl, in ms."]
+    #[doc = "Time that a successor waits after the TTL before it may claim the lease, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 1000>")]
     pub margin_ms: u64,
-    #[doc = "Time for which one renewal holds, in ms."]
+    #[doc = "Validity of a claim or renewal, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 5000>")]
     pub ttl_ms: u64,
 }
@@ -22,23 +22,23 @@
         }
     }
 }
-#[doc = "Bounds on what one caller may cost an instance."]
+#[doc = "Limits on the resources that callers may use at an instance."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    #[doc = "Largest body of a request, in bytes."]
+    #[doc = "Maximum size of a request body, in bytes."]
     #[serde(default = "defaults::default_u64::<u64, 1048576>")]
     pub body_bytes: u64,
-    #[doc = "Longest time for a request's body to arrive, in ms."]
+    #[doc = "Timeout for receiving a request body, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 5000>")]
     pub body_timeout_ms: u64,
-    #[doc = "Most connections open at once."]
+    #[doc = "Maximum number of open connections."]
     #[serde(default = "defaults::default_u64::<u64, 4096>")]
     pub connections: u64,
-    #[doc = "Time for which a leaving instance still takes work from callers that hold its address, in ms."]
+    #[doc = "Time for which a stopping instance still accepts requests from callers that already have its address, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 2000>")]
     pub stop_grace_ms: u64,
-    #[doc = "Most tokens that one answer may have."]
+    #[doc = "Maximum number of tokens in one answer."]
     #[serde(default = "defaults::default_u64::<u64, 8192>")]
     pub stream_tokens: u64,
 }
@@ -53,17 +53,17 @@
         }
     }
 }
-#[doc = "Times of the heartbeats between instances."]
+#[doc = "Timing of the heartbeats between instances."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
-    #[doc = "Time between two heartbeats, in ms."]
+    #[doc = "Interval between heartbeats, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 250>")]
     pub beat_ms: u64,
-    #[doc = "Instances that one heartbeat goes to."]
+    #[doc = "Number of instances that each heartbeat is sent to."]
     #[serde(default = "defaults::default_u64::<u64, 3>")]
     pub fan_out: u64,
-    #[doc = "Silence after which an instance is not handed out, in ms."]
+    #[doc = "Time without a heartbeat after which an instance is no longer offered to callers, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 1500>")]
     pub suspect_ms: u64,
 }
@@ -80,7 +80,7 @@
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorKey {
-    #[doc = "Name that the audit trail shows."]
+    #[doc = "Name of the operator in the audit trail."]
     pub operator: ::std::string::String,
     #[doc = "Hexadecimal SHA-256 of the key."]
     pub sha256: ::std::string::String,
@@ -93,14 +93,14 @@
     pub instances: ::std::string::String,
     #[doc = "IP and port of the log service."]
     pub log: ::std::string::String,
-    #[doc = "Time between two reads of the log, in ms."]
+    #[doc = "Interval between reads of the log, in ms."]
     #[serde(default = "defaults::default_u64::<u64, 200>")]
     pub poll_ms: u64,
-    #[doc = "Records after which state is carried forward by a snapshot; far fewer than the log keeps."]
+    #[doc = "Number of records after which a snapshot is written; must be far below the number that the log retains."]
     #[serde(default = "defaults::default_u64::<u64, 4096>")]
     pub snapshot_records: u64,
 }
-#[doc = "Settings of one entry instance, read once at its start."]
+#[doc = "Settings of one entry instance, read once at startup."]
 #[derive(:: serde :: Deserialize, :: serde :: Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
