--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, bounded in size and time.
+//! Reads request bodies with limits on size and time.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 use futures_util::StreamExt;
 use serde::de::DeserializeOwned;
 
-/// A request's body cannot be used.
+/// Why a request body was rejected.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body is larger than the limit.
     #[display("body: larger than {limit} bytes")]
     TooLarge {
-        /// The limit.
+        /// Maximum size in bytes.
         limit: usize,
     },
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     #[display("body: not complete after {limit_ms} ms")]
     TooSlow {
-        /// The limit.
+        /// Timeout.
         limit_ms: u64,
     },
-    /// The connection ended or broke in its midst.
+    /// The connection ended or failed before the body was complete.
     #[display("body: {detail}")]
     Broken {
-        /// What the connection said.
+        /// Error of the connection.
         detail: String,
     },
-    /// It is not the JSON that was expected.
+    /// The JSON or the query string is not of the expected form.
     #[display("{field}: {detail}")]
     Json {
-        /// Path of the field.
+        /// Path of the invalid field.
         field: String,
-        /// What is wrong there.
+        /// Error of the parser.
         detail: String,
     },
 }
 
 impl BodyError {
-    /// The status that tells the caller.
+    /// Status code of the response to the caller.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
@@ -50,11 +50,11 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a complete body of at most `limit` bytes within `limit_ms`.
 pub async fn read_body(payload: Payload, limit: usize, limit_ms: u64) -> Result<Bytes, BodyError> {
-    let read = collect(payload, limit);
-    let timed = actix_rt::time::timeout(Duration::from_millis(limit_ms), read).await;
-    timed.unwrap_or(Err(BodyError::TooSlow { limit_ms }))
+    let body = collect(payload, limit);
+    let result = actix_rt::time::timeout(Duration::from_millis(limit_ms), body).await;
+    result.unwrap_or(Err(BodyError::TooSlow { limit_ms }))
 }
 
 async fn collect(mut payload: Payload, limit: usize) -> Result<Bytes, BodyError> {
@@ -71,28 +71,28 @@
     Ok(body.freeze())
 }
 
-/// Parses JSON and names the field that is wrong.
+/// Parses JSON; an error names the path of the invalid field.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, BodyError> {
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     let value =
         serde_path_to_error::deserialize(&mut deserializer).map_err(|error| BodyError::Json {
-            field: field(error.path()),
+            field: field_path(error.path()),
             detail: error.inner().to_string(),
         })?;
     deserializer.end().map_err(|error| BodyError::Json {
-        field: WHOLE.to_owned(),
+        field: WHOLE_BODY.to_owned(),
         detail: error.to_string(),
     })?;
     Ok(value)
 }
 
-/// Names the whole body where no field of it is to blame.
-const WHOLE: &str = "body";
+/// Path in errors that no single field causes.
+const WHOLE_BODY: &str = "body";
 
-fn field(path: &serde_path_to_error::Path) -> String {
+fn field_path(path: &serde_path_to_error::Path) -> String {
     let path = path.to_string();
     match path.as_str() {
-        "?" | "." => WHOLE.to_owned(),
+        "?" | "." => WHOLE_BODY.to_owned(),
         _ => path,
     }
 }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,8 +1,8 @@
-//! The HTTP server loop that instances and stand-ins share.
+//! The HTTP server of instances and stand-ins.
 //!
-//! `actix-http` speaks the protocol; this crate accepts connections on the runtime thread that
-//! owns a process's state, so that handlers share it without locks, and bounds what one
-//! connection may cost.
+//! `actix-http` implements the protocol. This crate accepts connections on the runtime thread that
+//! owns the state of a process, so that handlers share it without locks, and limits the number of
+//! connections, the size of bodies and the time that either may take.
 
 mod body;
 mod query;
@@ -14,5 +14,5 @@
 pub use response::{empty, json, stream, text};
 pub use server::{Server, ServerOptions, bind, serve};
 
-/// A response of any kind of body.
+/// A response with a boxed body.
 pub type Response = actix_http::Response<actix_http::body::BoxBody>;
--- a/crates/web/src/query.rs
+++ b/crates/web/src/query.rs
@@ -1,11 +1,11 @@
-//! Query strings.
+//! Parses query strings.
 
 use actix_http::Request;
 use serde::de::DeserializeOwned;
 
 use crate::BodyError;
 
-/// Reads a request's query string and names what is wrong with it.
+/// Deserializes the query string of a request; an error names the field `query`.
 pub fn parse_query<T: DeserializeOwned>(request: &Request) -> Result<T, BodyError> {
     let text = request.uri().query().unwrap_or_default();
     serde_urlencoded::from_str(text).map_err(|error| BodyError::Json {
--- a/crates/web/src/response.rs
+++ b/crates/web/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses.
+//! Constructors for responses.
 
 use std::convert::Infallible;
 
@@ -12,24 +12,24 @@
 
 use crate::Response;
 
-/// A response without a body.
+/// Creates a response without a body.
 pub fn empty(status: StatusCode) -> Response {
     actix_http::Response::build(status)
         .finish()
         .map_into_boxed_body()
 }
 
-/// A JSON response.
+/// Creates a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_else(|error| {
-        // Only a map with keys that are no strings can fail, and no response has one.
-        log::error!("response cannot be written as JSON: {error}");
+        // Only a map with keys other than strings fails to serialize, and no response has one.
+        log::error!("failed to serialize a response: {error}");
         Vec::new()
     });
     text(status, "application/json", body)
 }
 
-/// A response with a body of some content type.
+/// Creates a response with the given content type and body.
 pub fn text(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> Response {
     actix_http::Response::build(status)
         .insert_header((CONTENT_TYPE, content_type))
@@ -37,10 +37,10 @@
         .map_into_boxed_body()
 }
 
-/// A response whose body comes from a channel.
+/// Creates a response that streams its body from a channel.
 ///
-/// The channel is bounded, so a caller who reads slowly holds its sender back instead of growing
-/// memory; when the caller leaves, the channel closes and the sender sees it.
+/// A bounded channel makes a slow caller block the sender instead of growing a buffer. When the
+/// caller disconnects, the channel closes and sending fails.
 pub fn stream(content_type: &str, receiver: mpsc::Receiver<Bytes>) -> Response {
     let chunks = futures_util::stream::unfold(receiver, |mut receiver| async {
         let chunk = receiver.recv().await?;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -15,14 +15,14 @@
 
 use crate::Response;
 
-/// Bounds on connections.
+/// Limits on connections.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerOptions {
-    /// Most connections open at once; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub max_connections: usize,
-    /// Longest time for a request's head to arrive, in ms.
+    /// Timeout for receiving the head of a request.
     pub head_timeout_ms: u64,
-    /// Time for which an idle connection is kept, in ms.
+    /// Time after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -36,6 +36,9 @@
     }
 }
 
+/// Pause after a failed accept.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
 /// A running server.
 #[derive(Debug)]
 pub struct Server {
@@ -46,22 +49,22 @@
 }
 
 impl Server {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Takes no new connections; those that are open go on.
+    /// Stops accepting connections; open connections continue.
     pub fn stop_accepting(&self) {
         self.accepting.abort();
     }
 
-    /// Cuts everything at once, as a crash would.
+    /// Drops all connections immediately, as a crash would.
     pub fn kill(&self) {
         self.accepting.abort();
         for task in self.tasks.borrow_mut().drain(..) {
@@ -70,12 +73,12 @@
     }
 }
 
-/// Listens on an IP address and port; port 0 takes a free one.
+/// Listens on an IP address and port; port 0 selects a free port.
 pub async fn bind(address: &str) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Serves a handler on a listener.
+/// Serves requests on a listener with a handler until the server is stopped or killed.
 pub async fn serve<H, F>(
     listener: TcpListener,
     options: ServerOptions,
@@ -87,8 +90,8 @@
 {
     let address = listener.local_addr()?;
     let handler = fn_service(move |request: Request| {
-        let answer = handler(request);
-        async move { Ok::<_, actix_http::Error>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, actix_http::Error>(response.await) }
     });
     let factory = HttpService::build()
         .keep_alive(KeepAlive::Timeout(Duration::from_millis(
@@ -132,9 +135,10 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // Out of descriptors: accepting again at once would spin.
-                log::warn!("accept: {error}");
-                actix_rt::time::sleep(Duration::from_millis(50)).await;
+                // Usually the process is out of file descriptors. The pause keeps the loop from
+                // spinning until some are free.
+                log::warn!("failed to accept a connection: {error}");
+                actix_rt::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
@@ -143,15 +147,17 @@
         }
         let _ = stream.set_nodelay(true);
         open.set(open.get() + 1);
-        let closed = Closed(open.clone());
+        let guard = OpenGuard(open.clone());
         let connection = service.call(stream);
         let task = actix_rt::spawn(async move {
-            let _closed = closed;
+            let _guard = guard;
             if let Err(error) = connection.await {
-                log::debug!("connection: {error:?}");
+                log::debug!("connection failed: {error:?}");
             }
         });
         let mut tasks = tasks.borrow_mut();
+        // Removes finished tasks only when they are about half of the list, so that the cost for
+        // each connection stays constant.
         if tasks.len() >= 2 * options.max_connections.min(open.get() + 64) {
             tasks.retain(|task| !task.is_finished());
         }
@@ -159,9 +165,10 @@
     }
 }
 
-struct Closed(Rc<Cell<usize>>);
+/// Decrements the count of open connections when dropped, also when its task is aborted.
+struct OpenGuard(Rc<Cell<usize>>);
 
-impl Drop for Closed {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
