--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,40 +1,40 @@
-//! What can go wrong at the command line, and the exit code of each.
+//! Errors of commands and their exit codes.
 
 use derive_more::{Display, Error};
 
-/// The command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[display("{detail}")]
     Usage {
-        /// What is wrong with it.
+        /// Why it is invalid.
         #[error(not(source))]
         detail: String,
     },
-    /// A file cannot be read.
+    /// Reading a file failed.
     #[display("{file}: {source}")]
     File {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The instance refused.
+    /// The instance refused the request.
     #[display("refused: {detail}")]
     Refused {
-        /// Its reason.
+        /// Reason given by the instance.
         #[error(not(source))]
         detail: String,
     },
-    /// No instance answered, or none could say what became of the request.
-    #[display("{step} at {peer}: {detail}")]
+    /// The instance did not answer, or does not know whether the request took effect.
+    #[display("{operation} at {peer}: {detail}")]
     Unreachable {
-        /// What was being done.
-        step: &'static str,
+        /// Operation that failed.
+        operation: &'static str,
         /// Address of the instance.
         peer: String,
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
 }
@@ -43,7 +43,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Exit code: 1 refused, 2 usage, 3 unreachable or unknown.
+    /// Exit code: 1 refused, 2 invalid command line or file, 3 unreachable or outcome unknown.
     pub fn exit_code(&self) -> i32 {
         match self {
             Self::Refused { .. } => 1,
--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -1,11 +1,11 @@
-//! The command line's grammar.
+//! Grammar of the command line.
 #![allow(
     missing_docs,
     reason = "the help texts of the grammar are the documentation"
 )]
 
 xflags::xflags! {
-    /// Publishes, rolls and withdraws bundles and drains engines, at any instance.
+    /// Manages the bundles and engines of a deployment through any of its instances.
     ///
     /// Examples:
     ///   chicoryctl bundle check bundle.json
@@ -14,58 +14,58 @@
     ///   chicoryctl --json bundle status
     ///   chicoryctl engine drain grade-3
     ///
-    /// Exit codes: 0 done, 1 refused, 2 wrong command line, 3 unreachable or unknown.
+    /// Exit codes: 0 done, 1 refused, 2 invalid command line or file, 3 unreachable or outcome unknown.
     cmd chicoryctl {
-        /// IP address and port of an instance; CHICORYRACK_ADDRESS otherwise.
+        /// IP address and port of an instance; defaults to CHICORYRACK_ADDRESS.
         optional --address address: String
-        /// File that holds the operator's key; CHICORYRACK_KEY holds the key otherwise.
+        /// File with the operator's key; the key itself defaults to CHICORYRACK_KEY.
         optional --key-file file: String
-        /// Machine-readable output.
+        /// Prints JSON.
         optional --json
 
-        /// Bundles.
+        /// Manages bundles.
         cmd bundle {
-            /// Checks a bundle and shows each wrong field.
+            /// Validates a bundle and lists its invalid fields.
             cmd check { required file: String }
             /// Publishes a bundle.
             cmd publish { required file: String }
-            /// Signs a published bundle off.
+            /// Approves a published bundle.
             cmd sign { required version: u64 }
-            /// Puts a signed bundle in force.
+            /// Puts an approved bundle in force.
             cmd roll { required version: u64 }
-            /// Takes back a bundle that is not in force.
+            /// Withdraws a bundle that is not in force.
             cmd withdraw { required version: u64 }
-            /// Shows a bundle's text, or lists the bundles that are in force or newer.
+            /// Shows the text of a bundle, or lists the bundles that are in force or newer.
             cmd show { optional version: u64 }
-            /// Shows the version in force at every instance, and what each engine has loaded.
+            /// Shows the bundle version in force at each instance and what each engine has loaded.
             cmd status { }
         }
-        /// Engines.
+        /// Manages engines.
         cmd engine {
-            /// Lets an engine end what it holds and gives it nothing new.
+            /// Stops sending new requests to an engine; those it has may finish.
             cmd drain { required engine: String }
-            /// Takes an engine back into use.
+            /// Ends the drain of an engine.
             cmd undrain { required engine: String }
             /// Lists the engines.
             cmd list { }
         }
-        /// Shows who changed what, and when.
+        /// Shows the audit trail: who changed what, and when.
         cmd audit {
-            /// Entries before this log offset.
+            /// Only entries before this log offset.
             optional --before offset: u64
         }
-        /// Gathers what the logs of instances say of one request, in the order of time.
+        /// Collects the log lines about one request from several instances, in order of time.
         cmd trace {
-            /// The request's id.
+            /// ID of the request.
             required request: String
-            /// Log files; a name may stand before each, as in entry-1=FILE.
+            /// Log files, each with the name of its instance in front if wanted, as in entry-1=FILE.
             repeated files: String
         }
         /// Lists workspaces and their limits.
         cmd workspaces {
-            /// Only this member's.
+            /// Only workspaces of this member.
             optional --member member: String
-            /// Only those after this name.
+            /// Only workspaces after this name.
             optional --after workspace: String
         }
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command line.
+//! Implements `chicoryctl`, the command line for operators.
 //!
-//! It talks to the administration API of any instance; all of them give the same answers. See
-//! docs/OPERATIONS.md.
+//! It sends requests to the administration API of any one instance, as all instances accept the
+//! same commands. See docs/OPERATIONS.md.
 
 mod client;
 mod error;
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,17 +1,19 @@
-//! Tables for people, JSON for programs.
+//! Formats responses as tables.
 
 use serde_json::Value;
 
-/// Writes rows of objects as a table of the named columns.
+/// Formats an array of objects as a table with the given fields as columns.
 pub(crate) fn table(rows: &Value, columns: &[&str]) -> String {
     let empty = Vec::new();
     let rows = rows.as_array().unwrap_or(&empty);
     let mut lines: Vec<Vec<String>> =
         vec![columns.iter().map(|column| column.to_uppercase()).collect()];
-    lines.extend(
-        rows.iter()
-            .map(|row| columns.iter().map(|column| cell(&row[*column])).collect()),
-    );
+    lines.extend(rows.iter().map(|row| {
+        columns
+            .iter()
+            .map(|column| format_cell(&row[*column]))
+            .collect()
+    }));
     let width = |column: usize| {
         lines
             .iter()
@@ -33,12 +35,12 @@
     text
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) if text.is_empty() => "-".to_owned(),
         Value::String(text) => text.clone(),
-        Value::Array(values) => values.iter().map(cell).collect::<Vec<_>>().join(","),
+        Value::Array(values) => values.iter().map(format_cell).collect::<Vec<_>>().join(","),
         Value::Number(number) if number.is_f64() => {
             format!("{:.2}", number.as_f64().unwrap_or_default())
         }
@@ -46,7 +48,7 @@
     }
 }
 
-/// Shortens digests, which a person compares by their beginnings.
-pub(crate) fn short(digest: &str) -> &str {
+/// Shortens a digest to 12 digits, enough to tell bundles apart on a screen.
+pub(crate) fn shorten_digest(digest: &str) -> &str {
     digest.get(..12).unwrap_or(digest)
 }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,10 +1,10 @@
-//! Carries commands out.
+//! Executes commands.
 
 use serde_json::Value;
 
 use crate::client::Client;
 use crate::flags::{BundleCmd, Chicoryctl, ChicoryctlCmd, EngineCmd};
-use crate::output::{short, table};
+use crate::output::{shorten_digest, table};
 use crate::trace::request_timeline;
 use crate::{Error, Result};
 
@@ -30,22 +30,22 @@
 const AUDIT_COLUMNS: [&str; 5] = ["offset", "wall_ms", "actor", "action", "outcome"];
 const WORKSPACE_COLUMNS: [&str; 3] = ["member", "workspace", "in_flight"];
 
-/// Carries a command out and gives what to print.
+/// Executes a command and returns the text to print.
 pub async fn run(flags: &Chicoryctl) -> Result<String> {
     if let ChicoryctlCmd::Bundle(bundle) = &flags.subcommand
-        && let BundleCmd::Check(check) = &bundle.subcommand
+        && let BundleCmd::Check(check_flags) = &bundle.subcommand
     {
-        return check_here(&check.file);
+        return check(&check_flags.file);
     }
-    if let ChicoryctlCmd::Trace(wanted) = &flags.subcommand {
-        return trace_here(&wanted.request, &wanted.files);
+    if let ChicoryctlCmd::Trace(trace_flags) = &flags.subcommand {
+        return trace(&trace_flags.request, &trace_flags.files);
     }
     let client = Client::new(address(flags)?, key(flags)?);
     let json = flags.json;
     match &flags.subcommand {
         ChicoryctlCmd::Bundle(bundle) => run_bundle(&client, &bundle.subcommand, json).await,
         ChicoryctlCmd::Engine(engine) => run_engine(&client, &engine.subcommand, json).await,
-        ChicoryctlCmd::Trace(wanted) => trace_here(&wanted.request, &wanted.files),
+        ChicoryctlCmd::Trace(trace_flags) => trace(&trace_flags.request, &trace_flags.files),
         ChicoryctlCmd::Audit(audit) => {
             let query = audit
                 .before
@@ -53,12 +53,12 @@
             let rows = client.get("audit", &format!("audit{query}")).await?;
             Ok(rows_or_json(&rows, &AUDIT_COLUMNS, json))
         }
-        ChicoryctlCmd::Workspaces(wanted) => {
-            let member = wanted
+        ChicoryctlCmd::Workspaces(workspaces) => {
+            let member = workspaces
                 .member
                 .as_ref()
                 .map(|member| format!("&member={member}"));
-            let after = wanted.after.clone().unwrap_or_default();
+            let after = workspaces.after.clone().unwrap_or_default();
             let path = format!("workspaces?after={after}{}", member.unwrap_or_default());
             let rows = client.get("workspaces", &path).await?;
             Ok(rows_or_json(&rows, &WORKSPACE_COLUMNS, json))
@@ -66,11 +66,11 @@
     }
 }
 
-fn trace_here(request: &str, files: &[String]) -> Result<String> {
+fn trace(request: &str, files: &[String]) -> Result<String> {
     let mut logs = Vec::new();
     for file in files {
         let (name, path) = file.split_once('=').unwrap_or((file, file));
-        logs.push((name.to_owned(), read(path)?));
+        logs.push((name.to_owned(), read_file(path)?));
     }
     if logs.is_empty() {
         return Err(Error::Usage {
@@ -81,8 +81,9 @@
 }
 
 fn address(flags: &Chicoryctl) -> Result<String> {
-    let given = flags.address.clone();
-    given
+    flags
+        .address
+        .clone()
         .or_else(|| std::env::var("CHICORYRACK_ADDRESS").ok())
         .ok_or_else(|| Error::Usage {
             detail: "--address or CHICORYRACK_ADDRESS is needed".to_owned(),
@@ -91,30 +92,30 @@
 
 fn key(flags: &Chicoryctl) -> Result<String> {
     if let Some(file) = &flags.key_file {
-        return Ok(read(file)?.trim().to_owned());
+        return Ok(read_file(file)?.trim().to_owned());
     }
     std::env::var("CHICORYRACK_KEY").map_err(|_| Error::Usage {
         detail: "--key-file or CHICORYRACK_KEY is needed".to_owned(),
     })
 }
 
-fn read(file: &str) -> Result<String> {
+fn read_file(file: &str) -> Result<String> {
     std::fs::read_to_string(file).map_err(|source| Error::File {
         file: file.to_owned(),
         source,
     })
 }
 
-/// A check needs no instance, so that it can run before anything is deployed.
-fn check_here(file: &str) -> Result<String> {
-    let text = read(file)?;
+/// Validates a bundle locally, so that it can be checked before an instance runs.
+fn check(file: &str) -> Result<String> {
+    let text = read_file(file)?;
     match conf::parse_bundle(&text, file) {
         Ok(bundle) => {
             let digest = conf::digest(&text);
             Ok(format!(
                 "bundle {} is well formed, digest {}\n",
                 bundle.version,
-                short(&digest)
+                shorten_digest(&digest)
             ))
         }
         Err(error) => Err(Error::Refused {
@@ -125,20 +126,22 @@
 
 async fn run_bundle(client: &Client, command: &BundleCmd, json: bool) -> Result<String> {
     match command {
-        BundleCmd::Check(check) => check_here(&check.file),
+        BundleCmd::Check(check_flags) => check(&check_flags.file),
         BundleCmd::Publish(publish) => {
-            let text = read(&publish.file)?;
-            let done = client.post("publish", "bundles", text).await?;
-            let digest = short(done["digest"].as_str().unwrap_or_default()).to_owned();
-            Ok(said(
-                &done,
+            let text = read_file(&publish.file)?;
+            let response = client.post("publish", "bundles", text).await?;
+            let digest = shorten_digest(response["digest"].as_str().unwrap_or_default()).to_owned();
+            Ok(format_outcome(
+                &response,
                 json,
-                &format!("published {} as {digest}", done["version"]),
+                &format!("published {} as {digest}", response["version"]),
             ))
         }
-        BundleCmd::Sign(sign) => verb(client, "sign", sign.version, json).await,
-        BundleCmd::Roll(roll) => verb(client, "roll", roll.version, json).await,
-        BundleCmd::Withdraw(withdraw) => verb(client, "withdraw", withdraw.version, json).await,
+        BundleCmd::Sign(sign) => post_bundle(client, "sign", sign.version, json).await,
+        BundleCmd::Roll(roll) => post_bundle(client, "roll", roll.version, json).await,
+        BundleCmd::Withdraw(withdraw) => {
+            post_bundle(client, "withdraw", withdraw.version, json).await
+        }
         BundleCmd::Show(show) => {
             if let Some(version) = show.version {
                 return client.text("show", &format!("bundles/{version}")).await;
@@ -151,7 +154,7 @@
             if json {
                 return Ok(pretty(&status));
             }
-            let digest = short(status["digest"].as_str().unwrap_or_default()).to_owned();
+            let digest = shorten_digest(status["digest"].as_str().unwrap_or_default()).to_owned();
             let (version, offset) = (&status["version"], &status["offset"]);
             let head = format!("bundle {version} ({digest}) in force since offset {offset}\n\n");
             let instances = table(&status["instances"], &INSTANCE_COLUMNS);
@@ -161,15 +164,24 @@
     }
 }
 
-async fn verb(client: &Client, verb: &'static str, version: u64, json: bool) -> Result<String> {
-    let done = client
+async fn post_bundle(
+    client: &Client,
+    verb: &'static str,
+    version: u64,
+    json: bool,
+) -> Result<String> {
+    let response = client
         .post(verb, &format!("bundles/{version}/{verb}"), String::new())
         .await?;
-    Ok(said(&done, json, &format!("{verb} of bundle {version}")))
+    Ok(format_outcome(
+        &response,
+        json,
+        &format!("{verb} of bundle {version}"),
+    ))
 }
 
 async fn run_engine(client: &Client, command: &EngineCmd, json: bool) -> Result<String> {
-    let (step, engine) = match command {
+    let (verb, engine) = match command {
         EngineCmd::Drain(drain) => ("drain", &drain.engine),
         EngineCmd::Undrain(undrain) => ("undrain", &undrain.engine),
         EngineCmd::List(_) => {
@@ -177,20 +189,24 @@
             return Ok(rows_or_json(&rows, &ENGINE_COLUMNS, json));
         }
     };
-    let done = client
-        .post(step, &format!("engines/{engine}/{step}"), String::new())
+    let response = client
+        .post(verb, &format!("engines/{engine}/{verb}"), String::new())
         .await?;
-    Ok(said(&done, json, &format!("{step} of {engine}")))
+    Ok(format_outcome(
+        &response,
+        json,
+        &format!("{verb} of {engine}"),
+    ))
 }
 
-fn said(done: &Value, json: bool, text: &str) -> String {
+fn format_outcome(response: &Value, json: bool, text: &str) -> String {
     if json {
-        return pretty(done);
+        return pretty(response);
     }
     format!(
         "{text}: {} at offset {}\n",
-        done["outcome"].as_str().unwrap_or_default(),
-        done["offset"]
+        response["outcome"].as_str().unwrap_or_default(),
+        response["offset"]
     )
 }
 
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -1,48 +1,48 @@
-//! One request's story, from the logs of many instances.
+//! Collects the log lines about one request from the logs of several instances.
 
 use serde_json::{Map, Value};
 
-/// Lines on a request, in the order of time, with what each says of it.
+/// Formats the lines about a request in order of time, with their fields.
 ///
-/// Lines that name no request but an upstream of the story are taken too, since what an instance
-/// believed of an upstream explains where it sent the request. Lines that are not JSON are passed
-/// over: standard output may hold others.
+/// Lines that name no request but one of the request's upstreams are included, since what an
+/// instance knew about an upstream explains where it sent the request. Lines without a JSON object
+/// are skipped, as a captured log may hold other output.
 pub fn request_timeline(request: &str, logs: &[(String, String)]) -> String {
     let mut lines: Vec<Line> = logs
         .iter()
         .flat_map(|(name, text)| parse(name, text))
         .collect();
     lines.sort_by_key(|line| line.wall_ms);
-    let own: Vec<&Line> = lines
+    let of_request: Vec<&Line> = lines
         .iter()
         .filter(|line| line.field("request") == Some(request))
         .collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    let (Some(first), Some(last)) = (of_request.first(), of_request.last()) else {
         return format!("no line on {request}: it was not logged, or lines were left out");
     };
-    let upstreams: Vec<&str> = own
+    let upstreams: Vec<&str> = of_request
         .iter()
         .filter_map(|line| line.field("upstream"))
         .collect();
-    let near =
-        |line: &&Line| line.wall_ms + BEFORE_MS >= first.wall_ms && line.wall_ms <= last.wall_ms;
-    let told = |line: &&Line| {
+    let in_window =
+        |line: &&Line| line.wall_ms + LOOKBACK_MS >= first.wall_ms && line.wall_ms <= last.wall_ms;
+    let is_relevant = |line: &&Line| {
         line.field("request") == Some(request)
             || line.field("request").is_none()
                 && line
                     .field("upstream")
                     .is_some_and(|id| upstreams.contains(&id))
     };
-    let mut story = String::new();
-    for line in lines.iter().filter(near).filter(told) {
-        story.push_str(&line.text(first.wall_ms));
-        story.push('\n');
+    let mut timeline = String::new();
+    for line in lines.iter().filter(in_window).filter(is_relevant) {
+        timeline.push_str(&line.format(first.wall_ms));
+        timeline.push('\n');
     }
-    story
+    timeline
 }
 
-/// Time before the request from which lines on its upstreams are shown, in ms.
-const BEFORE_MS: i64 = 5_000;
+/// Lines about the request's upstreams are included from this time before its first line.
+const LOOKBACK_MS: i64 = 5_000;
 
 struct Line {
     instance: String,
@@ -56,7 +56,7 @@
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else {
             return None;
         };
-        // Logs of many instances in one file bear each one's name before the line.
+        // In a file that merges the logs of several instances, the name stands before the object.
         let prefix = line[..start].split_whitespace().next_back();
         Some(Line {
             instance: prefix.unwrap_or(name).to_owned(),
@@ -71,8 +71,8 @@
         self.fields.get(name)?.as_str()
     }
 
-    fn text(&self, first_ms: i64) -> String {
-        let after_ms = self.wall_ms - first_ms;
+    fn format(&self, first_ms: i64) -> String {
+        let elapsed_ms = self.wall_ms - first_ms;
         let message = self.field("message").unwrap_or("-");
         let hidden = ["wall_ms", "level", "message", "request"];
         let shown = self
@@ -83,7 +83,7 @@
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
         format!(
-            "{after_ms:>6} ms  {}  {message}  {}",
+            "{elapsed_ms:>6} ms  {}  {message}  {}",
             self.instance,
             details.join(" ")
         )
--- a/crates/ctl/tests/trace.rs
+++ b/crates/ctl/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request's story from several logs.
+//! Timelines of requests from several logs.
 
 use ctl::request_timeline;
 
@@ -12,8 +12,8 @@
 {"wall_ms":3500,"level":"INFO","message":"upstream left","upstream":"i-1"}
 "#;
 
-/// The lines of the request and of its upstream come in the order of time; those of other
-/// requests, and what came after its end, do not.
+/// Includes the lines of the request and of its upstream in order of time, but neither lines of
+/// other requests nor lines after its end.
 #[test]
 fn lines_of_one_request_are_gathered() {
     let logs = [
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_logged_is_said_to_be_so() {
+fn a_request_without_log_lines_is_reported() {
     let logs = [("a".to_owned(), ONE.to_owned())];
     assert!(request_timeline("zz", &logs).contains("no line on zz"));
 }
