--- a/src/benches.rs
+++ b/src/benches.rs
@@ -1,4 +1,4 @@
-//! What `chicoryrack bench` prints.
+//! Output of `chicoryrack bench`.
 
 use std::fmt::Write;
 
@@ -6,46 +6,46 @@
 use model::Deployment;
 use perf::{Policy, Suite, TraceKind, cases, load_factors, markdown};
 
-/// Benches.
+/// Benches that can be selected on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display, FromStr)]
-pub enum Kind {
+pub enum BenchKind {
     /// Goodput and role changes of all policies on all traces.
     #[default]
     #[display("policy")]
     Policy,
-    /// Goodput against staleness and number of instances.
+    /// Goodput by staleness of the load view and by number of instances.
     #[display("views")]
     Views,
-    /// The committed bounds.
+    /// Check against the committed bounds.
     #[display("bounds")]
     Bounds,
-    /// What state, time and bytes cost as sizes grow.
+    /// Growth of memory, time and bytes with size.
     #[display("slopes")]
     Slopes,
-    /// Times of a running deployment.
+    /// Latencies of a running deployment.
     #[display("live")]
     Live,
-    /// A page with goodput and role changes over time.
+    /// HTML page with goodput and role changes over time.
     #[display("report")]
     Report,
 }
 
-/// Which runs of the policy bench to make.
+/// Selects runs of the policy bench.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Choice {
-    /// Only this deployment.
+pub struct PolicyFilter {
+    /// Only this deployment; all if empty.
     pub deployment: Option<Deployment>,
-    /// Only this trace.
+    /// Only this trace; all if empty.
     pub trace: Option<TraceKind>,
-    /// Only this load.
+    /// Only this load factor; all if empty.
     pub load: Option<f64>,
-    /// Seed.
+    /// Seed of the traces and of random choices.
     pub seed: u64,
 }
 
-/// One deployment, or both.
-pub fn deployments(only: Option<Deployment>) -> Vec<Deployment> {
-    only.map_or_else(
+/// Returns the given deployment, or both if none is given.
+pub fn deployments(filter: Option<Deployment>) -> Vec<Deployment> {
+    filter.map_or_else(
         || vec![Deployment::Annabhandar, Deployment::Lakeshore],
         |deployment| vec![deployment],
     )
@@ -58,19 +58,19 @@
     policies
 }
 
-/// Makes the chosen runs and gives tables, or JSON.
-pub fn policy(choice: &Choice, json: bool) -> String {
-    let deployments = deployments(choice.deployment);
-    let traces = choice
+/// Executes the selected runs and formats the results as Markdown tables or JSON.
+pub fn run_policy(filter: &PolicyFilter, json: bool) -> String {
+    let deployments = deployments(filter.deployment);
+    let traces = filter
         .trace
         .map_or_else(|| TraceKind::ALL.to_vec(), |trace| vec![trace]);
-    let loads = choice
+    let loads = filter
         .load
         .map_or_else(|| load_factors().to_vec(), |load| vec![load]);
     let policies = policies();
     let suite = Suite::run(
         &cases(&deployments, &traces, &loads, &policies),
-        choice.seed,
+        filter.seed,
     );
     if json {
         return serde_json::to_string(&suite).unwrap_or_default();
@@ -78,12 +78,12 @@
     let mut text = String::new();
     for deployment in deployments {
         let table = markdown(&suite, deployment, &policies);
-        let _ = writeln!(text, "{deployment}, seed {}\n\n{table}", choice.seed);
+        let _ = writeln!(text, "{deployment}, seed {}\n\n{table}", filter.seed);
     }
     text
 }
 
-/// Names of benches, traces and policies.
+/// Lists the names of benches, traces and policies.
 pub fn list() -> String {
     let mut text = "benches: policy views bounds slopes live report\ntraces:".to_owned();
     for trace in TraceKind::ALL {
@@ -97,19 +97,20 @@
     text
 }
 
-/// Bounds that the present figures would just keep, as the committed file has them.
-pub fn new_bounds() -> String {
+/// Measures the tightest bounds that the current code meets, in the format of the committed file.
+pub fn measure_bounds() -> String {
     let suite = Suite::run(&perf::bounded_cases(Policy::Own), perf::BOUNDS_SEED);
     serde_json::to_string_pretty(&perf::from_suite(&suite)).unwrap_or_default()
 }
 
-/// Checks the committed bounds; gives how many hold, or what is broken.
+/// Checks the committed bounds. Returns their number if all hold, or a line for each violation.
+/// An empty file of bounds is an error.
 pub fn check_bounds() -> Result<usize, Vec<String>> {
     let bounds = perf::committed().map_err(|error| vec![error.to_string()])?;
     let suite = Suite::run(&perf::bounded_cases(Policy::Own), perf::BOUNDS_SEED);
-    let broken = perf::broken(&suite, &bounds, Policy::Own);
-    if bounds.is_empty() || !broken.is_empty() {
-        return Err(broken);
+    let violations = perf::broken(&suite, &bounds, Policy::Own);
+    if bounds.is_empty() || !violations.is_empty() {
+        return Err(violations);
     }
     Ok(bounds.len())
 }
--- a/src/bin/chicoryctl.rs
+++ b/src/bin/chicoryctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command line for operators.
 
 use std::process::ExitCode;
 
--- a/src/bin/chicoryrack.rs
+++ b/src/bin/chicoryrack.rs
@@ -1,4 +1,4 @@
-//! The demo, the benches and the stand-ins.
+//! Runs the demo, the benches and the stand-ins.
 
 #![allow(
     missing_docs,
@@ -7,46 +7,46 @@
 
 use std::process::ExitCode;
 
-use chicoryrack::benches::{self, Kind};
+use chicoryrack::benches::{self, BenchKind};
 use chicoryrack::model::Deployment;
 use chicoryrack::perf::{self, TraceKind};
 
 xflags::xflags! {
     /// Demo and benches of chicoryrack.
     cmd chicoryrack {
-        /// Runs the main job on embedded stand-ins.
+        /// Runs a deployment under load on embedded stand-ins, with rolls, drains and failures.
         cmd demo {
-            /// annabhandar or lakeshore; both in turn otherwise.
+            /// annabhandar or lakeshore; defaults to both, one after the other.
             optional --deployment deployment: Deployment
-            /// Machine-readable output.
+            /// Prints JSON.
             optional --json
         }
-        /// Runs the stand-ins of a deployment until they are stopped.
+        /// Runs the stand-ins of a deployment until SIGTERM or SIGINT.
         cmd standin {
-            /// annabhandar or lakeshore.
+            /// annabhandar or lakeshore; defaults to annabhandar.
             optional --deployment deployment: Deployment
         }
-        /// Prints the fault matrix: which fault is tried at which step.
+        /// Prints the fault matrix: which fault is injected at which step.
         cmd faults { }
-        /// Deterministic benches of the decisions: policy, views, bounds, slopes, live, report.
+        /// Runs a bench: policy, views, bounds, slopes, live or report. All but live and slopes are deterministic.
         cmd bench {
-            /// Which bench; policy otherwise.
-            optional name: Kind
+            /// Name of the bench; defaults to policy.
+            optional name: BenchKind
             /// Lists the benches, traces and policies.
             optional --list
-            /// For bounds: prints new bounds instead of checking the committed ones.
+            /// With bounds: prints newly measured bounds instead of checking the committed ones.
             optional --print
-            /// annabhandar or lakeshore; both otherwise.
+            /// annabhandar or lakeshore; defaults to both.
             optional --deployment deployment: Deployment
-            /// For report: file that the page goes to; report.html otherwise.
+            /// With report: output file; defaults to report.html.
             optional --out file: String
-            /// Seed of traces and choices.
+            /// Seed of the traces and of random choices.
             optional --seed seed: u64
             /// Only this trace.
             optional --trace trace: TraceKind
-            /// Only this load.
+            /// Only this load factor.
             optional --load load: f64
-            /// Machine-readable output.
+            /// Prints JSON.
             optional --json
         }
     }
@@ -71,17 +71,17 @@
         Some(deployment) => vec![deployment],
         None => vec![Deployment::Annabhandar, Deployment::Lakeshore],
     };
-    let mut right = true;
+    let mut correct = true;
     for deployment in deployments {
-        let say = |line: &str| {
+        let progress = |line: &str| {
             if !flags.json {
                 println!("  {line}");
             }
         };
-        let run = chicoryrack::demo::run(deployment, say);
+        let run = chicoryrack::demo::run(deployment, progress);
         match actix_rt::System::new().block_on(run) {
             Ok(report) => {
-                right &= report.is_right();
+                correct &= report.is_correct();
                 print_report(&report, flags.json);
             }
             Err(error) => {
@@ -90,7 +90,7 @@
             }
         }
     }
-    if right {
+    if correct {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -98,7 +98,7 @@
 }
 
 fn run_standin(deployment: Deployment) -> ExitCode {
-    match actix_rt::System::new().block_on(chicoryrack::demo::stand_in(deployment)) {
+    match actix_rt::System::new().block_on(chicoryrack::demo::run_standins(deployment)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("chicoryrack: standin: {error}");
@@ -115,7 +115,7 @@
     println!("\n{}", report.table);
     println!(
         "role changes {}, calls that ran wrongly {}, slowest roll {} ms\n",
-        report.role_changes, report.ran_wrongly, report.roll_ms
+        report.role_changes, report.at_most_once_violations, report.roll_ms
     );
 }
 
@@ -126,17 +126,17 @@
         return ExitCode::SUCCESS;
     }
     match flags.name.unwrap_or_default() {
-        Kind::Policy => {
-            let choice = benches::Choice {
+        BenchKind::Policy => {
+            let filter = benches::PolicyFilter {
                 deployment: flags.deployment,
                 trace: flags.trace,
                 load: flags.load,
                 seed,
             };
-            println!("{}", benches::policy(&choice, flags.json));
+            println!("{}", benches::run_policy(&filter, flags.json));
             ExitCode::SUCCESS
         }
-        Kind::Views => {
+        BenchKind::Views => {
             for deployment in benches::deployments(flags.deployment) {
                 println!(
                     "{deployment}, seed {seed}\n\n{}",
@@ -145,13 +145,13 @@
             }
             ExitCode::SUCCESS
         }
-        Kind::Slopes => {
+        BenchKind::Slopes => {
             println!("{}", perf::slopes_markdown(&perf::slopes()));
             ExitCode::SUCCESS
         }
-        Kind::Live => run_live(),
-        Kind::Report => run_report(flags, seed),
-        Kind::Bounds => run_bounds(flags.print),
+        BenchKind::Live => run_live(),
+        BenchKind::Report => run_report(flags, seed),
+        BenchKind::Bounds => run_bounds(flags.print),
     }
 }
 
@@ -190,7 +190,7 @@
 
 fn run_bounds(print: bool) -> ExitCode {
     if print {
-        println!("{}", benches::new_bounds());
+        println!("{}", benches::measure_bounds());
         return ExitCode::SUCCESS;
     }
     match benches::check_bounds() {
--- a/src/bin/chicoryrackd.rs
+++ b/src/bin/chicoryrackd.rs
@@ -1,4 +1,4 @@
-//! An entry instance.
+//! Runs an entry instance.
 
 #![allow(
     missing_docs,
@@ -8,11 +8,11 @@
 use std::process::ExitCode;
 
 xflags::xflags! {
-    /// Runs one entry instance until SIGTERM.
+    /// Runs an entry instance until SIGTERM or SIGINT.
     cmd chicoryrackd {
-        /// Settings in JSON with comments; docs/SETTINGS.md lists them.
+        /// Settings file in JSON with comments; see docs/SETTINGS.md.
         required settings: String
-        /// Only checks the settings.
+        /// Validates the settings and exits.
         optional --check
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,13 +1,18 @@
-//! The entry instance as a process.
+//! Runs an entry instance as a process.
 
 use std::time::Duration;
 
 use entry::Instance;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs an instance until SIGTERM or SIGINT; a second signal does not cut what it holds.
+/// Pause before the process exits after its last answer.
+const FLUSH_PAUSE: Duration = Duration::from_millis(100);
+
+/// Runs an instance until SIGTERM or SIGINT, then lets it finish its requests. Further signals do
+/// not interrupt them.
 ///
-/// Its addresses go to standard output as one JSON line, since a port 0 is known only then.
+/// Prints the addresses as one JSON line on standard output, because the ports are unknown before
+/// if the settings give port 0.
 pub async fn run(settings: conf::Settings) -> Result<(), Box<dyn std::error::Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -28,11 +33,11 @@
     loop {
         tokio::select! {
             () = &mut stop => break,
-            _ = terminate.recv() => log::info!(step = "stop"; "already leaving"),
-            _ = interrupt.recv() => log::info!(step = "stop"; "already leaving"),
+            _ = terminate.recv() => log::info!(step = "stop"; "already stopping"),
+            _ = interrupt.recv() => log::info!(step = "stop"; "already stopping"),
         }
     }
-    // Connections whose answers are written are given a moment to be read.
-    actix_rt::time::sleep(Duration::from_millis(100)).await;
+    // Callers need a moment to read the answers that are already written.
+    actix_rt::time::sleep(FLUSH_PAUSE).await;
     Ok(())
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,5 +1,5 @@
-//! The main job on embedded stand-ins: a mix that shifts while bundles are rolled, an engine is
-//! drained, one instance leaves and another dies.
+//! The demo: a deployment on embedded stand-ins under a shifting load, while a bundle is rolled, an
+//! engine is drained, one instance is stopped and another is killed.
 
 pub mod live;
 mod operator;
@@ -21,50 +21,52 @@
 use platform::{Platform, member_key};
 use threads::InstanceThread;
 
-/// Entry instances, two in each availability zone.
+/// Number of entry instances, two in each availability zone.
 const INSTANCES: usize = 6;
 
-/// Seed of the load; the run is real, so only the requests are the same each time.
+/// Seed of the load. Runs use real time, so only the requests are reproducible.
 const SEED: u64 = 7;
 
-/// Length of each half of the load.
-const HALF_MS: u64 = 9_000;
+/// Duration of each of the two phases of load.
+const PHASE_MS: u64 = 9_000;
 
-/// Time for all instances to become ready.
-const READY_MS: u64 = 5_000;
+/// Timeout for each condition that the demo waits for.
+const WAIT_TIMEOUT_MS: u64 = 5_000;
 
-/// Error of a step that the demo needs.
+/// Result of a step of the demo.
 pub type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
-/// What a run of the demo showed.
+/// Results of a run of the demo.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Counts by class.
+    /// Outcomes of requests by class.
     pub classes: BTreeMap<String, load::Row>,
-    /// Role orders that engines took.
+    /// Role orders that engines accepted.
     pub role_changes: usize,
-    /// Calls that may not be repeated and ran more than once, or ran though refused as not run.
-    pub ran_wrongly: u64,
-    /// Longest time from a roll to its being in force at every instance.
+    /// At-most-once calls that ran twice, were answered without running, or ran although the caller
+    /// was told that they did not.
+    #[serde(rename = "ran_wrongly")]
+    pub at_most_once_violations: u64,
+    /// Longest time from a roll until the bundle was in force at every instance.
     pub roll_ms: u64,
-    /// Table for people.
+    /// Outcomes by class as a text table.
     #[serde(skip)]
     pub table: String,
 }
 
 impl Report {
-    /// Whether every answer was whole and its caller's own, and nothing ran twice.
-    pub fn is_right(&self) -> bool {
-        self.ran_wrongly == 0 && self.classes.values().all(|row| row.wrong == 0)
+    /// Whether every answer was complete and correct and no at-most-once call was violated.
+    pub fn is_correct(&self) -> bool {
+        self.at_most_once_violations == 0 && self.classes.values().all(|row| row.wrong == 0)
     }
 }
 
-/// Runs the demo for one deployment; `say` gets a line for each step.
-pub async fn run(deployment: Deployment, say: impl Fn(&str)) -> Result<Report> {
+/// Runs the demo for one deployment; `progress` receives a line for each step.
+pub async fn run(deployment: Deployment, progress: impl Fn(&str)) -> Result<Report> {
     let platform = Platform::start(deployment).await?;
-    say(&format!(
+    progress(&format!(
         "{deployment}: {} engines, {} services, log and instance list are up",
         deployment.engines(),
         deployment.services()
@@ -74,10 +76,10 @@
     operator.wait_ready().await;
     operator.roll(&platform::bundle(deployment, 1)).await?;
     let roll_ms = wait_in_force(&instances, 1).await?;
-    say(&format!(
+    progress(&format!(
         "bundle 1 is in force on {INSTANCES} instances after {roll_ms} ms"
     ));
-    wait_looked_up(&instances).await?;
+    wait_discovered(&instances).await?;
 
     let running = Running {
         tally: Rc::new(RefCell::new(Tally::default())),
@@ -87,7 +89,7 @@
     let callers = callers(deployment, &instances);
     let phases = phases(deployment);
     let load = load::run(&running, callers, deployment, &phases, SEED);
-    let events = events(deployment, &platform, &mut instances, &say);
+    let events = run_events(deployment, &platform, &mut instances, &progress);
     let ((), second_roll) = tokio::join!(load, events);
     let roll_ms = roll_ms.max(second_roll?);
     report(deployment, &platform, &running, roll_ms, instances)
@@ -95,14 +97,14 @@
 
 /// Runs the platform and the upstreams of a deployment until SIGTERM or SIGINT.
 ///
-/// The addresses of the log and of the instance list go to standard output as one JSON line.
-pub async fn stand_in(deployment: Deployment) -> Result<()> {
+/// Prints the addresses of the log and of the instance list as one JSON line.
+pub async fn run_standins(deployment: Deployment) -> Result<()> {
     let platform = Platform::start(deployment).await?;
     println!("{}", platform.addresses());
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     tokio::select! {
         _ = terminate.recv() => {}
-        ended = tokio::signal::ctrl_c() => ended?,
+        result = tokio::signal::ctrl_c() => result?,
     }
     Ok(())
 }
@@ -123,28 +125,28 @@
     Ok(instances)
 }
 
-/// Waits until a version is in force everywhere and gives the time that it took.
+/// Waits until a bundle is in force at every running instance and returns the time it took, in ms.
 async fn wait_in_force(instances: &[InstanceThread], version: u64) -> Result<u64> {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for instance in instances.iter().filter(|instance| instance.is_running()) {
         let operator = Operator::new(&instance.caller_address);
         while operator.version().await.unwrap_or(0) < version {
-            if begun.elapsed() > Duration::from_millis(READY_MS) {
+            if started.elapsed() > Duration::from_millis(WAIT_TIMEOUT_MS) {
                 return Err(format!("bundle {version} is not in force in time").into());
             }
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    Ok(begun.elapsed().as_millis() as u64)
+    Ok(started.elapsed().as_millis() as u64)
 }
 
-/// Waits until an instance names all instances and some engine is known to be live.
-async fn wait_looked_up(instances: &[InstanceThread]) -> Result<()> {
-    let begun = std::time::Instant::now();
+/// Waits until every instance sees all instances and sees all engines live.
+async fn wait_discovered(instances: &[InstanceThread]) -> Result<()> {
+    let started = std::time::Instant::now();
     for instance in instances {
         let operator = Operator::new(&instance.caller_address);
-        while !operator.knows(instances.len()).await {
-            if begun.elapsed() > Duration::from_millis(READY_MS) {
+        while !operator.sees_fleet(instances.len()).await {
+            if started.elapsed() > Duration::from_millis(WAIT_TIMEOUT_MS) {
                 return Err("instances have not found each other in time".into());
             }
             actix_rt::time::sleep(Duration::from_millis(20)).await;
@@ -172,7 +174,7 @@
     callers
 }
 
-/// First mostly questions, then mostly long prompts.
+/// The first phase has mostly short questions, the second mostly long prompts.
 fn phases(deployment: Deployment) -> [Phase; 2] {
     let scale = deployment.engines() as f64 / 9.0;
     let mix = |long: f64, quick: f64| Mix {
@@ -181,40 +183,41 @@
         urgent: 3.0 * scale,
         once: 6.0 * scale,
     };
-    let (few, many) = (mix(2.0, 24.0), mix(9.0, 6.0));
-    [few, many].map(|mix| Phase { ms: HALF_MS, mix })
+    let (questions, long_prompts) = (mix(2.0, 24.0), mix(9.0, 6.0));
+    [questions, long_prompts].map(|mix| Phase { ms: PHASE_MS, mix })
 }
 
-/// What operators and misfortune do while the load runs.
-async fn events(
+/// Runs the operators' actions and the failures of instances beside the load, and returns the time
+/// that the second roll took.
+async fn run_events(
     deployment: Deployment,
     platform: &Platform,
     instances: &mut [InstanceThread],
-    say: &impl Fn(&str),
+    progress: &impl Fn(&str),
 ) -> Result<u64> {
     let wait = |ms: u64| actix_rt::time::sleep(Duration::from_millis(ms));
     let operator = Operator::new(&instances[0].caller_address);
     wait(3_000).await;
     operator.roll(&platform::bundle(deployment, 2)).await?;
     let roll_ms = wait_in_force(instances, 2).await?;
-    say(&format!(
+    progress(&format!(
         "3 s: bundle 2 with new weights is in force after {roll_ms} ms"
     ));
     wait(3_000).await;
     let engine = platform.engine_name(0);
     operator.drain(&engine).await?;
-    say(&format!("6 s: {engine} is drained"));
+    progress(&format!("6 s: {engine} is drained"));
     wait(3_000).await;
-    say("9 s: the mix shifts from questions to long prompts");
+    progress("9 s: the mix shifts from questions to long prompts");
     wait(2_000).await;
-    platform.leaving(&instances[1].name);
+    platform.remove_instance(&instances[1].name);
     instances[1].stop();
-    say(&format!("11 s: {} leaves as planned", instances[1].name));
+    progress(&format!("11 s: {} leaves as planned", instances[1].name));
     wait(3_000).await;
     instances[2].kill();
-    say(&format!("14 s: {} is killed", instances[2].name));
+    progress(&format!("14 s: {} is killed", instances[2].name));
     wait(1_000).await;
-    platform.gone(&instances[2].name);
+    platform.remove_instance(&instances[2].name);
     Ok(roll_ms)
 }
 
@@ -225,7 +228,7 @@
     roll_ms: u64,
     instances: Vec<InstanceThread>,
 ) -> Result<Report> {
-    let ran_wrongly = platform.ran_wrongly(
+    let at_most_once_violations = platform.at_most_once_violations(
         deployment.service().1,
         &running.answered.borrow(),
         &running.refused.borrow(),
@@ -239,7 +242,7 @@
         deployment: deployment.to_string(),
         classes: tally.rows(),
         role_changes: platform.role_changes(),
-        ran_wrongly,
+        at_most_once_violations,
         roll_ms,
         table: tally.table(),
     })
--- a/src/demo/live.rs
+++ b/src/demo/live.rs
@@ -1,6 +1,7 @@
-//! Times of a running deployment: bundles in force, handover of leases, calls that run once.
+//! Measures a running deployment: time to put bundles in force, handover of leases and at-most-once
+//! calls.
 //!
-//! These are wall-clock figures for docs/BENCH.md; no check rests on them.
+//! The results are wall-clock times for docs/BENCH.md; no check depends on them.
 
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -15,25 +16,27 @@
 use super::operator::Operator;
 use super::platform::{Platform, bundle, member_key};
 use super::threads::InstanceThread;
-use super::{Result, start_instances, wait_in_force, wait_looked_up};
+use super::{Result, start_instances, wait_discovered, wait_in_force};
 
-/// Entry instances.
+/// Number of entry instances.
 const INSTANCES: usize = 9;
 
-/// Bundles rolled, one after the other.
+/// Number of bundles that are rolled, one after the other.
 const ROLLS: u64 = 20;
 
-/// Time for which appends are counted.
+/// Duration for which the appends of an idle deployment are counted.
 const IDLE_MS: u64 = 5_000;
 
-/// Callers at the same time, and calls of each.
+/// Number of concurrent callers.
 const CALLERS: usize = 32;
-const CALLS: usize = 60;
 
-/// Time between two looks.
-const LOOK_MS: u64 = 2;
+/// Number of calls that each caller makes, one after the other.
+const CALLS_PER_CALLER: usize = 60;
 
-/// Measures and gives a table.
+/// Interval between checks of a condition; the resolution of the measured times.
+const POLL_MS: u64 = 2;
+
+/// Runs all measurements and formats them as a Markdown table.
 pub async fn run() -> Result<String> {
     let deployment = Deployment::Annabhandar;
     let platform = Platform::start(deployment).await?;
@@ -42,7 +45,7 @@
     operator.wait_ready().await;
     operator.roll(&bundle(deployment, 1)).await?;
     wait_in_force(&instances, 1).await?;
-    wait_looked_up(&instances).await?;
+    wait_discovered(&instances).await?;
     let mut text = "| measured | figure |\n| --- | --- |\n".to_owned();
     let mut row = |what: &str, figure: String| {
         let _ = writeln!(text, "| {what} | {figure} |");
@@ -51,7 +54,7 @@
         "from the roll to in force on 9 instances",
         rolls(deployment, &instances).await?,
     );
-    wait_held(&instances).await?;
+    wait_leases_held(&instances).await?;
     let before = platform.appends();
     actix_rt::time::sleep(Duration::from_millis(IDLE_MS)).await;
     let rate = (platform.appends() - before) as f64 / (IDLE_MS as f64 / 1_000.0);
@@ -66,7 +69,7 @@
         calls(deployment, &instances, 2).await,
     );
     platform.set_log_down(false);
-    wait_held(&instances).await?;
+    wait_leases_held(&instances).await?;
     row(
         "handover of leases, planned stop",
         handover(&mut instances, InstanceThread::stop).await?,
@@ -82,6 +85,7 @@
     Ok(text)
 }
 
+/// Rolls bundles and measures the time until each is in force at all instances.
 async fn rolls(deployment: Deployment, instances: &[InstanceThread]) -> Result<String> {
     let operator = Operator::new(&instances[0].caller_address);
     let mut times = Vec::new();
@@ -89,14 +93,14 @@
         operator
             .publish_and_sign(&bundle(deployment, version))
             .await?;
-        let begun = Instant::now();
-        let (rolled, there) = tokio::join!(
+        let started = Instant::now();
+        let (rolled, in_force) = tokio::join!(
             operator.put_in_force(version),
             wait_in_force(instances, version)
         );
         rolled?;
-        there?;
-        times.push(begun.elapsed().as_millis() as u64);
+        in_force?;
+        times.push(started.elapsed().as_millis() as u64);
     }
     times.sort_unstable();
     let last = times.len() - 1;
@@ -107,8 +111,8 @@
     ))
 }
 
-/// Leases held by all instances that run.
-async fn held(instances: &[InstanceThread]) -> u64 {
+/// Counts the leases that running instances hold.
+async fn held_leases(instances: &[InstanceThread]) -> u64 {
     let mut sum = 0;
     for instance in instances.iter().filter(|instance| instance.is_running()) {
         sum += Operator::new(&instance.caller_address).leases().await;
@@ -116,45 +120,49 @@
     sum
 }
 
-async fn wait_held(instances: &[InstanceThread]) -> Result<Duration> {
-    let begun = Instant::now();
-    while held(instances).await < 3 {
-        if begun.elapsed() > Duration::from_secs(30) {
+/// Waits until the leases of all groups are held and returns the time it took.
+async fn wait_leases_held(instances: &[InstanceThread]) -> Result<Duration> {
+    let started = Instant::now();
+    while held_leases(instances).await < 3 {
+        if started.elapsed() > Duration::from_secs(30) {
             return Err("leases are not held in time".into());
         }
-        actix_rt::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        actix_rt::time::sleep(Duration::from_millis(POLL_MS)).await;
     }
-    Ok(begun.elapsed())
+    Ok(started.elapsed())
 }
 
+/// Ends the first instance, apart from instance 0, that holds a lease and measures the time until all
+/// leases are held again.
 async fn handover(
     instances: &mut [InstanceThread],
     end: impl Fn(&mut InstanceThread),
 ) -> Result<String> {
-    for place in 1..instances.len() {
-        if !instances[place].is_running()
-            || Operator::new(&instances[place].caller_address)
+    for index in 1..instances.len() {
+        if !instances[index].is_running()
+            || Operator::new(&instances[index].caller_address)
                 .leases()
                 .await
                 == 0
         {
             continue;
         }
-        end(&mut instances[place]);
-        let took = wait_held(instances).await?;
-        return Ok(format!("{} ms", took.as_millis()));
+        end(&mut instances[index]);
+        let elapsed = wait_leases_held(instances).await?;
+        return Ok(format!("{} ms", elapsed.as_millis()));
     }
     Ok("the first instance held all leases".to_owned())
 }
 
+/// Makes at-most-once calls from concurrent callers and measures rate and latency.
 async fn calls(deployment: Deployment, instances: &[InstanceThread], round: u64) -> String {
     let seeds: Vec<String> = instances
         .iter()
         .map(|instance| instance.caller_address.clone())
         .collect();
     let times = Rc::new(RefCell::new(Vec::new()));
-    let lost = Rc::new(RefCell::new((0_u64, 0_u64)));
-    let begun = Instant::now();
+    let failures = Rc::new(RefCell::new((0_u64, 0_u64)));
+    let started = Instant::now();
     let callers = (0..CALLERS).map(|number| {
         let tenant = Tenant {
             key: member_key(deployment.members()[number % 3]),
@@ -162,31 +170,31 @@
         };
         let seed = round * 1_000 + number as u64;
         let caller = Caller::new(tenant, seeds.clone(), Pcg64::seed_from_u64(seed));
-        let (times, lost) = (times.clone(), lost.clone());
+        let (times, failures) = (times.clone(), failures.clone());
         actix_rt::spawn(async move {
-            for call in 0..CALLS {
+            for call in 0..CALLS_PER_CALLER {
                 let body = format!("live {seed} {call}");
                 let (service, path) = deployment.service();
-                let ended = caller.call_once(service, path, &body, 2_000).await;
-                times.borrow_mut().push(ended.took_ms);
-                match ended.outcome {
+                let result = caller.call_once(service, path, &body, 2_000).await;
+                times.borrow_mut().push(result.took_ms);
+                match result.outcome {
                     Outcome::InTime | Outcome::Late => {}
-                    Outcome::Unknown => lost.borrow_mut().0 += 1,
-                    Outcome::Refused | Outcome::Wrong => lost.borrow_mut().1 += 1,
+                    Outcome::Unknown => failures.borrow_mut().0 += 1,
+                    Outcome::Refused | Outcome::Wrong => failures.borrow_mut().1 += 1,
                 }
             }
         })
     });
     futures_util::future::join_all(callers).await;
-    let rate = (CALLERS * CALLS) as f64 / begun.elapsed().as_secs_f64();
+    let rate = (CALLERS * CALLS_PER_CALLER) as f64 / started.elapsed().as_secs_f64();
     let mut times = times.borrow_mut();
     times.sort_unstable();
-    let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-    let (unknown, refused) = *lost.borrow();
+    let percentile = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+    let (unknown, refused) = *failures.borrow();
     format!(
         "{rate:.0} a second, p50 {} ms, p99 {} ms (8 ms of them the service's), unknown {unknown}, refused {refused} of {}",
-        at(0.5),
-        at(0.99),
-        CALLERS * CALLS
+        percentile(0.5),
+        percentile(0.99),
+        CALLERS * CALLS_PER_CALLER
     )
 }
--- a/src/demo/operator.rs
+++ b/src/demo/operator.rs
@@ -1,18 +1,18 @@
-//! The operator's side, over the administration API.
+//! An operator that uses the administration API.
 
 use serde_json::Value;
 
 use super::Result;
 use super::platform::OPERATOR_KEY;
 
-/// An operator at one instance.
+/// Sends operator requests to one instance.
 pub struct Operator {
     address: String,
     client: awc::Client,
 }
 
 impl Operator {
-    /// An operator that talks to the instance at this address.
+    /// Creates an operator for the instance at this address.
     pub fn new(address: &str) -> Self {
         Self {
             address: address.to_owned(),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Waits until the instance serves.
+    /// Waits until the instance is ready.
     pub async fn wait_ready(&self) {
         let url = format!("http://{}/readyz", self.address);
         loop {
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Publishes a bundle, signs it off and rolls it.
+    /// Publishes a bundle, approves it and puts it in force.
     pub async fn roll(&self, bundle: &str) -> Result<()> {
         let version = self.publish_and_sign(bundle).await?;
         self.put_in_force(version).await
     }
 
-    /// Publishes a bundle and signs it off; gives its version.
+    /// Publishes a bundle, approves it and returns its version.
     pub async fn publish_and_sign(&self, bundle: &str) -> Result<u64> {
         let published = self.post("bundles", bundle.to_owned()).await?;
         let version = published["version"].as_u64().ok_or("no version")?;
@@ -47,14 +47,14 @@
         Ok(version)
     }
 
-    /// Rolls a bundle that is signed off.
+    /// Puts an approved bundle in force.
     pub async fn put_in_force(&self, version: u64) -> Result<()> {
         self.post(&format!("bundles/{version}/roll"), String::new())
             .await?;
         Ok(())
     }
 
-    /// Leases that the instance holds.
+    /// Number of leases that the instance holds; 0 if it does not answer.
     pub async fn leases(&self) -> u64 {
         let url = format!("http://{}/metrics", self.address);
         let Ok(mut response) = self.client.get(url).send().await else {
@@ -75,21 +75,22 @@
         Ok(())
     }
 
-    /// Version in force at the instance.
+    /// Version of the bundle in force at the instance; 0 if there is none.
     pub async fn version(&self) -> Result<u64> {
         let status = self.get("status").await?;
         Ok(status["version"].as_u64().unwrap_or(0))
     }
 
-    /// Whether the instance hears this many instances and sees every engine live.
-    pub async fn knows(&self, instances: usize) -> bool {
+    /// Whether the instance receives heartbeats from this many instances, itself included, and sees
+    /// at least one engine and every engine live.
+    pub async fn sees_fleet(&self, instances: usize) -> bool {
         let Ok(status) = self.get("status").await else {
             return false;
         };
-        let heard = status["instances"].as_array().map_or(0, Vec::len);
+        let known = status["instances"].as_array().map_or(0, Vec::len);
         let engines = status["engines"].as_array();
         let live = |engine: &Value| engine["presence"] == "live";
-        heard >= instances
+        known >= instances
             && engines.is_some_and(|engines| !engines.is_empty() && engines.iter().all(live))
     }
 
--- a/src/demo/platform.rs
+++ b/src/demo/platform.rs
@@ -1,4 +1,4 @@
-//! The platform and the upstreams, embedded.
+//! The platform and the upstreams of the demo, as stand-ins in this process.
 
 use conf::{Settings, hex_sha256, parse_settings};
 use model::Deployment;
@@ -12,19 +12,19 @@
 use super::Result;
 use super::threads::InstanceThread;
 
-/// Key of the demo's only operator.
+/// Key of the only operator of the demo.
 pub const OPERATOR_KEY: &str = "demo-operator";
 
-/// Age of what the instance list shows.
+/// Delay with which the instance list shows changes.
 const LIST_LAG_MS: u64 = 500;
 
-/// Time in which the weight store gives out one set of weights.
+/// Time that the weight store takes to serve one set of weights.
 const FETCH_MS: u64 = 100;
 
-/// Time of a call to the plain service.
+/// Duration of a call at the plain service.
 const CALL_MS: u64 = 8;
 
-/// Everything that is not an entry instance.
+/// Log, instance list, weight store, engines and services.
 pub struct Platform {
     log: LogStandin,
     list: InstanceList,
@@ -36,10 +36,10 @@
 impl Platform {
     /// Starts the stand-ins of a deployment.
     pub async fn start(deployment: Deployment) -> Result<Self> {
-        let any = "127.0.0.1:0";
-        let log = LogStandin::start(any).await?;
-        let list = InstanceList::start(any, LIST_LAG_MS).await?;
-        let weights = WeightStandin::start(any, FETCH_MS).await?;
+        let any_port = "127.0.0.1:0";
+        let log = LogStandin::start(any_port).await?;
+        let list = InstanceList::start(any_port, LIST_LAG_MS).await?;
+        let weights = WeightStandin::start(any_port, FETCH_MS).await?;
         let mut platform = Self {
             log,
             list,
@@ -52,7 +52,7 @@
             let mut options = EngineOptions::new(&name, &format!("{}@v1", deployment.model()));
             options.weights = weights.address();
             options.checks_orders = number % 2 == 0;
-            let engine = EngineStandin::start(any, options).await?;
+            let engine = EngineStandin::start(any_port, options).await?;
             let zone = deployment.zones()[number % 3];
             platform.list_upstream(&name, "engine", &engine.address(), zone, deployment.model());
             platform.engines.push((name, engine));
@@ -63,7 +63,7 @@
                 name: name.clone(),
                 call_ms: CALL_MS,
             };
-            let service = ServiceStandin::start(any, options).await?;
+            let service = ServiceStandin::start(any_port, options).await?;
             let zone = deployment.zones()[number % 3];
             platform.list_upstream(
                 &name,
@@ -103,32 +103,27 @@
         }
     }
 
-    /// Puts an entry instance on the list.
+    /// Adds an entry instance to the list.
     pub fn list_instance(&self, instance: &InstanceThread, zone: &str) {
         self.list.put(Self::listed(instance, zone, Standing::Live));
     }
 
-    /// Takes an entry instance that leaves off the list.
-    pub fn leaving(&self, name: &str) {
+    /// Removes an entry instance from the list.
+    pub fn remove_instance(&self, name: &str) {
         self.list.remove(name);
     }
 
-    /// Takes an entry instance that is gone off the list.
-    pub fn gone(&self, name: &str) {
-        self.list.remove(name);
-    }
-
-    /// Where the log and the instance list listen.
+    /// Addresses of the log and of the instance list.
     pub fn addresses(&self) -> serde_json::Value {
         json!({ "log": self.log.address(), "instances": self.list.address() })
     }
 
-    /// Appends that the log took.
+    /// Number of appends that the log accepted.
     pub fn appends(&self) -> u64 {
         self.log.appends()
     }
 
-    /// Takes the log down, or brings it back.
+    /// Makes the log unavailable, or available again.
     pub fn set_log_down(&self, down: bool) {
         self.log.set_faults(LogFaults {
             down,
@@ -136,19 +131,25 @@
         });
     }
 
-    /// Name of an engine.
-    pub fn engine_name(&self, place: usize) -> String {
-        self.engines[place].0.clone()
+    /// Name of the engine with this index.
+    pub fn engine_name(&self, index: usize) -> String {
+        self.engines[index].0.clone()
     }
 
-    /// Role orders that engines took.
+    /// Number of role orders that engines accepted.
     pub fn role_changes(&self) -> usize {
         let orders = self.engines.iter().flat_map(|(_, engine)| engine.orders());
         orders.filter(|(_, what)| what.starts_with("role")).count()
     }
 
-    /// Calls that ran twice, were answered without having run, or ran though refused.
-    pub fn ran_wrongly(&self, path: &str, answered: &[String], refused: &[String]) -> u64 {
+    /// Number of calls that ran twice, did not run exactly once although answered, or ran although
+    /// refused as not run.
+    pub fn at_most_once_violations(
+        &self,
+        path: &str,
+        answered: &[String],
+        refused: &[String],
+    ) -> u64 {
         let mut effects = std::collections::BTreeMap::<String, u64>::new();
         for service in &self.services {
             for (what, count) in service.effects() {
@@ -158,8 +159,8 @@
         let count = |body: &String| effects.get(&format!("{path} {body}")).copied().unwrap_or(0);
         let twice = effects.values().filter(|&&count| count > 1).count();
         let missing = answered.iter().filter(|body| count(body) != 1).count();
-        let untrue = refused.iter().filter(|body| count(body) != 0).count();
-        (twice + missing + untrue) as u64
+        let wrongly_refused = refused.iter().filter(|body| count(body) != 0).count();
+        (twice + missing + wrongly_refused) as u64
     }
 
     /// Settings of an entry instance.
@@ -175,7 +176,7 @@
     }
 }
 
-/// API key of a member's only workspace.
+/// API key of the only workspace of a member.
 pub fn member_key(member: &str) -> String {
     format!("demo-{member}")
 }
@@ -184,7 +185,7 @@
     hex_sha256(&Sha256::digest(text.as_bytes()))
 }
 
-/// The bundle of a version: each has weights of its own.
+/// Creates the bundle of a version. Each version has different weights.
 pub fn bundle(deployment: Deployment, version: u64) -> String {
     let (service, path) = deployment.service();
     let members: Vec<_> = deployment
--- a/src/demo/threads.rs
+++ b/src/demo/threads.rs
@@ -1,4 +1,5 @@
-//! Entry instances on threads of their own, each as single-threaded as a process of its own.
+//! Entry instances in one process, each with its own thread and runtime, as the instance is
+//! single-threaded.
 
 use std::thread::JoinHandle;
 
@@ -14,13 +15,13 @@
     Kill,
 }
 
-/// A running instance.
+/// An entry instance on its own thread.
 pub struct InstanceThread {
-    /// Name.
+    /// Name of the instance.
     pub name: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: String,
-    /// Where other instances connect.
+    /// Address for other instances.
     pub peer_address: String,
     commands: mpsc::UnboundedSender<Command>,
     thread: Option<JoinHandle<std::result::Result<(), String>>>,
@@ -35,7 +36,9 @@
         let (ready, started) = std::sync::mpsc::channel();
         let thread = std::thread::Builder::new()
             .name(name.clone())
-            .spawn(move || actix_rt::System::new().block_on(live(settings, receiver, ready)))?;
+            .spawn(move || {
+                actix_rt::System::new().block_on(run_instance(settings, receiver, ready))
+            })?;
         let (caller_address, peer_address) = started.recv()??;
         Ok(Self {
             name,
@@ -47,38 +50,39 @@
         })
     }
 
-    /// Whether it was neither stopped nor killed.
+    /// Whether the instance was neither stopped nor killed.
     pub fn is_running(&self) -> bool {
         self.running
     }
 
-    /// Lets it leave as planned, without waiting for it.
+    /// Starts a graceful stop and returns without waiting for its end.
     pub fn stop(&mut self) {
         self.running = false;
         let _ = self.commands.send(Command::Stop);
     }
 
-    /// Ends it at once.
+    /// Kills the instance, as a crash would.
     pub fn kill(&mut self) {
         self.running = false;
         let _ = self.commands.send(Command::Kill);
     }
 
-    /// Waits for its end.
+    /// Waits for the thread to end. Returns an error if it panicked or the instance failed.
     pub fn join(&mut self) -> Result<()> {
         let Some(thread) = self.thread.take() else {
             return Ok(());
         };
-        let ended = thread
+        let result = thread
             .join()
             .map_err(|_| format!("{} panicked", self.name))?;
-        ended.map_err(Into::into)
+        result.map_err(Into::into)
     }
 }
 
+/// Reports the caller and peer addresses, or the error that kept the instance from starting.
 type Ready = std::sync::mpsc::Sender<std::result::Result<(String, String), String>>;
 
-async fn live(
+async fn run_instance(
     settings: Settings,
     mut commands: mpsc::UnboundedReceiver<Command>,
     ready: Ready,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! Serves language models and plain services from a fixed fleet of upstreams.
 //!
-//! The areas are crates of their own; this one gathers them for the programs under `src/bin`,
-//! which only read their command line and call in here. See docs/ARCHITECTURE.md.
+//! Most of the code is in the crates of the workspace. This crate combines them for the programs
+//! under `src/bin`, which only parse their command line and call into it. See
+//! docs/ARCHITECTURE.md.
 
 pub mod benches;
 pub mod daemon;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,12 +1,12 @@
-//! Logs as JSON lines.
+//! Sets up logging as JSON lines.
 
-/// Starts logging to standard error, one JSON object a line; `RUST_LOG` sets the level.
+/// Starts logging to standard error, one JSON object per line. `RUST_LOG` overrides the level.
 pub fn start(default_level: &str) {
     let env = env_logger::Env::default().default_filter_or(default_level);
-    let started = env_logger::Builder::from_env(env)
+    let result = env_logger::Builder::from_env(env)
         .format(relay::logging::write_line)
         .try_init();
-    if let Err(error) = started {
-        eprintln!("logging was started before: {error}");
+    if let Err(error) = result {
+        eprintln!("failed to start logging: {error}");
     }
 }
