--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Real programs on 127.0.0.1 with free ports, and the platform's stand-ins beside them.
+//! Runs real `chicoryrackd` processes on free ports of 127.0.0.1 against stand-ins for the platform.
 
 #![allow(dead_code, reason = "each test program uses its own part")]
 
@@ -17,13 +17,13 @@
 pub const MEMBER_KEY: &str = "member-key";
 pub const MODEL: &str = "annagrade-llm";
 
-/// Longest wait for anything; generous, as it only decides when a broken run is given up.
-const GIVE_UP: Duration = Duration::from_secs(60);
+/// Timeout of every wait. It is generous, as only a failing test reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Tells settings files of one test program apart, as its tests run side by side.
+/// Makes the names of settings files unique among the tests of one program, which run in parallel.
 static NEXT_FILE: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
 
-/// An entry instance as a process of its own.
+/// An entry instance in its own process, killed when dropped.
 pub struct Daemon {
     child: Child,
     pub name: String,
@@ -62,9 +62,9 @@
         let mut line = String::new();
         BufReader::new(stdout)
             .read_line(&mut line)
-            .expect("the daemon says where it listens");
-        let said: Value = serde_json::from_str(&line).expect("one JSON line");
-        let text = |name: &str| said[name].as_str().unwrap_or_default().to_owned();
+            .expect("the daemon prints its addresses");
+        let addresses: Value = serde_json::from_str(&line).expect("one JSON line");
+        let text = |name: &str| addresses[name].as_str().unwrap_or_default().to_owned();
         let daemon = Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
@@ -78,7 +78,7 @@
     }
 
     pub fn signal(&self, signal: i32) {
-        // SAFETY: plain system call on the id of a child that was not yet waited for.
+        // SAFETY: a plain system call. The ID belongs to this child, which has not been waited for.
         unsafe { libc::kill(self.child.id().cast_signed(), signal) };
     }
 
@@ -87,7 +87,7 @@
         let _ = self.child.wait();
     }
 
-    /// Resident memory of the process.
+    /// Resident memory of the process, in kB.
     pub fn resident_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("the process runs");
@@ -96,10 +96,10 @@
         number.and_then(|number| number.parse().ok()).unwrap_or(0)
     }
 
-    /// Waits for a planned end and gives its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
-        let begun = Instant::now();
-        while begun.elapsed() < GIVE_UP {
+    /// Waits for the process to exit on its own and returns the exit code; `None` after the timeout.
+    pub async fn wait_exit(&mut self) -> Option<i32> {
+        let started = Instant::now();
+        while started.elapsed() < WAIT_TIMEOUT {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
@@ -117,7 +117,7 @@
     }
 }
 
-/// The platform and the upstreams, in the test's own process.
+/// Stand-ins for the platform and the upstreams, in the process of the test.
 pub struct Platform {
     pub log: LogStandin,
     pub list: InstanceList,
@@ -127,14 +127,16 @@
 
 impl Platform {
     pub async fn start(engines: usize) -> Self {
-        let any = "127.0.0.1:0";
-        let log = LogStandin::start(any).await.expect("log");
-        let list = InstanceList::start(any, 100).await.expect("list");
+        let any_port = "127.0.0.1:0";
+        let log = LogStandin::start(any_port).await.expect("log");
+        let list = InstanceList::start(any_port, 100).await.expect("list");
         let options = ServiceOptions {
             name: "claimdesk-1".to_owned(),
             call_ms: 5,
         };
-        let service = ServiceStandin::start(any, options).await.expect("service");
+        let service = ServiceStandin::start(any_port, options)
+            .await
+            .expect("service");
         let mut platform = Self {
             log,
             list,
@@ -151,7 +153,9 @@
             let name = format!("engine-{}", number + 1);
             let mut options = EngineOptions::new(&name, &format!("{MODEL}@v1"));
             options.checks_orders = number % 2 == 0;
-            let engine = EngineStandin::start(any, options).await.expect("engine");
+            let engine = EngineStandin::start(any_port, options)
+                .await
+                .expect("engine");
             platform.put(&name, "engine", &engine.address(), MODEL);
             platform.engines.push(engine);
         }
@@ -185,7 +189,7 @@
     }
 }
 
-/// A bundle of a version, for one member.
+/// Creates the bundle of a version, with one model, one member and one service.
 pub fn bundle(version: u64) -> Value {
     json!({
         "version": version,
@@ -208,7 +212,7 @@
     chicoryrack::conf::hex_sha256(&Sha256::digest(text.as_bytes()))
 }
 
-/// An answer as it came.
+/// Status and body of a response.
 #[derive(Debug, Clone)]
 pub struct Reply {
     pub status: u16,
@@ -225,7 +229,7 @@
     }
 }
 
-/// Sends one request; `None` when the connection failed.
+/// Sends a request; returns `None` if the connection failed.
 pub async fn send(
     method: &str,
     address: &str,
@@ -267,7 +271,7 @@
     reply.expect("the instance answers its operator")
 }
 
-/// Publishes, signs and rolls a bundle.
+/// Publishes a bundle, approves it and puts it in force.
 pub async fn roll(address: &str, version: u64) {
     let published = admin(address, "POST", "bundles", bundle(version).to_string()).await;
     assert_eq!(published.status, 200, "{}", published.text());
@@ -277,27 +281,30 @@
     }
 }
 
-/// Waits until a condition holds; the limit only ends a run that is broken.
-pub async fn until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let begun = Instant::now();
+/// Waits until a condition holds; panics after the timeout.
+pub async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
+    let started = Instant::now();
     while !condition().await {
-        assert!(begun.elapsed() < GIVE_UP, "gave up waiting until {what}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Starts one instance, puts a bundle in force and waits until it sees the engines live.
-pub async fn serve(platform: &Platform) -> Daemon {
+/// Starts one instance, puts a bundle in force and waits until the instance sees the engines live.
+pub async fn start_serving(platform: &Platform) -> Daemon {
     let daemon = Daemon::start("entry-1", "salt-lake", platform);
-    ready(&daemon.caller_address).await;
+    wait_ready(&daemon.caller_address).await;
     roll(&daemon.caller_address, 1).await;
-    knows(&daemon.caller_address, 1, platform.engines.len()).await;
+    wait_discovered(&daemon.caller_address, 1, platform.engines.len()).await;
     daemon
 }
 
-/// Waits until an instance serves.
-pub async fn ready(address: &str) {
-    until("the instance is ready", || async {
+/// Waits until an instance is ready.
+pub async fn wait_ready(address: &str) {
+    wait_until("the instance is ready", || async {
         send("GET", address, "/readyz", "", &[], "")
             .await
             .is_some_and(|reply| reply.status == 200)
@@ -305,17 +312,18 @@
     .await;
 }
 
-/// Waits until an instance hears this many instances, itself included, and sees engines live.
-pub async fn knows(address: &str, instances: usize, engines: usize) {
-    until("the instances know each other", || async {
+/// Waits until an instance receives heartbeats from this many instances, itself included, and sees
+/// at least this many engines live.
+pub async fn wait_discovered(address: &str, instances: usize, engines: usize) {
+    wait_until("the instances have discovered each other", || async {
         let status = admin(address, "GET", "status", "").await.json();
-        let heard = status["instances"].as_array().map_or(0, Vec::len);
+        let known = status["instances"].as_array().map_or(0, Vec::len);
         let all = status["engines"].as_array().cloned().unwrap_or_default();
         let live = all
             .iter()
             .filter(|engine| engine["presence"] == "live")
             .count();
-        heard == instances && live >= engines
+        known == instances && live >= engines
     })
     .await;
 }
--- a/tests/failure/claims.rs
+++ b/tests/failure/claims.rs
@@ -1,17 +1,18 @@
-//! Calls that may run once, whose home is asked twice, dies or is paused.
+//! At-most-once calls when the home is asked twice, is killed or is paused.
 
 use chicoryrack::standin::ServiceFaults;
 
-use crate::common::{Platform, until};
-use crate::helpers::{claim, key, three};
+use crate::common::{Platform, wait_until};
+use crate::helpers::{claim, idempotency_key, start_three};
 
 #[actix_rt::test]
-async fn a_retry_of_a_claim_gets_the_same_answer_and_runs_nothing() {
-    // The caller asks twice under one key, at the home and at another instance. Both answers
-    // are the same and the service ran the claim once. Another body under the key is refused.
+async fn a_retried_claim_gets_the_same_answer_and_does_not_run_again() {
+    // The caller sends a claim twice with one key, to the home and to another instance. Both
+    // answers are the same and the service runs the claim once. A different body with the same key
+    // is refused.
     let platform = Platform::start(1).await;
-    let daemons = three(&platform, 1).await;
-    let key = key(&daemons[0].caller_address, "a").await;
+    let daemons = start_three(&platform, 1).await;
+    let key = idempotency_key(&daemons[0].caller_address, "a").await;
     let first = claim(&daemons[0].caller_address, &key, "lot 1", "4000")
         .await
         .expect("an answer");
@@ -34,13 +35,13 @@
 }
 
 #[actix_rt::test]
-async fn a_claim_whose_home_died_before_it_is_closed_and_truly_never_runs() {
-    // The home is killed before it hears of the claim. Another instance asks the witness, which
-    // closes the key: the caller is told `not_run` and gets a prefix for a new key, under which
-    // the claim runs once.
+async fn a_claim_whose_home_was_killed_before_dispatch_is_fenced_and_never_runs() {
+    // The home is killed before it receives the claim. Another instance asks the witness, which
+    // fences the key. The caller gets `not_run` with a prefix for a new key, with which the claim
+    // runs once.
     let platform = Platform::start(1).await;
-    let mut daemons = three(&platform, 1).await;
-    let key = key(&daemons[0].caller_address, "b").await;
+    let mut daemons = start_three(&platform, 1).await;
+    let key = idempotency_key(&daemons[0].caller_address, "b").await;
     let witness = key
         .split('~')
         .nth(1)
@@ -57,12 +58,12 @@
         .await
         .expect("an answer");
     assert_eq!(refused.json()["ran"], "not_run", "{}", refused.text());
-    let again = claim(&other, &key, "lot 3", "4000")
+    let retried = claim(&other, &key, "lot 3", "4000")
         .await
         .expect("an answer");
-    assert_eq!(again.json()["ran"], "not_run", "{}", again.text());
+    assert_eq!(retried.json()["ran"], "not_run", "{}", retried.text());
     assert!(platform.service.effects().is_empty());
-    let prefix = again.json()["key_prefix"]
+    let prefix = retried.json()["key_prefix"]
         .as_str()
         .unwrap_or_default()
         .to_owned();
@@ -74,20 +75,22 @@
 }
 
 #[actix_rt::test]
-async fn a_claim_whose_home_is_paused_in_its_midst_runs_at_most_once() {
-    // The home is stopped with SIGSTOP after it has dispatched the claim. The caller asks
-    // another instance, which cannot reach the home; the witness has noted the key, so it says
-    // `unknown` and runs nothing. When the home wakes up, the same key gets its answer.
+async fn a_claim_whose_home_is_paused_during_the_call_runs_at_most_once() {
+    // The home is paused with SIGSTOP after it has dispatched the claim. The caller retries at
+    // another instance, which cannot reach the home. The witness has granted the key, so that
+    // instance answers `unknown` and dispatches nothing. When the home resumes, it answers the
+    // original call.
     let platform = Platform::start(1).await;
-    let daemons = three(&platform, 1).await;
-    let key = key(&daemons[0].caller_address, "c").await;
+    let daemons = start_three(&platform, 1).await;
+    let key = idempotency_key(&daemons[0].caller_address, "c").await;
     platform.service.set_faults(ServiceFaults {
         slow_ms: 800,
         lose_answers: false,
     });
-    let (address, own) = (daemons[0].caller_address.clone(), key.clone());
-    let asking = actix_rt::spawn(async move { claim(&address, &own, "lot 4", "20000").await });
-    until("the claim runs", || async {
+    let (address, home_key) = (daemons[0].caller_address.clone(), key.clone());
+    let pending =
+        actix_rt::spawn(async move { claim(&address, &home_key, "lot 4", "20000").await });
+    wait_until("the claim runs", || async {
         !platform.service.effects().is_empty()
     })
     .await;
@@ -97,7 +100,7 @@
         .expect("an answer");
     assert_eq!(other.json()["ran"], "unknown", "{}", other.text());
     daemons[0].signal(libc::SIGCONT);
-    let first = asking.await.expect("the task ends").expect("an answer");
+    let first = pending.await.expect("the task ends").expect("an answer");
     assert_eq!(first.status, 200, "{}", first.text());
     assert_eq!(platform.service.effects()["/claim lot 4"], 1);
 }
--- a/tests/failure/engines.rs
+++ b/tests/failure/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that cut, cross, lose or stall answers, or are drained or given new weights.
+//! Engines that cut, mix up, lose or stall answers, are drained, or load new weights.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 use chicoryrack::standin::{AtPoison, EngineFaults, EngineStandin, POISON, expected_text};
 use serde_json::json;
 
-use crate::common::{MEMBER_KEY, Platform, Reply, admin, bundle, send, serve, until};
-use crate::helpers::{ask, completion};
+use crate::common::{MEMBER_KEY, Platform, Reply, admin, bundle, send, start_serving, wait_until};
+use crate::helpers::{complete, completion};
 
 #[actix_rt::test]
 async fn a_stream_cut_by_its_engine_is_resumed_without_a_gap() {
-    // The caller sees one whole answer. The engine cuts the connection after four tokens; the
-    // instance opens the stream again after the last one it has. No token comes twice, as each
-    // has its number.
+    // The engine closes the connection after four tokens. The instance resumes the stream after
+    // the last token it has received, so the caller gets a complete answer. Tokens are numbered, so
+    // none is repeated.
     let platform = Platform::start(1).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     platform.engines[0].set_faults(EngineFaults {
         cut_after: 4,
         ..EngineFaults::default()
     });
-    let reply = ask(&daemon.caller_address, "cut", 12).await;
+    let reply = complete(&daemon.caller_address, "cut", 12).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.json()["choices"][0]["text"], expected_text("cut", 12));
 }
 
 #[actix_rt::test]
 async fn an_answer_of_another_request_is_dropped() {
-    // One engine names another request in its answers. The instance drops them, counts them and
-    // asks the other engine; the caller sees its own answer. The sound engine has long answers
-    // under way, so that the questions go to the faulty one first.
+    // One engine answers with the ID of another request. The instance drops and counts these answers
+    // and retries at the other engine, so the caller gets its own answer. The healthy engine is busy
+    // with long answers, so that the requests are sent to the faulty one first.
     let platform = Platform::start(2).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     platform.engines[0].set_faults(EngineFaults {
         cross_ids: true,
         ..EngineFaults::default()
@@ -39,7 +39,7 @@
     let busy = keep_busy(&daemon.caller_address, &platform.engines[1], "engine-1").await;
     for number in 0..6 {
         let prompt = format!("question {number}");
-        let reply = ask(&daemon.caller_address, &prompt, 6).await;
+        let reply = complete(&daemon.caller_address, &prompt, 6).await;
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!(
             reply.json()["choices"][0]["text"],
@@ -58,36 +58,37 @@
     }
 }
 
-/// Gives one engine long answers to make, while the other one is drained, and takes the other back.
+/// Sends long requests while the other engine is drained, so that all go to this one, then ends the
+/// drain.
 async fn keep_busy(address: &str, engine: &EngineStandin, other: &str) -> Vec<JoinHandle<Reply>> {
     const ANSWERS: usize = 8;
     const TOKENS: u32 = 400;
     let drained = admin(address, "POST", &format!("engines/{other}/drain"), "").await;
     assert_eq!(drained.status, 200, "{}", drained.text());
-    let asked = (0..ANSWERS).map(|number| {
+    let requests = (0..ANSWERS).map(|number| {
         let address = address.to_owned();
         let prompt = format!("long answer {number}");
-        actix_rt::spawn(async move { ask(&address, &prompt, TOKENS).await })
+        actix_rt::spawn(async move { complete(&address, &prompt, TOKENS).await })
     });
-    let asked: Vec<_> = asked.collect();
-    until("the engine makes all of them", || async {
+    let requests: Vec<_> = requests.collect();
+    wait_until("the engine has all of them", || async {
         engine.held() == ANSWERS
     })
     .await;
-    let back = admin(address, "POST", &format!("engines/{other}/undrain"), "").await;
-    assert_eq!(back.status, 200, "{}", back.text());
-    asked
+    let undrained = admin(address, "POST", &format!("engines/{other}/undrain"), "").await;
+    assert_eq!(undrained.status, 200, "{}", undrained.text());
+    requests
 }
 
 #[actix_rt::test]
-async fn an_engine_that_crashes_mid_answer_is_replaced_by_another() {
-    // The engine loses the request after some tokens. The instance cannot resume there, so it
-    // lets the other engine continue from the text so far; the caller sees one whole answer.
+async fn another_engine_continues_the_answer_of_a_crashed_engine() {
+    // The engine loses the request after some tokens and cannot resume it. The instance lets the
+    // other engine continue from the text so far, so the caller gets a complete answer.
     let platform = Platform::start(2).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
-    let asking = actix_rt::spawn(async move { ask(&address, "crash", 150).await });
-    until("an engine has begun", || async {
+    let pending = actix_rt::spawn(async move { complete(&address, "crash", 150).await });
+    wait_until("an engine has the request", || async {
         platform.engines.iter().any(|engine| engine.held() > 0)
     })
     .await;
@@ -95,7 +96,7 @@
     for engine in platform.engines.iter().filter(|engine| engine.held() > 0) {
         engine.crash();
     }
-    let reply = asking.await.expect("the task ends");
+    let reply = pending.await.expect("the task ends");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(
         reply.json()["choices"][0]["text"],
@@ -104,11 +105,11 @@
 }
 
 #[actix_rt::test]
-async fn a_drained_engine_gets_nothing_new() {
-    // An operator drains one of two engines. From the moment that the drain is in force the
-    // other one gets every request.
+async fn a_drained_engine_gets_no_new_requests() {
+    // An operator drains one of two engines. As soon as the drain is in force, the other one gets
+    // every request.
     let platform = Platform::start(2).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
     let drained = admin(&address, "POST", "engines/engine-1/drain", "").await;
     assert_eq!(drained.status, 200, "{}", drained.text());
@@ -117,20 +118,20 @@
         ..EngineFaults::default()
     });
     for number in 0..8 {
-        let reply = ask(&address, &format!("drain {number}"), 4).await;
+        let reply = complete(&address, &format!("drain {number}"), 4).await;
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
     assert_eq!(platform.engines[0].held(), 0);
 }
 
 #[actix_rt::test]
-async fn a_roll_loads_the_new_version_beside_the_old_one_and_refuses_nothing() {
-    // A bundle with new weights is rolled while requests come. Engines load them by the lease
-    // holder's orders, one group at a time; until then the old version answers.
+async fn a_roll_loads_the_new_version_while_the_old_one_serves_without_refusals() {
+    // A bundle with new weights is rolled while requests arrive. The lease holder orders the engines
+    // to load them, one group at a time; the old version serves until they have.
     let platform = Platform::start(2).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
-    let reply = ask(&address, "before", 4).await;
+    let reply = complete(&address, "before", 4).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
     let mut next = bundle(2);
     next["models"][0]["version"] = json!("v2");
@@ -140,24 +141,23 @@
         let done = admin(&address, "POST", &format!("bundles/2/{verb}"), "").await;
         assert_eq!(done.status, 200, "{}", done.text());
     }
-    until("both engines have loaded the new version", || async {
-        let reply = ask(&address, "during", 3).await;
+    wait_until("both engines have loaded the new version", || async {
+        let reply = complete(&address, "during", 3).await;
         assert_eq!(reply.status, 200, "{}", reply.text());
         let engines = admin(&address, "GET", "engines", "").await.text();
         engines.matches("annagrade-llm@v2").count() == 2
     })
     .await;
-    let reply = ask(&address, "after", 4).await;
+    let reply = complete(&address, "after", 4).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
 }
 
 #[actix_rt::test]
-async fn an_engine_that_falls_silent_is_left_in_time_for_another() {
-    // One engine takes requests and produces nothing. A request there is given up after six
-    // tenths of its time, as the engine has shown nobody a sign of life, and the other engine
-    // answers it before its deadline.
+async fn a_request_at_a_stalled_engine_is_retried_before_its_deadline() {
+    // One engine accepts requests and produces nothing. As it shows no activity for any request, the
+    // attempt times out after 60 % of the deadline and the other engine answers in time.
     let platform = Platform::start(2).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
     platform.engines[0].set_faults(EngineFaults {
         stall: true,
@@ -186,12 +186,12 @@
 }
 
 #[actix_rt::test]
-async fn a_prompt_that_ends_engines_does_not_end_the_fleet() {
-    // A caller's prompt ends the engine that begins with it. The instance lets another engine go on, which
-    // ends too, and the caller comes back with the same prompt, five times. Held against the engines alone,
-    // each loss hands it to the next one, until nobody is left for other callers.
+async fn a_poison_prompt_does_not_crash_all_engines() {
+    // A caller's prompt crashes every engine that starts it. The instance retries it at another
+    // engine, which crashes too, and the caller sends it five times. If each loss were attributed to
+    // the engine alone, the prompt would crash one engine after the other until none is left.
     let platform = Platform::start(5).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     for engine in &platform.engines {
         engine.set_faults(EngineFaults {
             at_poison: AtPoison::Ends,
@@ -199,12 +199,12 @@
         });
     }
     for _ in 0..5 {
-        let reply = ask(&daemon.caller_address, POISON, 8).await;
+        let reply = complete(&daemon.caller_address, POISON, 8).await;
         assert_ne!(reply.status, 200, "{}", reply.text());
     }
     let alive = platform.engines.iter().filter(|it| it.is_listening());
     let alive = alive.count();
     assert!(alive >= 2, "{alive} left");
-    let reply = ask(&daemon.caller_address, "another", 8).await;
+    let reply = complete(&daemon.caller_address, "another", 8).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
 }
--- a/tests/failure/helpers.rs
+++ b/tests/failure/helpers.rs
@@ -1,38 +1,48 @@
-//! What the failure tests ask, and of whom.
+//! Requests and deployments of the failure tests.
 
 use serde_json::json;
 
-use crate::common::{Daemon, MEMBER_KEY, MODEL, Platform, Reply, knows, ready, roll, send};
+use crate::common::{
+    Daemon, MEMBER_KEY, MODEL, Platform, Reply, roll, send, wait_discovered, wait_ready,
+};
 
-/// A completion as a body.
+/// Creates the body of a completion request.
 pub fn completion(prompt: &str, tokens: u32, stream: bool) -> String {
     let body = json!({ "model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": stream });
     body.to_string()
 }
 
-/// Asks for a completion and waits for its whole answer.
-pub async fn ask(address: &str, prompt: &str, tokens: u32) -> Reply {
+/// Requests a completion and waits for the complete answer.
+pub async fn complete(address: &str, prompt: &str, tokens: u32) -> Reply {
     let body = completion(prompt, tokens, false);
     let reply = send("POST", address, "/v1/completions", MEMBER_KEY, &[], body).await;
     reply.expect("an answer")
 }
 
-/// An idempotency key that names the instance as the home of its call.
-pub async fn key(address: &str, own: &str) -> String {
+/// Creates an idempotency key whose home is the instance at this address.
+pub async fn idempotency_key(address: &str, suffix: &str) -> String {
     let lookup = send("GET", address, "/v1/lookup", "", &[], "")
         .await
         .expect("a lookup")
         .json();
     let prefix = lookup["key_prefix"]
         .as_str()
-        .expect("a witness is there")
+        .expect("the instance has a witness")
         .to_owned();
-    format!("{prefix}{own}")
+    format!("{prefix}{suffix}")
 }
 
-/// Sends a call that may run once; gives nothing if its connection broke.
-pub async fn claim(address: &str, key: &str, body: &str, deadline_ms: &str) -> Option<Reply> {
-    let headers = [("idempotency-key", key), ("x-deadline-ms", deadline_ms)];
+/// Sends an at-most-once call; returns `None` if the connection failed.
+pub async fn claim(
+    address: &str,
+    idempotency_key: &str,
+    body: &str,
+    deadline_ms: &str,
+) -> Option<Reply> {
+    let headers = [
+        ("idempotency-key", idempotency_key),
+        ("x-deadline-ms", deadline_ms),
+    ];
     send(
         "POST",
         address,
@@ -44,8 +54,9 @@
     .await
 }
 
-/// Three instances in as many zones that know each other and the engines.
-pub async fn three(platform: &Platform, engines: usize) -> Vec<Daemon> {
+/// Starts three instances in different zones and waits until they have discovered each other and
+/// the engines.
+pub async fn start_three(platform: &Platform, engines: usize) -> Vec<Daemon> {
     let mut daemons = Vec::new();
     for (name, zone) in [
         ("entry-1", "salt-lake"),
@@ -55,11 +66,11 @@
         daemons.push(Daemon::start(name, zone, platform));
     }
     for daemon in &daemons {
-        ready(&daemon.caller_address).await;
+        wait_ready(&daemon.caller_address).await;
     }
     roll(&daemons[0].caller_address, 1).await;
     for daemon in &daemons {
-        knows(&daemon.caller_address, 3, engines).await;
+        wait_discovered(&daemon.caller_address, 3, engines).await;
     }
     daemons
 }
--- a/tests/failure/instances.rs
+++ b/tests/failure/instances.rs
@@ -1,44 +1,44 @@
-//! Instances that leave as planned or are killed under a request.
+//! Instances that are stopped gracefully or killed while they serve a request.
 
 use chicoryrack::standin::expected_text;
 use serde_json::Value;
 
-use crate::common::{MEMBER_KEY, Platform, send, serve, until};
-use crate::helpers::{ask, completion, three};
+use crate::common::{MEMBER_KEY, Platform, send, start_serving, wait_until};
+use crate::helpers::{complete, completion, start_three};
 
 #[actix_rt::test]
-async fn a_planned_stop_cuts_no_request_even_when_asked_twice() {
-    // The instance is told to stop, twice, while it answers. It ends the answer, takes nothing
-    // new, is handed out no more, and exits with 0.
+async fn a_graceful_stop_interrupts_no_request_even_when_signalled_twice() {
+    // The instance gets SIGTERM twice while it answers. It finishes the answer, accepts no new
+    // requests, is no longer offered to callers, and exits with code 0.
     let platform = Platform::start(1).await;
-    let mut daemons = three(&platform, 1).await;
+    let mut daemons = start_three(&platform, 1).await;
     let address = daemons[0].caller_address.clone();
-    let asking = actix_rt::spawn(async move { ask(&address, "stop", 200).await });
-    until("the engine has begun", || async {
+    let pending = actix_rt::spawn(async move { complete(&address, "stop", 200).await });
+    wait_until("the engine has the request", || async {
         platform.engines[0].held() > 0
     })
     .await;
     daemons[0].signal(libc::SIGTERM);
     daemons[0].signal(libc::SIGTERM);
     let other = daemons[1].caller_address.clone();
-    let leaving = daemons[0].caller_address.clone();
-    until("it is handed out no more", || async {
+    let stopping = daemons[0].caller_address.clone();
+    wait_until("the instance is no longer offered", || async {
         let lookup = send("GET", &other, "/v1/lookup", "", &[], "")
             .await
             .expect("a lookup");
-        !lookup.text().contains(&leaving)
+        !lookup.text().contains(&stopping)
     })
     .await;
-    let reply = asking.await.expect("the task ends");
+    let reply = pending.await.expect("the task ends");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(
         reply.json()["choices"][0]["text"],
         expected_text("stop", 200)
     );
-    assert_eq!(daemons[0].ended().await, Some(0));
+    assert_eq!(daemons[0].wait_exit().await, Some(0));
 }
 
-/// Sends one request on an open connection and gives the first line of its answer.
+/// Sends a request on an open connection and returns the first line of the response.
 fn exchange(stream: &mut std::net::TcpStream, request: &str) -> String {
     use std::io::{Read, Write};
     stream
@@ -51,31 +51,31 @@
 }
 
 #[actix_rt::test]
-async fn a_connection_kept_open_brings_a_leaving_instance_nothing_new() {
-    // A caller keeps its connection open while the instance leaves. The listener is closed after
-    // the grace, but this connection is not: a request on it is refused as not run, while the
-    // answer that was under way comes whole.
+async fn a_stopping_instance_refuses_new_requests_on_open_connections() {
+    // A caller keeps its connection open while the instance stops. The listener closes after the
+    // grace period, but this connection stays open. A request on it is refused as not run, while an
+    // answer that is already in progress completes.
     let platform = Platform::start(1).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
-    let mut kept = std::net::TcpStream::connect(&address).expect("a connection");
-    let line = exchange(&mut kept, "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n");
+    let mut connection = std::net::TcpStream::connect(&address).expect("a connection");
+    let line = exchange(&mut connection, "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n");
     assert!(line.starts_with("HTTP/1.1 200"), "{line}");
-    let asking = actix_rt::spawn(async move { ask(&address, "leave", 400).await });
-    until("the engine has begun", || async {
+    let pending = actix_rt::spawn(async move { complete(&address, "leave", 400).await });
+    wait_until("the engine has the request", || async {
         platform.engines[0].held() > 0
     })
     .await;
     daemon.signal(libc::SIGTERM);
-    until("the listener is closed", || async {
+    wait_until("the listener is closed", || async {
         std::net::TcpStream::connect(&daemon.caller_address).is_err()
     })
     .await;
     let request =
         format!("GET /v1/models HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {MEMBER_KEY}\r\n\r\n");
-    let line = exchange(&mut kept, &request);
+    let line = exchange(&mut connection, &request);
     assert!(line.starts_with("HTTP/1.1 503"), "{line}");
-    let reply = asking.await.expect("the task ends");
+    let reply = pending.await.expect("the task ends");
     assert_eq!(
         reply.json()["choices"][0]["text"],
         expected_text("leave", 400)
@@ -83,12 +83,12 @@
 }
 
 #[actix_rt::test]
-async fn the_rest_of_an_answer_comes_from_another_instance_after_a_kill() {
-    // The caller streams from an instance that is killed with SIGKILL. It asks another instance
-    // for the rest with the token it was given and the last number it has, and gets every token
+async fn a_stream_resumes_at_another_instance_after_a_kill() {
+    // The caller streams from an instance that is killed with SIGKILL. It requests the rest from
+    // another instance with its resume token and the last number it has, and gets every token
     // once.
     let platform = Platform::start(1).await;
-    let mut daemons = three(&platform, 1).await;
+    let mut daemons = start_three(&platform, 1).await;
     let first = daemons[0].caller_address.clone();
     let tokens = 120;
     let client = awc::Client::builder().disable_timeout().finish();
@@ -98,14 +98,14 @@
         .send_body(completion("kill", tokens, true))
         .await
         .expect("a stream");
-    let mut seen = String::new();
-    while seen.matches("\ndata: ").count() < 5 {
+    let mut received = String::new();
+    while received.matches("\ndata: ").count() < 5 {
         let chunk = futures_util::StreamExt::next(&mut response).await;
         let chunk = chunk.expect("more").expect("bytes");
-        seen.push_str(&String::from_utf8_lossy(&chunk));
+        received.push_str(&String::from_utf8_lossy(&chunk));
     }
     daemons[0].kill();
-    let mut events = events(&seen);
+    let mut events = events(&received);
     let (last, token) = events
         .last()
         .map(|event| (event.0, event.2.clone()))
@@ -125,7 +125,7 @@
     assert!(rest.ends_with("data: [DONE]\n\n"), "{rest}");
 }
 
-/// Number, text and token of each whole token event.
+/// Extracts number, text and resume token of each complete token event.
 fn events(text: &str) -> Vec<(u64, String, String)> {
     let whole = text
         .split_inclusive("\n\n")
--- a/tests/failure/log.rs
+++ b/tests/failure/log.rs
@@ -1,41 +1,41 @@
-//! The log down, losing answers, or having dropped what came before.
+//! Failures of the log: unavailable, losing answers, or without its older records.
 
 use chicoryrack::standin::{LogFaults, expected_text};
 use serde_json::json;
 
-use crate::common::{Daemon, Platform, admin, bundle, knows, ready, send, serve, until};
-use crate::helpers::{ask, claim, key, three};
+use crate::common::{
+    Daemon, Platform, admin, bundle, send, start_serving, wait_discovered, wait_ready, wait_until,
+};
+use crate::helpers::{claim, complete, idempotency_key, start_three};
 
 #[actix_rt::test]
 async fn a_bundle_stays_in_force_and_reaches_a_new_instance_while_the_log_is_down() {
-    // The log goes down after a roll. Requests are served, claims run, publishing is refused as
-    // not run, and an instance that starts now learns the bundle from a peer.
+    // The log becomes unavailable after a roll. Completions and claims still work, publishing is
+    // refused as not run, and an instance that starts now learns the bundle from a peer.
     let platform = Platform::start(1).await;
-    let daemons = three(&platform, 1).await;
+    let daemons = start_three(&platform, 1).await;
     platform.log.set_faults(LogFaults {
         down: true,
         ..LogFaults::default()
     });
     let first = daemons[0].caller_address.clone();
-    until("the instance has noticed", || async {
+    wait_until("the instance refuses to publish", || async {
         let reply = admin(&first, "POST", "bundles", bundle(2).to_string()).await;
         reply.status == 503 && reply.json()["ran"] == "not_run"
     })
     .await;
-    let late = Daemon::start("entry-4", "salt-lake", &platform);
-    ready(&late.caller_address).await;
-    let status = admin(&late.caller_address, "GET", "status", "")
-        .await
-        .json();
+    let new = Daemon::start("entry-4", "salt-lake", &platform);
+    wait_ready(&new.caller_address).await;
+    let status = admin(&new.caller_address, "GET", "status", "").await.json();
     assert_eq!(status["version"], 1, "{status}");
     assert_ne!(status["learned_from"], "log");
-    knows(&late.caller_address, 4, 1).await;
-    let reply = ask(&late.caller_address, "log down", 5).await;
+    wait_discovered(&new.caller_address, 4, 1).await;
+    let reply = complete(&new.caller_address, "log down", 5).await;
     assert_eq!(
         reply.json()["choices"][0]["text"],
         expected_text("log down", 5)
     );
-    let key = key(&first, "d").await;
+    let key = idempotency_key(&first, "d").await;
     let claimed = claim(&first, &key, "lot 5", "4000")
         .await
         .expect("an answer");
@@ -44,11 +44,12 @@
 
 #[actix_rt::test]
 async fn an_append_whose_answer_is_lost_takes_effect_once() {
-    // The log takes every record and loses every answer. The instance appends again until it
-    // reads its record back; readers drop the copies. The operator sees one accepted bundle.
+    // The log accepts every record but loses every answer. The instance repeats the append until it
+    // reads the record back, and readers ignore the duplicates. The operator sees one accepted
+    // bundle.
     let platform = Platform::start(1).await;
     let daemon = Daemon::start("entry-1", "salt-lake", &platform);
-    ready(&daemon.caller_address).await;
+    wait_ready(&daemon.caller_address).await;
     platform.log.set_faults(LogFaults {
         lose_answers: true,
         ..LogFaults::default()
@@ -74,12 +75,12 @@
 }
 
 #[actix_rt::test]
-async fn a_new_instance_learns_the_bundle_from_a_log_that_has_dropped_its_roll() {
-    // Operators drain and undrain until the roll of the bundle in force is older than all that
-    // the log keeps. The instance has written snapshots meanwhile; a new one, alone with the log
-    // after the first is killed, finds the bundle in a snapshot and serves.
+async fn a_new_instance_learns_the_bundle_from_a_snapshot_when_the_log_has_dropped_the_roll() {
+    // Drains and undrains are recorded until the log no longer retains the roll of the bundle in
+    // force. The instance has written snapshots in the meantime. After it is killed, a new instance
+    // has no peer and must find the bundle in a snapshot.
     let platform = Platform::start(1).await;
-    let mut first = serve(&platform).await;
+    let mut first = start_serving(&platform).await;
     for _ in 0..60 {
         for verb in ["drain", "undrain"] {
             let path = format!("engines/engine-1/{verb}");
@@ -88,7 +89,7 @@
         }
     }
     let address = first.caller_address.clone();
-    until("the last snapshot is near the end of the log", || async {
+    wait_until("the last snapshot is near the end of the log", || async {
         let metrics = send("GET", &address, "/metrics", "", &[], "")
             .await
             .expect("metrics")
@@ -107,16 +108,14 @@
         keep: 64,
         ..LogFaults::default()
     });
-    let late = Daemon::start("entry-9", "howrah", &platform);
-    ready(&late.caller_address).await;
-    let status = admin(&late.caller_address, "GET", "status", "")
-        .await
-        .json();
+    let new = Daemon::start("entry-9", "howrah", &platform);
+    wait_ready(&new.caller_address).await;
+    let status = admin(&new.caller_address, "GET", "status", "").await.json();
     assert_eq!(
         (&status["version"], &status["learned_from"]),
         (&json!(1), &json!("log")),
         "{status}"
     );
-    let audit = admin(&late.caller_address, "GET", "audit", "").await.text();
+    let audit = admin(&new.caller_address, "GET", "audit", "").await.text();
     assert!(audit.contains("roll bundle 1"), "{audit}");
 }
--- a/tests/failure/main.rs
+++ b/tests/failure/main.rs
@@ -1,4 +1,4 @@
-//! Real programs that are killed, paused and stopped under real requests.
+//! Failures of real processes and stand-ins while requests are in flight.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -1,4 +1,5 @@
-//! Malformed input at a real instance: answered 4xx with the field named, nothing lost.
+//! Malformed input to a real instance is answered with a 4xx status that names the field, and does
+//! not disturb other requests.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use common::{MEMBER_KEY, MODEL, Platform, admin, bundle, send, serve};
+use common::{MEMBER_KEY, MODEL, Platform, admin, bundle, send, start_serving};
 use serde_json::json;
 
 /// Name, API key, headers and body.
@@ -20,7 +21,7 @@
 #[actix_rt::test]
 async fn malformed_requests_are_refused_with_the_field_named() {
     let platform = Platform::start(1).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = &daemon.caller_address;
     let good = json!({ "model": MODEL, "prompt": "p", "max_tokens": 2 }).to_string();
     let cases: Vec<Case> = vec![
@@ -86,8 +87,8 @@
     for (name, key, headers, body) in cases {
         let reply = send("POST", address, "/v1/completions", key, headers, body).await;
         let reply = reply.expect("an answer");
-        let said = reply.json();
-        let message = said["error"]["message"]
+        let body = reply.json();
+        let message = body["error"]["message"]
             .as_str()
             .unwrap_or_default()
             .to_owned();
@@ -98,7 +99,7 @@
         );
         seen.push(format!(
             "{name}: {} {} {message}",
-            reply.status, said["ran"]
+            reply.status, body["ran"]
         ));
     }
     insta::assert_snapshot!(seen.join("\n"));
@@ -109,7 +110,7 @@
 #[actix_rt::test]
 async fn malformed_keys_and_bundles_are_refused_with_the_field_named() {
     let platform = Platform::start(1).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = &daemon.caller_address;
     let mut seen = Vec::new();
     for key in ["", "abc", "a:1:1~b:2:1~", "a:1:1~a:2:1~x", "a:zz:1~b:2:1~x"] {
@@ -118,10 +119,10 @@
         let reply = send("POST", address, path, MEMBER_KEY, &headers, "lot")
             .await
             .expect("an answer");
-        let said = reply.json();
+        let body = reply.json();
         seen.push(format!(
             "key `{key}`: {} {}",
-            reply.status, said["error"]["message"]
+            reply.status, body["error"]["message"]
         ));
     }
     let mut wrong = bundle(2);
@@ -143,8 +144,8 @@
     assert!(platform.service.effects().is_empty());
 }
 
-/// Writes raw bytes, waits for the end of the answer and gives its first line.
-fn raw(address: &str, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns the first line of the response; empty if the connection closes.
+fn send_raw(address: &str, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("the instance listens");
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
@@ -157,43 +158,51 @@
 }
 
 #[actix_rt::test]
-async fn broken_and_slow_senders_do_not_hold_the_instance_up() {
-    // One sender stops in the midst of its body, one sends bytes that are no UTF-8, one no HTTP.
-    // Each is answered or cut by its own limit, and a good request is answered beside them.
+async fn broken_and_slow_clients_do_not_block_the_instance() {
+    // One client stops in the middle of its body, one sends invalid UTF-8 and one does not speak
+    // HTTP. Each gets its own error, and a valid request is answered in the meantime.
     let platform = Platform::start(1).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {MEMBER_KEY}\r\ncontent-length: 40\r\n\r\n"
     );
     let half = [head.as_bytes(), b"{\"model\":"].concat();
-    let foreign = [head.as_bytes(), &[0xff; 40]].concat();
-    let slow = address.clone();
-    let slow = std::thread::spawn(move || raw(&slow, &half));
+    let not_utf8 = [head.as_bytes(), &[0xff; 40]].concat();
+    let slow_address = address.clone();
+    let slow = std::thread::spawn(move || send_raw(&slow_address, &half));
     let good = json!({ "model": MODEL, "prompt": "p", "max_tokens": 2 }).to_string();
     let reply = send("POST", &address, "/v1/completions", MEMBER_KEY, &[], good).await;
     assert_eq!(reply.expect("an answer").status, 200);
-    let elsewhere = address.clone();
-    let foreign = std::thread::spawn(move || raw(&elsewhere, &foreign));
-    let no_http = std::thread::spawn(move || raw(&address, b"hello\r\n\r\n"));
+    let not_utf8_address = address.clone();
+    let not_utf8 = std::thread::spawn(move || send_raw(&not_utf8_address, &not_utf8));
+    let no_http = std::thread::spawn(move || send_raw(&address, b"hello\r\n\r\n"));
     assert!(
-        slow.join().expect("ends").starts_with("HTTP/1.1 408"),
+        slow.join()
+            .expect("the client thread ends")
+            .starts_with("HTTP/1.1 408"),
         "slow"
     );
     assert!(
-        foreign.join().expect("ends").starts_with("HTTP/1.1 400"),
-        "foreign"
+        not_utf8
+            .join()
+            .expect("the client thread ends")
+            .starts_with("HTTP/1.1 400"),
+        "not UTF-8"
     );
     assert!(
-        no_http.join().expect("ends").starts_with("HTTP/1.1 400"),
+        no_http
+            .join()
+            .expect("the client thread ends")
+            .starts_with("HTTP/1.1 400"),
         "no HTTP"
     );
 }
 
 #[actix_rt::test]
-async fn an_idle_instance_is_small() {
+async fn an_idle_instance_uses_less_than_32_mib() {
     let platform = Platform::start(1).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let rss_kb = daemon.resident_kb();
     println!("resident: {rss_kb} kB");
     assert!(rss_kb > 0 && rss_kb < 32_768, "{rss_kb} kB");
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,14 +1,14 @@
-//! The whole path with real programs: a bundle goes in, a completion comes out.
+//! End-to-end tests with real processes: publishing bundles and answering completions.
 
 mod common;
 
-use common::{Daemon, MEMBER_KEY, MODEL, Platform, admin, bundle, ready, send, serve};
+use common::{Daemon, MEMBER_KEY, MODEL, Platform, admin, bundle, send, start_serving, wait_ready};
 use serde_json::json;
 
 #[actix_rt::test]
-async fn a_bundle_is_published_and_a_completion_is_answered_whole() {
+async fn a_bundle_is_published_and_a_completion_is_answered_completely() {
     let platform = Platform::start(2).await;
-    let daemon = serve(&platform).await;
+    let daemon = start_serving(&platform).await;
     let address = daemon.caller_address.clone();
 
     let prompt = "grade today's manifest";
@@ -48,15 +48,15 @@
 }
 
 #[actix_rt::test]
-async fn of_two_racing_bundles_one_is_accepted_and_the_other_is_told_who_won() {
-    // Two operators publish version 1 at different instances at the same time. Both records
-    // reach the log; the fold accepts the first and refuses the second everywhere alike, so one
-    // operator gets 200 and the other 409 with the winner's digest.
+async fn of_two_racing_bundles_one_is_accepted_and_the_other_learns_the_winner() {
+    // Two operators publish version 1 at different instances at the same time. Both records reach
+    // the log. Every instance accepts the first and refuses the second, so one operator gets 200
+    // and the other gets 409 with the digest of the accepted bundle.
     let platform = Platform::start(1).await;
     let one = Daemon::start("entry-1", "salt-lake", &platform);
     let two = Daemon::start("entry-2", "howrah", &platform);
-    ready(&one.caller_address).await;
-    ready(&two.caller_address).await;
+    wait_ready(&one.caller_address).await;
+    wait_ready(&two.caller_address).await;
     let mut other = bundle(1);
     other["policy"] = json!({ "role_change_weight": 0.9 });
     let (first, second) = tokio::join!(
