--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -27,7 +27,7 @@
     Ok(text)
 }
 
-/// Reads a text field of any length, which the frame bounds.
+/// Reads a text field that is limited only by the size of its frame.
 pub(crate) fn read_unbounded_text(
     field: &'static str,
     text: capnp::Result<capnp::text::Reader>,
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -49,7 +49,7 @@
     pub group: String,
     /// Offset of the lease's latest record, which the claim supersedes; 0 if there is none.
     pub supersedes: u64,
-    /// Validity of the claim and of each renewal.
+    /// Time for which the claim and each renewal are valid.
     pub ttl_ms: u64,
 }
 
--- a/crates/wire/src/snapshot.rs
+++ b/crates/wire/src/snapshot.rs
@@ -58,7 +58,7 @@
     pub last_offset: u64,
     /// Sequence number of that record among the holder's.
     pub sequence: u64,
-    /// Validity of the claim and of each renewal.
+    /// Time for which the claim and each renewal are valid.
     pub ttl_ms: u64,
     /// Whether the holder released the lease.
     pub released: bool,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -11,8 +11,8 @@
 /// Runs an instance until SIGTERM or SIGINT, then lets it finish its requests. Further signals do
 /// not interrupt them.
 ///
-/// Prints the addresses as one JSON line on standard output, because the ports are unknown before
-/// if the settings give port 0.
+/// Prints the addresses as one JSON line on standard output, since port 0 in the settings is replaced
+/// by a free port.
 pub async fn run(settings: conf::Settings) -> Result<(), Box<dyn std::error::Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
