--- a/crates/conf/src/bundle.rs
+++ b/crates/conf/src/bundle.rs
@@ -83,8 +83,8 @@
             1,
             1_000,
         );
-        for (workspace_index, workspace) in member.workspaces.iter().enumerate() {
-            let field = format!("members[{index}].workspaces[{workspace_index}]");
+        for (place, workspace) in member.workspaces.iter().enumerate() {
+            let field = format!("members[{index}].workspaces[{place}]");
             checker.name(format!("{field}.name"), &workspace.name);
             checker.sha256(format!("{field}.key_sha256"), &workspace.key_sha256);
             checker.range(
@@ -116,10 +116,10 @@
         checker.name(format!("services[{index}].name"), &service.name);
         let field = format!("services[{index}].deadline_ms");
         checker.range(field, service.deadline_ms, 1, MAX_DEADLINE_MS);
-        for (path_index, path) in service.once_paths.iter().enumerate() {
+        for (place, path) in service.once_paths.iter().enumerate() {
             if !path.starts_with('/') {
                 checker.fail(
-                    format!("services[{index}].once_paths[{path_index}]"),
+                    format!("services[{index}].once_paths[{place}]"),
                     format!("`{path}` does not begin with /"),
                 );
             }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -181,7 +181,7 @@
 }
 
 async fn run_engine(client: &Client, command: &EngineCmd, json: bool) -> Result<String> {
-    let (verb, engine) = match command {
+    let (step, engine) = match command {
         EngineCmd::Drain(drain) => ("drain", &drain.engine),
         EngineCmd::Undrain(undrain) => ("undrain", &undrain.engine),
         EngineCmd::List(_) => {
@@ -190,12 +190,12 @@
         }
     };
     let response = client
-        .post(verb, &format!("engines/{engine}/{verb}"), String::new())
+        .post(step, &format!("engines/{engine}/{step}"), String::new())
         .await?;
     Ok(format_outcome(
         &response,
         json,
-        &format!("{verb} of {engine}"),
+        &format!("{step} of {engine}"),
     ))
 }
 
