--- a/crates/fault/src/calls.rs
+++ b/crates/fault/src/calls.rs
@@ -5,7 +5,7 @@
 
 use crate::instance::{Stage, Waiting};
 use crate::world::{Message, World};
-use crate::{Broken, Invariant, Step};
+use crate::{DisabledSafeguard, Invariant, Step};
 
 /// Time for a witness to answer.
 const CLAIM_MS: u64 = 300;
@@ -124,7 +124,7 @@
         }
         let call = self.calls[number].clone();
         let now_ms = self.instances[place].clock_ms(self.now_ms);
-        if self.broken == Broken::ForgetKeys {
+        if self.disabled == DisabledSafeguard::ForgetKeys {
             let identity = self.instances[place].place(self.now_ms);
             let epochs = once::EpochCounter::new(0);
             self.instances[place].home =
@@ -151,7 +151,7 @@
         self.instances[place]
             .waiting
             .insert(call.key.to_string(), waiting);
-        if self.broken == Broken::Witness {
+        if self.disabled == DisabledSafeguard::Witness {
             self.granted(place, &call.key, Some(ClaimVerdict::Granted));
             return;
         }
--- a/crates/fault/src/lib.rs
+++ b/crates/fault/src/lib.rs
@@ -5,15 +5,15 @@
 //! when a step is first reached and checks the invariants throughout. docs/FAULTS.md is printed
 //! from the table here.
 
-mod broken;
 mod calls;
 mod fakes;
 mod instance;
 mod invariant;
+mod safeguard;
 mod table;
 mod world;
 
-pub use broken::Broken;
 pub use invariant::{Invariant, Violation};
+pub use safeguard::DisabledSafeguard;
 pub use table::{Cell, Fault, Step, cells, markdown, skip_reason};
 pub use world::{Injection, Outcome, run};
--- a/crates/fault/src/broken.rs
+++ b/crates/fault/src/safeguard.rs
@@ -6,11 +6,11 @@
 
 /// A safeguard that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display)]
-pub enum Broken {
+pub enum DisabledSafeguard {
     /// Nothing is.
     #[default]
     #[display("nothing")]
-    Nothing,
+    None,
     /// A claim counts as won before it was read back.
     #[display("skip the read-back of a claim")]
     ReadBack,
@@ -31,7 +31,7 @@
     Witness,
 }
 
-impl Broken {
+impl DisabledSafeguard {
     /// All safeguards that can be taken out.
     pub const ALL: [Self; 6] = [
         Self::ReadBack,
@@ -45,7 +45,7 @@
     /// Invariants of which at least one must then fail somewhere in the matrix.
     pub fn expected(self) -> &'static [Invariant] {
         match self {
-            Self::Nothing => &[],
+            Self::None => &[],
             Self::ReadBack | Self::Wait | Self::Guard => &[
                 Invariant::NoConflictingOrders,
                 Invariant::NoOrderWithoutAuthority,
--- a/crates/fault/src/world.rs
+++ b/crates/fault/src/world.rs
@@ -14,7 +14,7 @@
 use crate::calls::Call;
 use crate::fakes::{FakeEngine, FakeLog, FakeService};
 use crate::instance::Instance;
-use crate::{Broken, Cell, Fault, Invariant, Step, Violation};
+use crate::{Cell, DisabledSafeguard, Fault, Invariant, Step, Violation};
 
 /// Length of a step of virtual time.
 const TICK_MS: u64 = 10;
@@ -143,7 +143,7 @@
 
 pub(crate) struct World {
     pub(crate) now_ms: u64,
-    pub(crate) broken: Broken,
+    pub(crate) disabled: DisabledSafeguard,
     pub(crate) instances: Vec<Instance>,
     pub(crate) calls: Vec<Call>,
     pub(crate) service: FakeService,
@@ -163,8 +163,8 @@
 }
 
 /// Runs the deployment with faults, and safeguards taken out.
-pub fn run(injections: &[Injection], broken: Broken, seed: u64) -> Outcome {
-    let mut world = World::new(injections, broken, seed);
+pub fn run(injections: &[Injection], disabled: DisabledSafeguard, seed: u64) -> Outcome {
+    let mut world = World::new(injections, disabled, seed);
     while world.now_ms < LENGTH_MS {
         world.tick();
         world.now_ms += TICK_MS;
@@ -180,7 +180,7 @@
 }
 
 impl World {
-    fn new(injections: &[Injection], broken: Broken, seed: u64) -> Self {
+    fn new(injections: &[Injection], disabled: DisabledSafeguard, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let instances =
             (0..INSTANCES).map(|place| Instance::new(&format!("entry-{place}"), 0, &mut rng));
@@ -204,7 +204,7 @@
         }
         Self {
             now_ms: 0,
-            broken,
+            disabled,
             instances,
             calls: Vec::new(),
             service: FakeService::default(),
--- a/crates/fault/src/world/control.rs
+++ b/crates/fault/src/world/control.rs
@@ -5,7 +5,7 @@
 
 use super::{Flight, QUIET_MS, TOO_EARLY_MS, WAY_MS, World};
 use crate::instance::{GROUP, Leaving, TIMES};
-use crate::{Broken, Invariant, Step};
+use crate::{DisabledSafeguard, Invariant, Step};
 
 impl World {
     pub(super) fn elect(&mut self, place: usize) {
@@ -13,7 +13,7 @@
             return;
         }
         let clock_ms = self.instances[place].clock_ms(self.now_ms);
-        let early_ms = if self.broken == Broken::Wait {
+        let early_ms = if self.disabled == DisabledSafeguard::Wait {
             TOO_EARLY_MS
         } else {
             0
@@ -56,7 +56,7 @@
     pub(super) fn authority(&self, place: usize) -> Option<lease::Authority> {
         let instance = &self.instances[place];
         let clock_ms = instance.clock_ms(self.now_ms);
-        if self.broken == Broken::ReadBack
+        if self.disabled == DisabledSafeguard::ReadBack
             && let Some(claimed_ms) = instance.claimed_ms
             && clock_ms < claimed_ms + TIMES.ttl_ms
         {
@@ -144,7 +144,7 @@
         let clock_ms = self.instances[place].clock_ms(self.now_ms);
         for leaving in std::mem::take(&mut self.instances[place].leaving) {
             let lapsed = clock_ms >= leaving.send.expires_ms;
-            if lapsed && self.broken != Broken::Guard {
+            if lapsed && self.disabled != DisabledSafeguard::Guard {
                 continue;
             }
             if !self.instances[place].speaks(self.now_ms) {
--- a/crates/fault/src/world/log.rs
+++ b/crates/fault/src/world/log.rs
@@ -6,7 +6,7 @@
 
 use super::{Flight, INSTANCES, LOG_MS, Message, READ_MS, WAY_MS, World};
 use crate::instance::GROUP;
-use crate::{Broken, Invariant};
+use crate::{DisabledSafeguard, Invariant};
 
 impl World {
     pub(super) fn append(&mut self, place: usize) {
@@ -78,7 +78,7 @@
                 theirs.state().snapshot(),
             )
         };
-        if self.broken == Broken::OffsetOrder {
+        if self.disabled == DisabledSafeguard::OffsetOrder {
             let mut cursor = feed::LogReader::default();
             cursor.install_snapshot(snapshot);
             self.instances[place].cursor = cursor;
--- a/crates/fault/tests/matrix.rs
+++ b/crates/fault/tests/matrix.rs
@@ -1,6 +1,6 @@
 //! Every fault at every step, pairs of them, and safeguards taken out on purpose.
 
-use fault::{Broken, Cell, Fault, Injection, Step, cells, run, skip_reason};
+use fault::{Cell, DisabledSafeguard, Fault, Injection, Step, cells, run, skip_reason};
 use proptest::prelude::*;
 
 const SEEDS: [u64; 2] = [1, 2];
@@ -14,7 +14,7 @@
 
 #[test]
 fn without_faults_everything_settles() {
-    let outcome = run(&[], Broken::Nothing, 1);
+    let outcome = run(&[], DisabledSafeguard::None, 1);
     assert_eq!(outcome.violations, []);
     assert!(outcome.orders > 10, "{} orders", outcome.orders);
     assert!(outcome.ran > 100, "{} calls", outcome.ran);
@@ -25,7 +25,7 @@
     // entry-1 is cut off while version 2 is rolled, and comes back while the log is down. The
     // others then learn from it, among others, and would put version 1 in force again if they
     // took whatever a peer gives; members would see a bundle revert.
-    let outcome = run(&stale_peer(), Broken::Nothing, SEEDS[0]);
+    let outcome = run(&stale_peer(), DisabledSafeguard::None, SEEDS[0]);
     assert!(outcome.reached);
     assert_eq!(outcome.violations, []);
 }
@@ -41,7 +41,11 @@
         }
         for occurrence in [0, 3] {
             for seed in SEEDS {
-                let outcome = run(&[injection(cell, occurrence)], Broken::Nothing, seed);
+                let outcome = run(
+                    &[injection(cell, occurrence)],
+                    DisabledSafeguard::None,
+                    seed,
+                );
                 ran += 1;
                 if !outcome.reached && occurrence == 0 {
                     unreached.push(cell.to_string());
@@ -83,13 +87,13 @@
 }
 
 /// Breaks a safeguard and gives the first faults of the matrix that show it.
-fn caught(broken: Broken) -> Option<String> {
+fn caught(disabled: DisabledSafeguard) -> Option<String> {
     let singles = cells().filter(|cell| skip_reason(*cell).is_none());
     let singles = singles.map(|cell| vec![injection(cell, 0)]);
     let all = std::iter::once(stale_peer().to_vec()).chain(singles);
     for injections in all {
-        let outcome = run(&injections, broken, SEEDS[0]);
-        let expected = broken.expected();
+        let outcome = run(&injections, disabled, SEEDS[0]);
+        let expected = disabled.expected();
         let found = outcome
             .violations
             .iter()
@@ -109,10 +113,10 @@
 fn each_safeguard_taken_out_is_caught() {
     // A checker that cannot fail proves nothing. For each safeguard, the same matrix is run
     // with it left out, and must show one of the invariants that the safeguard is there for.
-    for broken in Broken::ALL {
-        let found = caught(broken);
-        println!("{broken}: {}", found.as_deref().unwrap_or("not caught"));
-        assert!(found.is_some(), "{broken} is not caught");
+    for disabled in DisabledSafeguard::ALL {
+        let found = caught(disabled);
+        println!("{disabled}: {}", found.as_deref().unwrap_or("not caught"));
+        assert!(found.is_some(), "{disabled} is not caught");
     }
 }
 
@@ -133,7 +137,7 @@
 
     #[test]
     fn pairs_of_faults_keep_the_invariants(one in any_cell(), two in any_cell(), seed in 0..1_000_u64) {
-        let outcome = run(&[one, two], Broken::Nothing, seed);
+        let outcome = run(&[one, two], DisabledSafeguard::None, seed);
         prop_assert_eq!(outcome.violations, vec![]);
     }
 }
--- a/crates/load/src/completion.rs
+++ b/crates/load/src/completion.rs
@@ -5,7 +5,7 @@
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
 use serde_json::{Value, json};
-use standin::word;
+use standin::expected_token;
 
 use crate::{Caller, Outcome};
 
@@ -17,7 +17,7 @@
 
 /// One question.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct CompletionRequest {
     /// Class it is asked under.
     pub class: String,
     /// Model.
@@ -32,13 +32,13 @@
 
 /// What a caller saw of one question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct RequestResult {
     /// How it ended.
     pub outcome: Outcome,
     /// Time to the end.
-    pub took_ms: u64,
+    pub duration_ms: u64,
     /// Time to the first token.
-    pub first_ms: u64,
+    pub first_token_ms: u64,
     /// The rest came from another instance.
     pub resumed: bool,
 }
@@ -56,18 +56,18 @@
 struct Progress {
     have: u32,
     resume: Option<String>,
-    first_ms: Option<u64>,
+    first_token_ms: Option<u64>,
     resumed: bool,
 }
 
 impl Caller {
     /// Asks a question and follows its answer to the end.
-    pub async fn ask(&self, question: &Question) -> Seen {
+    pub async fn complete(&self, question: &CompletionRequest) -> RequestResult {
         let begun_ms = self.clock.now_ms();
         let mut progress = Progress {
             have: 0,
             resume: None,
-            first_ms: None,
+            first_token_ms: None,
             resumed: false,
         };
         let mut last = Outcome::Refused;
@@ -120,10 +120,10 @@
                 }
             }
         }
-        Seen {
+        RequestResult {
             outcome: last,
-            took_ms: self.clock.now_ms() - begun_ms,
-            first_ms: progress.first_ms.unwrap_or(0),
+            duration_ms: self.clock.now_ms() - begun_ms,
+            first_token_ms: progress.first_token_ms.unwrap_or(0),
             resumed: progress.resumed,
         }
     }
@@ -131,7 +131,7 @@
     async fn step(
         &self,
         instance: &str,
-        question: &Question,
+        question: &CompletionRequest,
         begun_ms: u64,
         progress: &mut Progress,
     ) -> Step {
@@ -184,7 +184,7 @@
 
     fn take(
         &self,
-        question: &Question,
+        question: &CompletionRequest,
         begun_ms: u64,
         progress: &mut Progress,
         event: &eventsource_stream::Event,
@@ -201,12 +201,12 @@
         if text.is_empty() {
             return None;
         }
-        if text != word(&question.prompt, progress.have as usize) {
+        if text != expected_token(&question.prompt, progress.have as usize) {
             return Some(Step::Wrong);
         }
         progress.have += 1;
         progress
-            .first_ms
+            .first_token_ms
             .get_or_insert(self.clock.now_ms() - begun_ms);
         progress.resume = data["resume"].as_str().map(str::to_owned);
         None
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/generator.rs
@@ -7,32 +7,32 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use model::{Deployment, Kind, Phase, Traffic};
+use model::{Deployment, Phase, RequestKind, RequestSizes};
 
-use crate::{Caller, Question, Tally};
+use crate::{Caller, CompletionRequest, Tally};
 
 /// Deadlines by kind, in ms.
-fn deadline_ms(kind: Kind) -> u64 {
+fn deadline_ms(kind: RequestKind) -> u64 {
     match kind {
-        Kind::Long => 10_000,
-        Kind::Quick => 5_000,
-        Kind::Urgent | Kind::Once => 2_000,
+        RequestKind::Long => 10_000,
+        RequestKind::Quick => 5_000,
+        RequestKind::Urgent | RequestKind::Once => 2_000,
     }
 }
 
 /// A load that is being made.
-pub struct Running {
+pub struct LoadRun {
     /// What became of requests so far.
     pub tally: Rc<RefCell<Tally>>,
     /// Bodies of calls that were answered, each of which must have run exactly once.
-    pub answered: Rc<RefCell<Vec<String>>>,
+    pub completed_calls: Rc<RefCell<Vec<String>>>,
     /// Bodies of calls that were refused as not run.
-    pub refused: Rc<RefCell<Vec<String>>>,
+    pub refused_calls: Rc<RefCell<Vec<String>>>,
 }
 
 /// Makes requests through the phases and waits for the last of them.
 pub async fn run(
-    running: &Running,
+    running: &LoadRun,
     callers: Vec<Caller>,
     deployment: Deployment,
     phases: &[Phase],
@@ -42,7 +42,7 @@
     let mut tasks = Vec::new();
     let mut number = 0_u64;
     for phase in phases {
-        let end = Instant::now() + Duration::from_millis(phase.ms);
+        let end = Instant::now() + Duration::from_millis(phase.duration_ms);
         while Instant::now() < end {
             // Exponential gaps: the requests of many callers who do not know of each other.
             let gap = -rng.random_range(f64::EPSILON..1.0_f64).ln() / phase.mix.total();
@@ -56,8 +56,8 @@
                 kind,
                 number,
                 tally: running.tally.clone(),
-                answered: running.answered.clone(),
-                refused: running.refused.clone(),
+                completed_calls: running.completed_calls.clone(),
+                refused_calls: running.refused_calls.clone(),
             };
             tasks.push(actix_rt::spawn(one.make()));
         }
@@ -70,41 +70,41 @@
 struct One {
     caller: Caller,
     deployment: Deployment,
-    kind: Kind,
+    kind: RequestKind,
     number: u64,
     tally: Rc<RefCell<Tally>>,
-    answered: Rc<RefCell<Vec<String>>>,
-    refused: Rc<RefCell<Vec<String>>>,
+    completed_calls: Rc<RefCell<Vec<String>>>,
+    refused_calls: Rc<RefCell<Vec<String>>>,
 }
 
 impl One {
     async fn make(self) {
         let deadline_ms = deadline_ms(self.kind);
         let class = self.kind.to_string();
-        let seen = if self.kind == Kind::Once {
+        let seen = if self.kind == RequestKind::Once {
             self.call(deadline_ms).await
         } else {
-            let (prompt_tokens, tokens) = Traffic::of(self.deployment).tokens(self.kind);
-            let question = Question {
+            let (prompt_tokens, tokens) = RequestSizes::of(self.deployment).tokens(self.kind);
+            let question = CompletionRequest {
                 class: class.clone(),
                 model: self.deployment.model().to_owned(),
                 prompt: prompt(self.number, prompt_tokens),
                 tokens,
                 deadline_ms,
             };
-            self.caller.ask(&question).await
+            self.caller.complete(&question).await
         };
         let mut tally = self.tally.borrow_mut();
         tally.add(
             &class,
             seen.outcome,
-            seen.took_ms,
-            seen.first_ms,
+            seen.duration_ms,
+            seen.first_token_ms,
             seen.resumed,
         );
     }
 
-    async fn call(&self, deadline_ms: u64) -> crate::completion::Seen {
+    async fn call(&self, deadline_ms: u64) -> crate::completion::RequestResult {
         let (service, path) = self.deployment.service();
         let body = format!("lot {}", self.number);
         let seen = self
@@ -112,8 +112,10 @@
             .call_once(service, path, &body, deadline_ms)
             .await;
         match seen.outcome {
-            crate::Outcome::InTime | crate::Outcome::Late => self.answered.borrow_mut().push(body),
-            crate::Outcome::Refused => self.refused.borrow_mut().push(body),
+            crate::Outcome::InTime | crate::Outcome::Late => {
+                self.completed_calls.borrow_mut().push(body)
+            }
+            crate::Outcome::Refused => self.refused_calls.borrow_mut().push(body),
             crate::Outcome::Unknown | crate::Outcome::Wrong => {}
         }
         seen
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -5,13 +5,13 @@
 
 mod caller;
 mod completion;
-mod fleet;
+mod generator;
 
 mod service;
 mod tally;
 
 pub use caller::{Caller, Tenant};
-pub use completion::{Question, Seen};
-pub use fleet::{Running, run};
+pub use completion::{CompletionRequest, RequestResult};
+pub use generator::{LoadRun, run};
 
-pub use tally::{Outcome, Row, Tally};
+pub use tally::{ClassCounts, Outcome, Tally};
--- a/crates/load/src/service.rs
+++ b/crates/load/src/service.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::completion::Seen;
+use crate::completion::RequestResult;
 use crate::{Caller, Outcome};
 
 /// Times that a caller asks again before it gives up.
@@ -15,7 +15,13 @@
 
 impl Caller {
     /// Makes one call; `body` must be unlike that of any other call.
-    pub async fn call_once(&self, service: &str, path: &str, body: &str, deadline_ms: u64) -> Seen {
+    pub async fn call_once(
+        &self,
+        service: &str,
+        path: &str,
+        body: &str,
+        deadline_ms: u64,
+    ) -> RequestResult {
         let begun_ms = self.clock.now_ms();
         let mut current = None;
         let mut last = Outcome::Refused;
@@ -69,10 +75,10 @@
                 }
             }
         }
-        Seen {
+        RequestResult {
             outcome: last,
-            took_ms: self.clock.now_ms() - begun_ms,
-            first_ms: 0,
+            duration_ms: self.clock.now_ms() - begun_ms,
+            first_token_ms: 0,
             resumed: false,
         }
     }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -25,9 +25,10 @@
 
 /// Counts of one class.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Row {
+pub struct ClassCounts {
     /// Requests made.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Whole answers in time.
     pub in_time: u64,
     /// Whole answers that came late.
@@ -43,13 +44,14 @@
     /// 99th percentile of it.
     pub p99_ms: u64,
     /// 95th percentile of the time to the first token, in ms; 0 where there are no tokens.
-    pub first_p95_ms: u64,
+    #[serde(rename = "first_p95_ms")]
+    pub first_token_p95_ms: u64,
     /// Answers that were resumed at another instance.
     pub resumed: u64,
 }
 
 struct Class {
-    row: Row,
+    row: ClassCounts,
     whole: Histogram<u64>,
     first: Histogram<u64>,
 }
@@ -59,7 +61,7 @@
         let histogram =
             || Histogram::new_with_max(LONGEST_MS, 3).expect("bounds are constant and valid");
         Self {
-            row: Row::default(),
+            row: ClassCounts::default(),
             whole: histogram(),
             first: histogram(),
         }
@@ -78,8 +80,8 @@
         &mut self,
         class: &str,
         outcome: Outcome,
-        took_ms: u64,
-        first_ms: u64,
+        duration_ms: u64,
+        first_token_ms: u64,
         resumed: bool,
     ) {
         let entry = self
@@ -87,7 +89,7 @@
             .entry(class.to_owned())
             .or_insert_with(Class::new);
         let row = &mut entry.row;
-        row.asked += 1;
+        row.requests += 1;
         row.resumed += u64::from(resumed);
         let slot = match outcome {
             Outcome::InTime => &mut row.in_time,
@@ -98,8 +100,8 @@
         };
         *slot += 1;
         if matches!(outcome, Outcome::InTime | Outcome::Late) {
-            entry.whole.saturating_record(took_ms);
-            entry.first.saturating_record(first_ms);
+            entry.whole.saturating_record(duration_ms);
+            entry.first.saturating_record(first_token_ms);
         }
     }
 
@@ -113,12 +115,12 @@
     }
 
     /// Rows by class.
-    pub fn rows(&self) -> BTreeMap<String, Row> {
+    pub fn rows(&self) -> BTreeMap<String, ClassCounts> {
         let rows = self.classes.iter().map(|(name, class)| {
             let mut row = class.row.clone();
             row.p50_ms = class.whole.value_at_quantile(0.5);
             row.p99_ms = class.whole.value_at_quantile(0.99);
-            row.first_p95_ms = class.first.value_at_quantile(0.95);
+            row.first_token_p95_ms = class.first.value_at_quantile(0.95);
             (name.clone(), row)
         });
         rows.collect()
@@ -130,8 +132,8 @@
     }
 
     /// Requests made.
-    pub fn asked(&self) -> u64 {
-        self.classes.values().map(|class| class.row.asked).sum()
+    pub fn requests(&self) -> u64 {
+        self.classes.values().map(|class| class.row.requests).sum()
     }
 
     /// A table for people.
@@ -155,7 +157,7 @@
             let _ = writeln!(
                 text,
                 "{class:<10}{:>7}{:>9}{:>6}{:>9}{:>9}{:>7}{:>9}{:>8}{:>8}{:>11}",
-                row.asked,
+                row.requests,
                 row.in_time,
                 row.late,
                 row.refused,
@@ -164,7 +166,7 @@
                 row.resumed,
                 row.p50_ms,
                 row.p99_ms,
-                row.first_p95_ms
+                row.first_token_p95_ms
             );
         }
         text
--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -23,7 +23,7 @@
     /// Level of urgency, 0 first.
     pub rank: usize,
     /// Order within a rank, smallest first.
-    pub order: u64,
+    pub order_in_rank: u64,
     /// Prompt tokens.
     pub prompt_tokens: u32,
     /// Output tokens.
@@ -51,13 +51,13 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Iteration {
     /// Its length.
-    pub ms: f64,
+    pub duration_ms: f64,
     /// Jobs that got a token, and how many they have now.
     pub tokens: Vec<(u64, u32)>,
     /// Jobs that are complete.
-    pub done: Vec<u64>,
+    pub finished: Vec<u64>,
     /// Jobs whose prompt was begun, and the tokens of it that were cached.
-    pub begun: Vec<(u64, u32)>,
+    pub started: Vec<(u64, u32)>,
 }
 
 /// The engine's queue and batch.
@@ -102,7 +102,7 @@
 
     /// Takes a job in.
     pub fn push(&mut self, job: Job) {
-        let place = (job.rank, job.order, job.id);
+        let place = (job.rank, job.order_in_rank, job.id);
         self.places.insert(job.id, place);
         let waiting = Waiting {
             job,
@@ -147,7 +147,7 @@
     }
 
     /// Prompt tokens waiting, by rank.
-    pub fn queued(&self) -> [f64; RANKS] {
+    pub fn queued_tokens(&self) -> [f64; RANKS] {
         let mut queued = [0.0; RANKS];
         for waiting in self.waiting.values() {
             queued[waiting.job.rank] += f64::from(waiting.left);
@@ -156,13 +156,13 @@
     }
 
     /// Sequences that produce output.
-    pub fn running(&self) -> usize {
+    pub fn running_sequences(&self) -> usize {
         self.running.len()
     }
 
     /// Tokens of a prefix that are held.
-    pub fn holds(&self, prefix: u64) -> u32 {
-        self.prefixes.holds(prefix)
+    pub fn cached_tokens(&self, prefix: u64) -> u32 {
+        self.prefixes.cached_tokens(prefix)
     }
 
     /// Does one iteration.
@@ -170,7 +170,7 @@
         let mut iteration = Iteration::default();
         let decoding = self.running.len();
         let (read, ready) = self.read_prompts(&mut iteration);
-        iteration.ms = self.shape.iteration_ms(decoding as f64, f64::from(read));
+        iteration.duration_ms = self.shape.iteration_ms(decoding as f64, f64::from(read));
         for running in &mut self.running {
             running.produced += 1;
         }
@@ -221,12 +221,14 @@
         if full || sequences >= self.shape.max_running {
             return false;
         }
-        let cached = self.prefixes.reuse(job.prefix, job.prefix_tokens);
+        let cached = self
+            .prefixes
+            .lookup_or_insert(job.prefix, job.prefix_tokens);
         waiting.begun = true;
         waiting.left = waiting.left.saturating_sub(cached).max(1);
         self.begun += 1;
         self.kv_tokens += need;
-        iteration.begun.push((job.id, cached));
+        iteration.started.push((job.id, cached));
         true
     }
 
@@ -239,7 +241,7 @@
                 index += 1;
                 continue;
             }
-            iteration.done.push(running.job.id);
+            iteration.finished.push(running.job.id);
             self.running.swap_remove(index);
             self.release(&running.job);
         }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,9 +4,9 @@
 //! source and its limits.
 
 mod batch;
-mod mix;
 mod prefix;
+mod traffic;
 
 pub use batch::{Batch, Iteration, Job};
-pub use mix::{Deployment, Kind, Mix, Phase, Traffic};
 pub use prefix::PrefixCache;
+pub use traffic::{Deployment, Phase, RequestKind, RequestSizes, TrafficMix};
--- a/crates/model/src/prefix.rs
+++ b/crates/model/src/prefix.rs
@@ -29,7 +29,7 @@
     }
 
     /// Tokens of a prefix that need not be read again; afterwards the prefix is held.
-    pub fn reuse(&mut self, prefix: u64, tokens: u32) -> u32 {
+    pub fn lookup_or_insert(&mut self, prefix: u64, tokens: u32) -> u32 {
         if prefix == 0 || u64::from(tokens) > self.room_tokens {
             return 0;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Tokens of a prefix that are held, without using them.
-    pub fn holds(&self, prefix: u64) -> u32 {
+    pub fn cached_tokens(&self, prefix: u64) -> u32 {
         self.held.get(&prefix).map_or(0, |held| held.tokens)
     }
 
--- a/crates/model/src/mix.rs
+++ b/crates/model/src/traffic.rs
@@ -5,7 +5,7 @@
 
 /// Kinds of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Kind {
+pub enum RequestKind {
     /// A long prompt with a short answer.
     #[display("long")]
     Long,
@@ -66,7 +66,7 @@
     }
 
     /// Instances of the plain service.
-    pub fn services(self) -> usize {
+    pub fn service_instances(self) -> usize {
         3
     }
 
@@ -89,7 +89,7 @@
 
 /// Rates of each kind, in requests a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Mix {
+pub struct TrafficMix {
     /// Long prompts.
     pub long: f64,
     /// Quick questions.
@@ -100,26 +100,26 @@
     pub once: f64,
 }
 
-impl Mix {
+impl TrafficMix {
     /// Requests a second in all.
     pub fn total(&self) -> f64 {
         self.long + self.quick + self.urgent + self.once
     }
 
     /// Draws a kind by its rate.
-    pub fn draw(&self, rng: &mut impl Rng) -> Kind {
+    pub fn draw(&self, rng: &mut impl Rng) -> RequestKind {
         let mut point = rng.random_range(0.0..self.total().max(f64::MIN_POSITIVE));
         for (kind, rate) in [
-            (Kind::Long, self.long),
-            (Kind::Quick, self.quick),
-            (Kind::Urgent, self.urgent),
+            (RequestKind::Long, self.long),
+            (RequestKind::Quick, self.quick),
+            (RequestKind::Urgent, self.urgent),
         ] {
             if point < rate {
                 return kind;
             }
             point -= rate;
         }
-        Kind::Once
+        RequestKind::Once
     }
 }
 
@@ -127,14 +127,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Phase {
     /// How long.
-    pub ms: u64,
+    pub duration_ms: u64,
     /// Which mix.
-    pub mix: Mix,
+    pub mix: TrafficMix,
 }
 
 /// Sizes of requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Traffic {
+pub struct RequestSizes {
     /// Prompt and output tokens of long requests.
     pub long: (u32, u32),
     /// Those of quick ones.
@@ -143,7 +143,7 @@
     pub urgent: (u32, u32),
 }
 
-impl Traffic {
+impl RequestSizes {
     /// The deployment's sizes: whole manifests for a grade, or dogs' histories for a verdict.
     pub fn of(deployment: Deployment) -> Self {
         match deployment {
@@ -161,11 +161,11 @@
     }
 
     /// Prompt and output tokens of a kind.
-    pub fn tokens(&self, kind: Kind) -> (u32, u32) {
+    pub fn tokens(&self, kind: RequestKind) -> (u32, u32) {
         match kind {
-            Kind::Long => self.long,
-            Kind::Quick => self.quick,
-            Kind::Urgent | Kind::Once => self.urgent,
+            RequestKind::Long => self.long,
+            RequestKind::Quick => self.quick,
+            RequestKind::Urgent | RequestKind::Once => self.urgent,
         }
     }
 }
--- a/crates/perf/src/bounds.rs
+++ b/crates/perf/src/bounds.rs
@@ -39,12 +39,12 @@
 }
 
 /// The committed bounds.
-pub fn committed() -> Result<Vec<Bound>, serde_json::Error> {
+pub fn committed_bounds() -> Result<Vec<Bound>, serde_json::Error> {
     serde_json::from_str(COMMITTED)
 }
 
 /// Bounds that the figures of a suite would just keep.
-pub fn from_suite(suite: &Suite) -> Vec<Bound> {
+pub fn bounds_from_suite(suite: &Suite) -> Vec<Bound> {
     let rows = suite.rows.iter();
     rows.map(|row| Bound {
         deployment: row.deployment.clone(),
@@ -57,7 +57,7 @@
 }
 
 /// What a suite's runs of one policy break, a line each; a bound without a run is broken too.
-pub fn broken(suite: &Suite, bounds: &[Bound], policy: Policy) -> Vec<String> {
+pub fn broken_bounds(suite: &Suite, bounds: &[Bound], policy: Policy) -> Vec<String> {
     let mut lines = Vec::new();
     for bound in bounds {
         let name = format!("{} {} {}", bound.deployment, bound.trace, bound.load);
--- a/crates/perf/src/engine.rs
+++ b/crates/perf/src/engine.rs
@@ -58,7 +58,7 @@
             return None;
         }
         let iteration = self.batch.iterate();
-        let ms = iteration.ms * self.slow;
+        let ms = iteration.duration_ms * self.slow;
         self.under_way = Some(iteration);
         Some(ms)
     }
@@ -82,8 +82,8 @@
     pub(crate) fn report(&self, now_ms: f64) -> LoadReport {
         LoadReport {
             at_ms: now_ms as u64,
-            queued: self.batch.queued(),
-            running: self.batch.running() as f64,
+            queued: self.batch.queued_tokens(),
+            running: self.batch.running_sequences() as f64,
         }
     }
 }
--- a/crates/perf/src/lib.rs
+++ b/crates/perf/src/lib.rs
@@ -14,16 +14,18 @@
 mod report;
 mod run;
 mod slopes;
+mod staleness;
 mod suite;
 mod trace;
-mod views;
 
-pub use bounds::{BOUNDS_SEED, Bound, bounded_cases, broken, committed, from_suite};
+pub use bounds::{
+    BOUNDS_SEED, Bound, bounded_cases, bounds_from_suite, broken_bounds, committed_bounds,
+};
 pub use figures::{ClassFigures, Figures, Slot};
 pub use policy::Policy;
 pub use report::{ReportError, report};
-pub use run::{Setting, run};
+pub use run::{RunSettings, run};
 pub use slopes::{Fit, slopes, slopes_markdown};
-pub use suite::{Case, Row, Suite, cases, load_factors, markdown};
+pub use staleness::staleness_markdown;
+pub use suite::{Case, Suite, SuiteRow, cases, goodput_markdown, load_factors};
 pub use trace::{Arrival, Event, Trace, TraceKind};
-pub use views::views;
--- a/crates/perf/src/node.rs
+++ b/crates/perf/src/node.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64;
 
 use crate::trace::{Arrival, rank};
-use crate::{Policy, Setting};
+use crate::{Policy, RunSettings};
 
 /// Time of one way to another availability zone, from the brief.
 const OTHER_ZONE_MS: f64 = 1.2;
@@ -25,7 +25,7 @@
 }
 
 impl Node {
-    pub(crate) fn new(place: usize, deployment: Deployment, setting: &Setting) -> Self {
+    pub(crate) fn new(place: usize, deployment: Deployment, setting: &RunSettings) -> Self {
         let mut fleet = Fleet::default();
         for number in 0..deployment.engines() {
             let zone = number % 3;
--- a/crates/perf/src/report.rs
+++ b/crates/perf/src/report.rs
@@ -8,7 +8,7 @@
 
 use crate::figures::SLOT_MS;
 use crate::trace::LENGTH_MS;
-use crate::{Figures, Policy, Setting, Trace, TraceKind, committed, run};
+use crate::{Figures, Policy, RunSettings, Trace, TraceKind, committed_bounds, run};
 
 /// Load of the page's runs.
 const LOAD: f64 = 1.5;
@@ -56,7 +56,7 @@
         for kind in TraceKind::ALL {
             let trace = Trace::new(kind, deployment, LOAD, seed);
             let runs = POLICIES.map(|(policy, colour)| {
-                let figures = run(&trace, &Setting::new(policy, deployment, seed));
+                let figures = run(&trace, &RunSettings::new(policy, deployment, seed));
                 (figures, colour)
             });
             let title = format!("{deployment}, {kind}");
@@ -81,7 +81,7 @@
 }
 
 fn bound(deployment: &str, trace: &str) -> Option<f64> {
-    let bounds = committed().ok()?;
+    let bounds = committed_bounds().ok()?;
     let same = |bound: &&crate::Bound| {
         bound.deployment == deployment && bound.trace == trace && (bound.load - LOAD).abs() < 1e-9
     };
--- a/crates/perf/src/run.rs
+++ b/crates/perf/src/run.rs
@@ -45,13 +45,13 @@
 
 /// What a run is of.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Setting {
+pub struct RunSettings {
     /// Policy.
     pub policy: Policy,
     /// Entry instances.
     pub instances: usize,
     /// Time between two tellings of load, which is how stale instances know each other.
-    pub beat_ms: f64,
+    pub heartbeat_ms: f64,
     /// Seed of the policy's own choices.
     pub seed: u64,
     /// Routing.
@@ -59,23 +59,23 @@
     /// Roles.
     pub roles: RoleSettings,
     /// Engines that begin as prefill and as decode engines; the rest are mixed.
-    pub begin: (usize, usize),
+    pub initial_roles: (usize, usize),
 }
 
-impl Setting {
+impl RunSettings {
     /// The product's own settings for a deployment, under some policy.
     pub fn new(policy: Policy, deployment: model::Deployment, seed: u64) -> Self {
         Self {
             policy,
             instances: 9,
-            beat_ms: 1_000.0,
+            heartbeat_ms: 1_000.0,
             seed,
             route: RouteSettings::default(),
             roles: RoleSettings {
                 change_weight: deployment.role_change_weight(),
                 ..RoleSettings::default()
             },
-            begin: (0, 0),
+            initial_roles: (0, 0),
         }
     }
 }
@@ -153,7 +153,7 @@
 
 struct Sim<'a> {
     trace: &'a Trace,
-    setting: Setting,
+    setting: RunSettings,
     now_ms: f64,
     calendar: Calendar<Step>,
     engines: Vec<SimEngine>,
@@ -169,7 +169,7 @@
 }
 
 /// Runs a trace under a setting.
-pub fn run(trace: &Trace, setting: &Setting) -> Figures {
+pub fn run(trace: &Trace, setting: &RunSettings) -> Figures {
     let mut sim = Sim::new(trace, *setting);
     sim.prepare();
     while let Some((at_ms, step)) = sim.calendar.next() {
@@ -181,8 +181,8 @@
     sim.counter.finish()
 }
 
-fn begin_role(setting: &Setting, number: usize) -> Role {
-    let (prefill, decode) = setting.begin;
+fn begin_role(setting: &RunSettings, number: usize) -> Role {
+    let (prefill, decode) = setting.initial_roles;
     if number < prefill {
         Role::Prefill
     } else if number < prefill + decode {
@@ -193,7 +193,7 @@
 }
 
 impl<'a> Sim<'a> {
-    fn new(trace: &'a Trace, setting: Setting) -> Self {
+    fn new(trace: &'a Trace, setting: RunSettings) -> Self {
         let deployment = trace.deployment;
         let role = |number| begin_role(&setting, number);
         let engines: Vec<SimEngine> = (0..deployment.engines())
@@ -242,7 +242,7 @@
             self.calendar.add(offset, Step::ReportFrom(engine));
         }
         for node in 0..self.nodes.len() {
-            let offset = self.setting.beat_ms * node as f64 / self.nodes.len() as f64;
+            let offset = self.setting.heartbeat_ms * node as f64 / self.nodes.len() as f64;
             self.calendar.add(offset, Step::Beat(node));
         }
         if self.setting.policy.plans_roles() && self.trace.log_up {
@@ -313,9 +313,9 @@
         if self.now_ms > 2.0 * LENGTH_MS {
             return;
         }
-        let beat_ms = self.setting.beat_ms;
+        let heartbeat_ms = self.setting.heartbeat_ms;
         self.calendar
-            .add(self.now_ms + beat_ms.max(10.0), Step::Beat(node));
+            .add(self.now_ms + heartbeat_ms.max(10.0), Step::Beat(node));
         self.expect(node);
         if self.setting.policy == Policy::WithoutPeers {
             return;
--- a/crates/perf/src/run/requests.rs
+++ b/crates/perf/src/run/requests.rs
@@ -110,7 +110,7 @@
         self.engines[engine].push(Job {
             id,
             rank: rank(arrival.kind),
-            order: 0,
+            order_in_rank: 0,
             prompt_tokens: arrival.prompt_tokens,
             output_tokens: arrival.output_tokens,
             prefix: arrival.prefix,
@@ -148,7 +148,7 @@
                 self.first_token(request);
             }
         }
-        for id in &iteration.done {
+        for id in &iteration.finished {
             if let Some(request) = self.current(*id) {
                 self.done(request);
             }
@@ -166,7 +166,7 @@
     }
 
     pub(super) fn begun(&mut self, engine: usize, iteration: &Iteration) {
-        for (id, _) in &iteration.begun {
+        for (id, _) in &iteration.started {
             let Some(&request) = self.jobs.get(id) else {
                 continue;
             };
--- a/crates/perf/src/suite.rs
+++ b/crates/perf/src/suite.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bound::upper_bound;
-use crate::{Figures, Policy, Setting, Trace, TraceKind, run};
+use crate::{Figures, Policy, RunSettings, Trace, TraceKind, run};
 
 /// Loads, in shares of what all engines can do.
 pub fn load_factors() -> [f64; 5] {
@@ -38,7 +38,7 @@
 
 /// One run's figures.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct Row {
+pub struct SuiteRow {
     /// Deployment.
     pub deployment: String,
     /// Trace.
@@ -57,7 +57,7 @@
     /// Seed.
     pub seed: u64,
     /// Rows.
-    pub rows: Vec<Row>,
+    pub rows: Vec<SuiteRow>,
 }
 
 /// The runs of all combinations.
@@ -132,15 +132,15 @@
 }
 
 impl Case {
-    fn run(&self, seed: u64) -> Row {
+    fn run(&self, seed: u64) -> SuiteRow {
         let trace = Trace::new(self.trace, self.deployment, self.load, seed);
-        let setting = Setting::new(self.policy, self.deployment, seed);
+        let setting = RunSettings::new(self.policy, self.deployment, seed);
         let mut figures = match self.policy {
             Policy::StaticRoles => self.best_static(&trace, &setting),
             _ => run(&trace, &setting),
         };
         figures.bound = upper_bound(&trace);
-        Row {
+        SuiteRow {
             deployment: self.deployment.to_string(),
             trace: self.trace.to_string(),
             load: self.load,
@@ -149,11 +149,17 @@
         }
     }
 
-    fn best_static(&self, trace: &Trace, setting: &Setting) -> Figures {
+    fn best_static(&self, trace: &Trace, setting: &RunSettings) -> Figures {
         let engines = self.deployment.engines() as f64;
         let runs = STATIC_SPLITS.map(|(prefill, decode)| {
-            let begin = ((prefill * engines) as usize, (decode * engines) as usize);
-            run(trace, &Setting { begin, ..*setting })
+            let initial_roles = ((prefill * engines) as usize, (decode * engines) as usize);
+            run(
+                trace,
+                &RunSettings {
+                    initial_roles,
+                    ..*setting
+                },
+            )
         });
         let best = runs.into_iter().max_by_key(Figures::good);
         best.unwrap_or_default()
@@ -161,7 +167,7 @@
 }
 
 /// A table of goodput, as a share of requests, with one row for each trace and load.
-pub fn markdown(suite: &Suite, deployment: Deployment, policies: &[Policy]) -> String {
+pub fn goodput_markdown(suite: &Suite, deployment: Deployment, policies: &[Policy]) -> String {
     use std::fmt::Write;
     let mut text = "| trace | load |".to_owned();
     for policy in policies {
@@ -171,7 +177,7 @@
     text.push_str(&" ---: |".repeat(policies.len() + 3));
     text.push('\n');
     let name = deployment.to_string();
-    let own = |row: &&Row| row.deployment == name && row.policy == Policy::Own.to_string();
+    let own = |row: &&SuiteRow| row.deployment == name && row.policy == Policy::Own.to_string();
     for row in suite.rows.iter().filter(own) {
         let _ = write!(text, "| {} | {} |", row.trace, row.load);
         let get = |policy| suite.get(&row.deployment, &row.trace, row.load, policy);
--- a/crates/perf/src/trace.rs
+++ b/crates/perf/src/trace.rs
@@ -1,7 +1,7 @@
 //! What arrives and what goes wrong, from fixed seeds.
 
 use derive_more::{Display, FromStr};
-use model::{Deployment, Kind, Traffic};
+use model::{Deployment, RequestKind, RequestSizes};
 use plan::EngineProfile;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -84,7 +84,7 @@
     /// When.
     pub at_ms: f64,
     /// Which kind.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Member by number.
     pub member: usize,
     /// Prompt tokens.
@@ -130,19 +130,19 @@
 }
 
 /// Level of urgency of a kind.
-pub(crate) fn rank(kind: Kind) -> usize {
+pub(crate) fn rank(kind: RequestKind) -> usize {
     match kind {
-        Kind::Urgent | Kind::Once => 0,
-        Kind::Quick => 1,
-        Kind::Long => 2,
+        RequestKind::Urgent | RequestKind::Once => 0,
+        RequestKind::Quick => 1,
+        RequestKind::Long => 2,
     }
 }
 
-fn deadline_ms(kind: Kind) -> f64 {
+fn deadline_ms(kind: RequestKind) -> f64 {
     match kind {
-        Kind::Urgent | Kind::Once => 1_500.0,
-        Kind::Quick => 5_000.0,
-        Kind::Long => 10_000.0,
+        RequestKind::Urgent | RequestKind::Once => 1_500.0,
+        RequestKind::Quick => 5_000.0,
+        RequestKind::Long => 10_000.0,
     }
 }
 
@@ -199,7 +199,7 @@
 }
 
 /// Shares of the work by kind at a time; they add up to 1 but in a burst.
-fn shares(kind: TraceKind, at_ms: f64) -> [(Kind, f64); 3] {
+fn shares(kind: TraceKind, at_ms: f64) -> [(RequestKind, f64); 3] {
     let rest = 1.0 - URGENT_SHARE;
     let long = match kind {
         TraceKind::Swing | TraceKind::LogDown => swing(at_ms),
@@ -209,9 +209,9 @@
     let burst = kind == TraceKind::Burst && (40_000.0..50_000.0).contains(&at_ms);
     let factor = if burst { 4.0 } else { 1.0 };
     [
-        (Kind::Urgent, URGENT_SHARE),
-        (Kind::Quick, rest * (1.0 - long)),
-        (Kind::Long, rest * long * factor),
+        (RequestKind::Urgent, URGENT_SHARE),
+        (RequestKind::Quick, rest * (1.0 - long)),
+        (RequestKind::Long, rest * long * factor),
     ]
 }
 
@@ -229,8 +229,8 @@
     from + (to - from) * (into_ms / 5_000.0).min(1.0)
 }
 
-fn mean_work_ms(deployment: Deployment, kind: Kind) -> f64 {
-    let (prompt, output) = Traffic::of(deployment).tokens(kind);
+fn mean_work_ms(deployment: Deployment, kind: RequestKind) -> f64 {
+    let (prompt, output) = RequestSizes::of(deployment).tokens(kind);
     nominal_ms(
         &EngineProfile::default(),
         f64::from(prompt),
@@ -246,7 +246,7 @@
     rng: &mut Pcg64,
     trace: TraceKind,
     deployment: Deployment,
-    kind: Kind,
+    kind: RequestKind,
     from_ms: f64,
     step_ms: f64,
     rate: f64,
@@ -267,10 +267,10 @@
     rng: &mut Pcg64,
     trace: TraceKind,
     deployment: Deployment,
-    kind: Kind,
+    kind: RequestKind,
     at_ms: f64,
 ) -> Arrival {
-    let (prompt, output) = Traffic::of(deployment).tokens(kind);
+    let (prompt, output) = RequestSizes::of(deployment).tokens(kind);
     let spread = |rng: &mut Pcg64, tokens: u32| {
         (f64::from(tokens) * rng.random_range(0.5..1.5)).max(1.0) as u32
     };
@@ -282,7 +282,7 @@
     } else {
         rng.random_range(0..members)
     };
-    let again = kind == Kind::Long && rng.random_bool(AGAIN_SHARE);
+    let again = kind == RequestKind::Long && rng.random_bool(AGAIN_SHARE);
     let prefix = if again {
         1 + rng.random_range(0..DOCUMENTS)
     } else {
--- a/crates/perf/tests/bounds.rs
+++ b/crates/perf/tests/bounds.rs
@@ -1,7 +1,9 @@
 //! The regression bounds can fail, and the figures are the same each time.
 
 use model::Deployment;
-use perf::{Case, Policy, Setting, Suite, Trace, TraceKind, broken, committed, run};
+use perf::{
+    Case, Policy, RunSettings, Suite, Trace, TraceKind, broken_bounds, committed_bounds, run,
+};
 
 fn case(policy: Policy) -> Case {
     Case {
@@ -13,7 +15,9 @@
 }
 
 fn bounds() -> Vec<perf::Bound> {
-    let all = committed().expect("the committed file is JSON").into_iter();
+    let all = committed_bounds()
+        .expect("the committed file is JSON")
+        .into_iter();
     all.filter(|bound| {
         bound.deployment == "annabhandar" && bound.trace == "swing" && bound.load > 1.4
     })
@@ -25,7 +29,10 @@
     let bounds = bounds();
     assert_eq!(bounds.len(), 1);
     let own = Suite::run(&[case(Policy::Own)], perf::BOUNDS_SEED);
-    assert_eq!(broken(&own, &bounds, Policy::Own), Vec::<String>::new());
+    assert_eq!(
+        broken_bounds(&own, &bounds, Policy::Own),
+        Vec::<String>::new()
+    );
     for worse in [
         Policy::RoundRobin,
         Policy::LeastReported,
@@ -33,7 +40,7 @@
     ] {
         let suite = Suite::run(&[case(worse)], perf::BOUNDS_SEED);
         assert!(
-            !broken(&suite, &bounds, worse).is_empty(),
+            !broken_bounds(&suite, &bounds, worse).is_empty(),
             "{worse} keeps the bounds"
         );
     }
@@ -41,12 +48,12 @@
 
 #[test]
 fn a_bound_without_a_run_is_broken() {
-    assert!(!broken(&Suite::default(), &bounds(), Policy::Own).is_empty());
+    assert!(!broken_bounds(&Suite::default(), &bounds(), Policy::Own).is_empty());
 }
 
 #[test]
 fn the_same_seed_gives_the_same_figures() {
     let trace = Trace::new(TraceKind::Burst, Deployment::Annabhandar, 0.9, 5);
-    let setting = Setting::new(Policy::Own, Deployment::Annabhandar, 5);
+    let setting = RunSettings::new(Policy::Own, Deployment::Annabhandar, 5);
     assert_eq!(run(&trace, &setting), run(&trace, &setting));
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -25,7 +25,7 @@
 const SNAPSHOT_MS: u64 = 50;
 
 /// What makes a prompt poisonous to an engine whose switch says so.
-pub const POISON: &str = "poison";
+pub const POISON_MARKER: &str = "poison";
 
 /// Switches of an engine.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
@@ -41,19 +41,21 @@
     pub cross_ids: bool,
     /// Refuses new work with 503.
     pub refuse: bool,
-    /// What a prompt that has [`POISON`] in it does to it.
-    pub at_poison: AtPoison,
+    /// What a prompt that has [`POISON_MARKER`] in it does to it.
+    #[serde(rename = "at_poison")]
+    pub poison_behavior: PoisonBehavior,
 }
 
 /// What becomes of an engine that begins with a poisonous prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AtPoison {
+pub enum PoisonBehavior {
     /// It answers.
     #[default]
     Survives,
     /// It is killed.
-    Ends,
+    #[serde(rename = "ends")]
+    Crashes,
 }
 
 impl Default for EngineFaults {
@@ -64,7 +66,7 @@
             cut_after: 0,
             cross_ids: false,
             refuse: false,
-            at_poison: AtPoison::Survives,
+            poison_behavior: PoisonBehavior::Survives,
         }
     }
 }
@@ -75,7 +77,7 @@
     /// Name of the instance.
     pub name: String,
     /// Its cost model.
-    pub shape: EngineProfile,
+    pub profile: EngineProfile,
     /// Role it begins with.
     pub role: Role,
     /// `model@version` of what it has loaded.
@@ -85,7 +87,7 @@
     /// Age of what it reports.
     pub report_lag_ms: u64,
     /// IP address and port of the weight store; empty if loading needs none.
-    pub weights: String,
+    pub weight_store: String,
 }
 
 impl EngineOptions {
@@ -93,12 +95,12 @@
     pub fn new(name: &str, loaded: &str) -> Self {
         Self {
             name: name.to_owned(),
-            shape: EngineProfile::default(),
+            profile: EngineProfile::default(),
             role: Role::Mixed,
             loaded: vec![loaded.to_owned()],
             checks_orders: true,
             report_lag_ms: 250,
-            weights: String::new(),
+            weight_store: String::new(),
         }
     }
 }
@@ -144,7 +146,7 @@
 impl EngineStandin {
     /// Starts an engine.
     pub async fn start(address: &str, options: EngineOptions) -> io::Result<Self> {
-        let batch = Batch::new(options.shape, options.role);
+        let batch = Batch::new(options.profile, options.role);
         let engine = Self {
             clock: Clock::default(),
             inner: Rc::new(RefCell::new(Inner {
@@ -187,12 +189,12 @@
     }
 
     /// Orders that had an effect, in the order in which they arrived.
-    pub fn orders(&self) -> Vec<(u64, String)> {
+    pub fn accepted_orders(&self) -> Vec<(u64, String)> {
         self.inner.borrow().orders.taken().to_vec()
     }
 
     /// Requests that are held.
-    pub fn held(&self) -> usize {
+    pub fn unfinished_requests(&self) -> usize {
         self.inner.borrow().streams.unfinished()
     }
 
@@ -232,7 +234,10 @@
                 let mut inner = self.inner.borrow_mut();
                 (inner.batch.iterate(), inner.faults.slow)
             };
-            actix_rt::time::sleep(Duration::from_secs_f64(iteration.ms * slow / 1_000.0)).await;
+            actix_rt::time::sleep(Duration::from_secs_f64(
+                iteration.duration_ms * slow / 1_000.0,
+            ))
+            .await;
             let now_ms = self.clock.now_ms();
             self.inner.borrow_mut().streams.advance(now_ms, &iteration);
         }
@@ -267,8 +272,8 @@
             loaded: self.options.loaded.clone(),
             changing: self.orders.is_changing(),
             order: self.orders.highest(),
-            queued: self.batch.queued().to_vec(),
-            running: self.batch.running(),
+            queued: self.batch.queued_tokens().to_vec(),
+            running: self.batch.running_sequences(),
             age_ms: 0,
         }
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -12,7 +12,7 @@
 
 use super::orders::Taken;
 use super::streams::{NewStream, Stream};
-use super::{AtPoison, EngineFaults, EngineStandin, POISON};
+use super::{EngineFaults, EngineStandin, POISON_MARKER, PoisonBehavior};
 use crate::prompt_tokens;
 
 /// Largest body, in bytes.
@@ -86,7 +86,8 @@
         if inner.faults.refuse || inner.orders.is_away() || !loaded {
             return web::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let ends = inner.faults.at_poison == AtPoison::Ends && completion.prompt.contains(POISON);
+        let ends = inner.faults.poison_behavior == PoisonBehavior::Crashes
+            && completion.prompt.contains(POISON_MARKER);
         let tokens = prompt_tokens(&completion.prompt);
         let new = NewStream {
             name: completion.request_id,
@@ -224,7 +225,10 @@
     async fn carry_out(self, order: NewOrder) {
         let (change_ms, weights) = {
             let inner = self.inner.borrow();
-            (inner.options.shape.change_ms, inner.options.weights.clone())
+            (
+                inner.options.profile.change_ms,
+                inner.options.weight_store.clone(),
+            )
         };
         match order.kind.as_str() {
             "role" => {
--- a/crates/standin/src/engine/streams.rs
+++ b/crates/standin/src/engine/streams.rs
@@ -7,7 +7,7 @@
 
 use model::{Iteration, Job};
 
-use crate::{expected_text, word};
+use crate::{expected_text, expected_token};
 
 /// Time for which a stream that nobody reads is still worked on.
 const ABANDON_MS: u64 = 5_000;
@@ -49,7 +49,7 @@
 
     /// The token at a place of the answer.
     pub(super) fn token(&self, place: u32) -> String {
-        word(&self.prompt, place as usize)
+        expected_token(&self.prompt, place as usize)
     }
 }
 
@@ -106,7 +106,7 @@
         Some(Job {
             id,
             rank: new.rank,
-            order: new.order,
+            order_in_rank: new.order,
             prompt_tokens: new.prompt_tokens + given,
             output_tokens: (new.max_tokens - given.min(new.max_tokens)).max(1),
             prefix: 0,
@@ -132,7 +132,7 @@
     }
 
     pub(super) fn advance(&mut self, now_ms: u64, iteration: &Iteration) {
-        for (id, cached) in &iteration.begun {
+        for (id, cached) in &iteration.started {
             if let Some(stream) = self.by_id.get_mut(id) {
                 stream.cached = *cached;
             }
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -16,7 +16,7 @@
 /// Whether an instance is to stay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum InstanceState {
     /// It stays.
     #[default]
     Live,
@@ -27,7 +27,7 @@
 /// One instance of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listed {
+pub struct InstanceEntry {
     /// Name.
     pub name: String,
     /// `entry`, `engine` or `service`.
@@ -46,26 +46,26 @@
     #[serde(default)]
     pub checks_orders: bool,
     /// Whether it is to stay.
-    #[serde(default)]
-    pub standing: Standing,
+    #[serde(default, rename = "standing")]
+    pub state: InstanceState,
 }
 
 #[derive(Debug, Clone)]
 struct Change {
     at_ms: u64,
     name: String,
-    now: Option<Listed>,
+    now: Option<InstanceEntry>,
 }
 
 #[derive(Debug, Default)]
 struct Store {
     lag_ms: u64,
-    shown: BTreeMap<String, Listed>,
+    shown: BTreeMap<String, InstanceEntry>,
     pending: Vec<Change>,
 }
 
 impl Store {
-    fn change(&mut self, now_ms: u64, name: &str, now: Option<Listed>) {
+    fn change(&mut self, now_ms: u64, name: &str, now: Option<InstanceEntry>) {
         self.pending.push(Change {
             at_ms: now_ms + self.lag_ms,
             name: name.to_owned(),
@@ -73,7 +73,7 @@
         });
     }
 
-    fn show(&mut self, now_ms: u64) -> Vec<Listed> {
+    fn show(&mut self, now_ms: u64) -> Vec<InstanceEntry> {
         let due = |change: &mut Change| change.at_ms <= now_ms;
         for change in self.pending.extract_if(.., due) {
             match change.now {
@@ -124,7 +124,7 @@
     }
 
     /// Puts an instance on the list, or changes it.
-    pub fn put(&self, listed: Listed) {
+    pub fn put(&self, listed: InstanceEntry) {
         let name = listed.name.clone();
         let mut store = self.store.borrow_mut();
         store.change(self.clock.now_ms(), &name, Some(listed));
@@ -151,7 +151,7 @@
             }
             Method::PUT if !name.is_empty() => {
                 let read = web::read_body(request.take_payload(), ENTRY_BYTES, 5_000).await;
-                match read.and_then(|body| web::parse_json::<Listed>(&body)) {
+                match read.and_then(|body| web::parse_json::<InstanceEntry>(&body)) {
                     Ok(listed) => {
                         self.put(listed);
                         web::empty(StatusCode::NO_CONTENT)
@@ -169,7 +169,7 @@
 }
 
 /// Puts an instance on a list over HTTP, as the platform's starter of processes does.
-pub async fn register(list: &str, listed: &Listed) -> io::Result<()> {
+pub async fn register(list: &str, listed: &InstanceEntry) -> io::Result<()> {
     let url = format!("http://{list}/instances/{}", listed.name);
     let sent = awc::Client::default().put(url).send_json(listed).await;
     let response = sent.map_err(|error| io::Error::other(error.to_string()))?;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -11,10 +11,10 @@
 mod text;
 mod weights;
 
-pub use engine::{AtPoison, EngineFaults, EngineOptions, EngineStandin, POISON};
-pub use instances::{InstanceList, Listed, Standing, register};
+pub use engine::{EngineFaults, EngineOptions, EngineStandin, POISON_MARKER, PoisonBehavior};
+pub use instances::{InstanceEntry, InstanceList, InstanceState, register};
 pub use log::{LogFaults, LogStandin};
 
 pub use service::{ServiceFaults, ServiceOptions, ServiceStandin};
-pub use text::{expected_text, prompt_tokens, word};
-pub use weights::WeightStandin;
+pub use text::{expected_text, expected_token, prompt_tokens};
+pub use weights::WeightStoreStandin;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -27,7 +27,8 @@
     /// Appends take effect, then the answer is lost.
     pub lose_answers: bool,
     /// Records kept; 0 keeps all.
-    pub keep: usize,
+    #[serde(rename = "keep")]
+    pub keep_records: usize,
 }
 
 #[derive(Debug, Default)]
@@ -52,7 +53,7 @@
     }
 
     fn expire(&mut self) {
-        let keep = self.faults.keep;
+        let keep = self.faults.keep_records;
         if keep > 0 && self.records.len() > keep {
             let gone = self.records.len() - keep;
             self.records.drain(..gone);
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -11,7 +11,7 @@
 const TOKEN_BYTES: usize = 4;
 
 /// The word at a place of the answer to a prompt.
-pub fn word(prompt: &str, place: usize) -> String {
+pub fn expected_token(prompt: &str, place: usize) -> String {
     let mut hasher = Sha256::new();
     hasher.update(prompt.as_bytes());
     hasher.update((place as u64).to_le_bytes());
@@ -22,7 +22,9 @@
 
 /// The whole answer of `tokens` tokens to a prompt.
 pub fn expected_text(prompt: &str, tokens: usize) -> String {
-    (0..tokens).map(|place| word(prompt, place)).collect()
+    (0..tokens)
+        .map(|place| expected_token(prompt, place))
+        .collect()
 }
 
 /// Tokens of a prompt.
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -16,14 +16,14 @@
 
 /// A running store, which gives out one set of weights at a time.
 #[derive(Clone)]
-pub struct WeightStandin {
+pub struct WeightStoreStandin {
     fetch_ms: u64,
     busy: Rc<tokio::sync::Mutex<()>>,
     fetched: Rc<RefCell<u64>>,
     server: Rc<RefCell<Option<Server>>>,
 }
 
-impl WeightStandin {
+impl WeightStoreStandin {
     /// Starts a store in which each fetch takes `fetch_ms`, one after the other.
     pub async fn start(address: &str, fetch_ms: u64) -> io::Result<Self> {
         let store = Self {
@@ -52,7 +52,7 @@
     }
 
     /// Sets of weights given out.
-    pub fn fetched(&self) -> u64 {
+    pub fn fetch_count(&self) -> u64 {
         *self.fetched.borrow()
     }
 
--- a/src/benches.rs
+++ b/src/benches.rs
@@ -4,7 +4,7 @@
 
 use derive_more::{Display, FromStr};
 use model::Deployment;
-use perf::{Policy, Suite, TraceKind, cases, load_factors, markdown};
+use perf::{Policy, Suite, TraceKind, cases, goodput_markdown, load_factors};
 
 /// Benches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display, FromStr)]
@@ -77,7 +77,7 @@
     }
     let mut text = String::new();
     for deployment in deployments {
-        let table = markdown(&suite, deployment, &policies);
+        let table = goodput_markdown(&suite, deployment, &policies);
         let _ = writeln!(text, "{deployment}, seed {}\n\n{table}", choice.seed);
     }
     text
@@ -100,14 +100,14 @@
 /// Bounds that the present figures would just keep, as the committed file has them.
 pub fn new_bounds() -> String {
     let suite = Suite::run(&perf::bounded_cases(Policy::Own), perf::BOUNDS_SEED);
-    serde_json::to_string_pretty(&perf::from_suite(&suite)).unwrap_or_default()
+    serde_json::to_string_pretty(&perf::bounds_from_suite(&suite)).unwrap_or_default()
 }
 
 /// Checks the committed bounds; gives how many hold, or what is broken.
 pub fn check_bounds() -> Result<usize, Vec<String>> {
-    let bounds = perf::committed().map_err(|error| vec![error.to_string()])?;
+    let bounds = perf::committed_bounds().map_err(|error| vec![error.to_string()])?;
     let suite = Suite::run(&perf::bounded_cases(Policy::Own), perf::BOUNDS_SEED);
-    let broken = perf::broken(&suite, &bounds, Policy::Own);
+    let broken = perf::broken_bounds(&suite, &bounds, Policy::Own);
     if bounds.is_empty() || !broken.is_empty() {
         return Err(broken);
     }
--- a/src/bin/chicoryrack.rs
+++ b/src/bin/chicoryrack.rs
@@ -140,7 +140,7 @@
             for deployment in benches::deployments(flags.deployment) {
                 println!(
                     "{deployment}, seed {seed}\n\n{}",
-                    perf::views(deployment, seed)
+                    perf::staleness_markdown(deployment, seed)
                 );
             }
             ExitCode::SUCCESS
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use load::{Caller, Running, Tally, Tenant};
-use model::{Deployment, Mix, Phase};
+use load::{Caller, LoadRun, Tally, Tenant};
+use model::{Deployment, Phase, TrafficMix};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use serde::Serialize;
@@ -42,7 +42,7 @@
     /// Deployment.
     pub deployment: String,
     /// Counts by class.
-    pub classes: BTreeMap<String, load::Row>,
+    pub classes: BTreeMap<String, load::ClassCounts>,
     /// Role orders that engines took.
     pub role_changes: usize,
     /// Calls that may not be repeated and ran more than once, or ran though refused as not run.
@@ -67,7 +67,7 @@
     say(&format!(
         "{deployment}: {} engines, {} services, log and instance list are up",
         deployment.engines(),
-        deployment.services()
+        deployment.service_instances()
     ));
     let mut instances = start_instances(&platform, deployment, INSTANCES)?;
     let operator = Operator::new(&instances[0].caller_address);
@@ -79,10 +79,10 @@
     ));
     wait_looked_up(&instances).await?;
 
-    let running = Running {
+    let running = LoadRun {
         tally: Rc::new(RefCell::new(Tally::default())),
-        answered: Rc::default(),
-        refused: Rc::default(),
+        completed_calls: Rc::default(),
+        refused_calls: Rc::default(),
     };
     let callers = callers(deployment, &instances);
     let phases = phases(deployment);
@@ -175,14 +175,17 @@
 /// First mostly questions, then mostly long prompts.
 fn phases(deployment: Deployment) -> [Phase; 2] {
     let scale = deployment.engines() as f64 / 9.0;
-    let mix = |long: f64, quick: f64| Mix {
+    let mix = |long: f64, quick: f64| TrafficMix {
         long: long * scale,
         quick: quick * scale,
         urgent: 3.0 * scale,
         once: 6.0 * scale,
     };
     let (few, many) = (mix(2.0, 24.0), mix(9.0, 6.0));
-    [few, many].map(|mix| Phase { ms: HALF_MS, mix })
+    [few, many].map(|mix| Phase {
+        duration_ms: HALF_MS,
+        mix,
+    })
 }
 
 /// What operators and misfortune do while the load runs.
@@ -221,14 +224,14 @@
 fn report(
     deployment: Deployment,
     platform: &Platform,
-    running: &Running,
+    running: &LoadRun,
     roll_ms: u64,
     instances: Vec<InstanceThread>,
 ) -> Result<Report> {
     let ran_wrongly = platform.ran_wrongly(
         deployment.service().1,
-        &running.answered.borrow(),
-        &running.refused.borrow(),
+        &running.completed_calls.borrow(),
+        &running.refused_calls.borrow(),
     );
     for mut instance in instances {
         instance.kill();
--- a/src/demo/live.rs
+++ b/src/demo/live.rs
@@ -168,7 +168,7 @@
                 let body = format!("live {seed} {call}");
                 let (service, path) = deployment.service();
                 let ended = caller.call_once(service, path, &body, 2_000).await;
-                times.borrow_mut().push(ended.took_ms);
+                times.borrow_mut().push(ended.duration_ms);
                 match ended.outcome {
                     Outcome::InTime | Outcome::Late => {}
                     Outcome::Unknown => lost.borrow_mut().0 += 1,
--- a/src/demo/platform.rs
+++ b/src/demo/platform.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 use sha2::{Digest, Sha256};
 use standin::{
-    EngineOptions, EngineStandin, InstanceList, Listed, LogFaults, LogStandin, ServiceOptions,
-    ServiceStandin, Standing, WeightStandin,
+    EngineOptions, EngineStandin, InstanceEntry, InstanceList, InstanceState, LogFaults,
+    LogStandin, ServiceOptions, ServiceStandin, WeightStoreStandin,
 };
 
 use super::Result;
@@ -28,7 +28,7 @@
 pub struct Platform {
     log: LogStandin,
     list: InstanceList,
-    _weights: WeightStandin,
+    _weights: WeightStoreStandin,
     engines: Vec<(String, EngineStandin)>,
     services: Vec<ServiceStandin>,
 }
@@ -39,7 +39,7 @@
         let any = "127.0.0.1:0";
         let log = LogStandin::start(any).await?;
         let list = InstanceList::start(any, LIST_LAG_MS).await?;
-        let weights = WeightStandin::start(any, FETCH_MS).await?;
+        let weights = WeightStoreStandin::start(any, FETCH_MS).await?;
         let mut platform = Self {
             log,
             list,
@@ -50,14 +50,14 @@
         for number in 0..deployment.engines() {
             let name = format!("engine-{}", number + 1);
             let mut options = EngineOptions::new(&name, &format!("{}@v1", deployment.model()));
-            options.weights = weights.address();
+            options.weight_store = weights.address();
             options.checks_orders = number % 2 == 0;
             let engine = EngineStandin::start(any, options).await?;
             let zone = deployment.zones()[number % 3];
             platform.list_upstream(&name, "engine", &engine.address(), zone, deployment.model());
             platform.engines.push((name, engine));
         }
-        for number in 0..deployment.services() {
+        for number in 0..deployment.service_instances() {
             let name = format!("{}-{}", deployment.service().0, number + 1);
             let options = ServiceOptions {
                 name: name.clone(),
@@ -78,7 +78,7 @@
     }
 
     fn list_upstream(&self, name: &str, kind: &str, address: &str, zone: &str, serves: &str) {
-        self.list.put(Listed {
+        self.list.put(InstanceEntry {
             name: name.to_owned(),
             kind: kind.to_owned(),
             address: address.to_owned(),
@@ -86,12 +86,12 @@
             zone: zone.to_owned(),
             serves: serves.to_owned(),
             checks_orders: false,
-            standing: Standing::Live,
+            state: InstanceState::Live,
         });
     }
 
-    fn listed(instance: &InstanceThread, zone: &str, standing: Standing) -> Listed {
-        Listed {
+    fn listed(instance: &InstanceThread, zone: &str, state: InstanceState) -> InstanceEntry {
+        InstanceEntry {
             name: instance.name.clone(),
             kind: "entry".to_owned(),
             address: instance.caller_address.clone(),
@@ -99,13 +99,14 @@
             zone: zone.to_owned(),
             serves: String::new(),
             checks_orders: false,
-            standing,
+            state,
         }
     }
 
     /// Puts an entry instance on the list.
     pub fn list_instance(&self, instance: &InstanceThread, zone: &str) {
-        self.list.put(Self::listed(instance, zone, Standing::Live));
+        self.list
+            .put(Self::listed(instance, zone, InstanceState::Live));
     }
 
     /// Takes an entry instance that leaves off the list.
@@ -143,7 +144,10 @@
 
     /// Role orders that engines took.
     pub fn role_changes(&self) -> usize {
-        let orders = self.engines.iter().flat_map(|(_, engine)| engine.orders());
+        let orders = self
+            .engines
+            .iter()
+            .flat_map(|(_, engine)| engine.accepted_orders());
         orders.filter(|(_, what)| what.starts_with("role")).count()
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use chicoryrack::standin::{
-    EngineOptions, EngineStandin, InstanceList, Listed, LogStandin, ServiceOptions, ServiceStandin,
-    Standing,
+    EngineOptions, EngineStandin, InstanceEntry, InstanceList, InstanceState, LogStandin,
+    ServiceOptions, ServiceStandin,
 };
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -159,7 +159,7 @@
     }
 
     fn put(&self, name: &str, kind: &str, address: &str, serves: &str) {
-        self.list.put(Listed {
+        self.list.put(InstanceEntry {
             name: name.to_owned(),
             kind: kind.to_owned(),
             address: address.to_owned(),
@@ -167,12 +167,12 @@
             zone: "salt-lake".to_owned(),
             serves: serves.to_owned(),
             checks_orders: false,
-            standing: Standing::Live,
+            state: InstanceState::Live,
         });
     }
 
     fn list_entry(&self, daemon: &Daemon) {
-        self.list.put(Listed {
+        self.list.put(InstanceEntry {
             name: daemon.name.clone(),
             kind: "entry".to_owned(),
             address: daemon.caller_address.clone(),
@@ -180,7 +180,7 @@
             zone: daemon.zone.clone(),
             serves: String::new(),
             checks_orders: false,
-            standing: Standing::Live,
+            state: InstanceState::Live,
         });
     }
 }
--- a/tests/failure/engines.rs
+++ b/tests/failure/engines.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use actix_rt::task::JoinHandle;
-use chicoryrack::standin::{AtPoison, EngineFaults, EngineStandin, POISON, expected_text};
+use chicoryrack::standin::{
+    EngineFaults, EngineStandin, POISON_MARKER, PoisonBehavior, expected_text,
+};
 use serde_json::json;
 
 use crate::common::{MEMBER_KEY, Platform, Reply, admin, bundle, send, serve, until};
@@ -71,7 +73,7 @@
     });
     let asked: Vec<_> = asked.collect();
     until("the engine makes all of them", || async {
-        engine.held() == ANSWERS
+        engine.unfinished_requests() == ANSWERS
     })
     .await;
     let back = admin(address, "POST", &format!("engines/{other}/undrain"), "").await;
@@ -88,11 +90,18 @@
     let address = daemon.caller_address.clone();
     let asking = actix_rt::spawn(async move { ask(&address, "crash", 150).await });
     until("an engine has begun", || async {
-        platform.engines.iter().any(|engine| engine.held() > 0)
+        platform
+            .engines
+            .iter()
+            .any(|engine| engine.unfinished_requests() > 0)
     })
     .await;
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    for engine in platform.engines.iter().filter(|engine| engine.held() > 0) {
+    for engine in platform
+        .engines
+        .iter()
+        .filter(|engine| engine.unfinished_requests() > 0)
+    {
         engine.crash();
     }
     let reply = asking.await.expect("the task ends");
@@ -120,7 +129,7 @@
         let reply = ask(&address, &format!("drain {number}"), 4).await;
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(platform.engines[0].held(), 0);
+    assert_eq!(platform.engines[0].unfinished_requests(), 0);
 }
 
 #[actix_rt::test]
@@ -194,12 +203,12 @@
     let daemon = serve(&platform).await;
     for engine in &platform.engines {
         engine.set_faults(EngineFaults {
-            at_poison: AtPoison::Ends,
+            poison_behavior: PoisonBehavior::Crashes,
             ..EngineFaults::default()
         });
     }
     for _ in 0..5 {
-        let reply = ask(&daemon.caller_address, POISON, 8).await;
+        let reply = ask(&daemon.caller_address, POISON_MARKER, 8).await;
         assert_ne!(reply.status, 200, "{}", reply.text());
     }
     let alive = platform.engines.iter().filter(|it| it.is_listening());
--- a/tests/failure/instances.rs
+++ b/tests/failure/instances.rs
@@ -15,7 +15,7 @@
     let address = daemons[0].caller_address.clone();
     let asking = actix_rt::spawn(async move { ask(&address, "stop", 200).await });
     until("the engine has begun", || async {
-        platform.engines[0].held() > 0
+        platform.engines[0].unfinished_requests() > 0
     })
     .await;
     daemons[0].signal(libc::SIGTERM);
@@ -63,7 +63,7 @@
     assert!(line.starts_with("HTTP/1.1 200"), "{line}");
     let asking = actix_rt::spawn(async move { ask(&address, "leave", 400).await });
     until("the engine has begun", || async {
-        platform.engines[0].held() > 0
+        platform.engines[0].unfinished_requests() > 0
     })
     .await;
     daemon.signal(libc::SIGTERM);
--- a/tests/failure/log.rs
+++ b/tests/failure/log.rs
@@ -104,7 +104,7 @@
     .await;
     first.kill();
     platform.log.set_faults(LogFaults {
-        keep: 64,
+        keep_records: 64,
         ..LogFaults::default()
     });
     let late = Daemon::start("entry-9", "howrah", &platform);
