--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -1,9 +1,9 @@
-//! A continuously batching engine, iteration by iteration.
+//! Simulates an engine with continuous batching, one iteration at a time.
 //!
-//! The stand-in runs it in real time and the bench in virtual time. It takes the linear cost
-//! model of `plan::EngineProfile`, chunked prefill, strict priorities, a bound on KV cache, and a prefix
-//! cache; it leaves out attention's growth with context, preemption of running sequences and
-//! speculative decoding.
+//! The engine stand-in runs it in real time, the policy bench in virtual time. It models the
+//! linear iteration cost of `plan::EngineProfile`, chunked prefill, strict priorities, a limited
+//! KV cache and a prefix cache. It leaves out the growth of attention cost with context length,
+//! preemption of running sequences and speculative decoding.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,33 +12,33 @@
 
 use crate::PrefixCache;
 
-/// Share of KV memory that prefixes of past prompts may fill.
+/// Fraction of the KV cache that prefixes of earlier prompts may occupy.
 const PREFIX_SHARE: f64 = 0.3;
 
-/// One request.
+/// A request as the engine sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job {
-    /// Number that tells it apart.
+    /// Identifier, unique within the engine.
     pub id: u64,
-    /// Level of urgency, 0 first.
+    /// Priority level; 0 is served first.
     pub rank: usize,
-    /// Order within a rank, smallest first.
+    /// Position within the rank; the smallest is served first.
     pub order_in_rank: u64,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Output tokens.
+    /// Number of output tokens.
     pub output_tokens: u32,
-    /// Names the prompt's shared prefix; 0 for none.
+    /// Identifies the prefix that the prompt shares with others; 0 if it shares none.
     pub prefix: u64,
-    /// Tokens of that prefix.
+    /// Number of tokens in that prefix.
     pub prefix_tokens: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     job: Job,
-    left: u32,
-    begun: bool,
+    remaining_tokens: u32,
+    prefilling: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -47,76 +47,80 @@
     produced: u32,
 }
 
-/// What one iteration did.
+/// Results of one iteration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Iteration {
-    /// Its length.
+    /// Duration of the iteration, in ms.
     pub duration_ms: f64,
-    /// Jobs that got a token, and how many they have now.
+    /// Jobs that produced a token, with their token count so far.
     pub tokens: Vec<(u64, u32)>,
-    /// Jobs that are complete.
+    /// Jobs that produced their last token.
     pub finished: Vec<u64>,
-    /// Jobs whose prompt was begun, and the tokens of it that were cached.
+    /// Jobs whose prefill started, with the number of prompt tokens found in the prefix cache.
     pub started: Vec<(u64, u32)>,
 }
 
-/// The engine's queue and batch.
+/// Waiting queue and running batch of one engine.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    shape: EngineProfile,
+    profile: EngineProfile,
     role: Role,
     waiting: BTreeMap<(usize, u64, u64), Waiting>,
-    places: HashMap<u64, (usize, u64, u64)>,
+    queue_keys: HashMap<u64, (usize, u64, u64)>,
     running: Vec<Running>,
     kv_tokens: u64,
-    begun: u32,
+    prefilling: u32,
     prefixes: PrefixCache,
 }
 
 impl Batch {
-    /// An idle engine.
-    pub fn new(shape: EngineProfile, role: Role) -> Self {
-        let room = (shape.kv_tokens as f64 * PREFIX_SHARE) as u64;
+    /// Creates an idle engine with an empty prefix cache.
+    pub fn new(profile: EngineProfile, role: Role) -> Self {
+        let capacity_tokens = (profile.kv_tokens as f64 * PREFIX_SHARE) as u64;
         Self {
-            shape,
+            profile,
             role,
             waiting: BTreeMap::new(),
-            places: HashMap::new(),
+            queue_keys: HashMap::new(),
             running: Vec::new(),
             kv_tokens: 0,
-            begun: 0,
-            prefixes: PrefixCache::new(room),
+            prefilling: 0,
+            prefixes: PrefixCache::new(capacity_tokens),
         }
     }
 
-    /// The role it plays.
+    /// Current role of the engine.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Plays another role, with a cold cache. Jobs it holds stay.
+    /// Changes the role and empties the prefix cache. Queued and running jobs stay.
     pub fn set_role(&mut self, role: Role) {
         self.role = role;
         self.prefixes.clear();
     }
 
-    /// Takes a job in.
+    /// Adds a job to the waiting queue.
     pub fn push(&mut self, job: Job) {
-        let place = (job.rank, job.order_in_rank, job.id);
-        self.places.insert(job.id, place);
+        let queue_key = (job.rank, job.order_in_rank, job.id);
+        self.queue_keys.insert(job.id, queue_key);
         let waiting = Waiting {
             job,
-            left: job.prompt_tokens.max(1),
-            begun: false,
+            remaining_tokens: job.prompt_tokens.max(1),
+            prefilling: false,
         };
-        self.waiting.insert(place, waiting);
+        self.waiting.insert(queue_key, waiting);
     }
 
-    /// Drops a job.
+    /// Removes a job and frees its KV cache; does nothing if the job is unknown.
     pub fn cancel(&mut self, id: u64) {
-        if let Some(place) = self.places.remove(&id) {
-            if let Some(waiting) = self.waiting.remove(&place).filter(|waiting| waiting.begun) {
-                self.begun -= 1;
+        if let Some(queue_key) = self.queue_keys.remove(&id) {
+            if let Some(waiting) = self
+                .waiting
+                .remove(&queue_key)
+                .filter(|waiting| waiting.prefilling)
+            {
+                self.prefilling -= 1;
                 self.release(&waiting.job);
             }
             return;
@@ -127,112 +131,115 @@
         }
     }
 
-    /// Drops all jobs, as a crash does, and gives their numbers.
+    /// Removes all jobs and cached prefixes, as a crash would, and returns the job identifiers.
     pub fn clear(&mut self) -> Vec<u64> {
         let waiting = self.waiting.values().map(|waiting| waiting.job.id);
         let running = self.running.iter().map(|running| running.job.id);
         let ids = waiting.chain(running).collect();
         self.waiting.clear();
-        self.places.clear();
+        self.queue_keys.clear();
         self.running.clear();
         self.kv_tokens = 0;
-        self.begun = 0;
+        self.prefilling = 0;
         self.prefixes.clear();
         ids
     }
 
-    /// Whether there is nothing to do.
+    /// Whether no job is waiting or running.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Prompt tokens waiting, by rank.
+    /// Prompt tokens that still wait for prefill, by rank.
     pub fn queued_tokens(&self) -> [f64; RANKS] {
         let mut queued = [0.0; RANKS];
         for waiting in self.waiting.values() {
-            queued[waiting.job.rank] += f64::from(waiting.left);
+            queued[waiting.job.rank] += f64::from(waiting.remaining_tokens);
         }
         queued
     }
 
-    /// Sequences that produce output.
+    /// Number of sequences in decode.
     pub fn running_sequences(&self) -> usize {
         self.running.len()
     }
 
-    /// Tokens of a prefix that are held.
+    /// Number of tokens of a prefix in the cache; does not count as a use.
     pub fn cached_tokens(&self, prefix: u64) -> u32 {
         self.prefixes.cached_tokens(prefix)
     }
 
-    /// Does one iteration.
+    /// Runs one iteration: decodes one token for each running sequence and prefills one chunk.
     pub fn iterate(&mut self) -> Iteration {
         let mut iteration = Iteration::default();
         let decoding = self.running.len();
-        let (read, ready) = self.read_prompts(&mut iteration);
-        iteration.duration_ms = self.shape.iteration_ms(decoding as f64, f64::from(read));
+        let (prefilled_tokens, prefilled) = self.prefill(&mut iteration);
+        iteration.duration_ms = self
+            .profile
+            .iteration_ms(decoding as f64, f64::from(prefilled_tokens));
         for running in &mut self.running {
             running.produced += 1;
         }
-        for job in ready {
+        for job in prefilled {
             self.running.push(Running { job, produced: 1 });
         }
-        self.collect(&mut iteration);
+        self.collect_tokens(&mut iteration);
         iteration
     }
 
-    fn read_prompts(&mut self, iteration: &mut Iteration) -> (u32, Vec<Job>) {
+    fn prefill(&mut self, iteration: &mut Iteration) -> (u32, Vec<Job>) {
         let chunk = EngineProfile::chunk_tokens(self.role);
-        let mut read = 0;
-        let mut ready = Vec::new();
-        let places: Vec<_> = self.waiting.keys().copied().collect();
-        for place in places {
-            if read == chunk || !self.begin(place, iteration) {
+        let mut prefilled_tokens = 0;
+        let mut prefilled = Vec::new();
+        let queue_keys: Vec<_> = self.waiting.keys().copied().collect();
+        for queue_key in queue_keys {
+            if prefilled_tokens == chunk || !self.reserve(queue_key, iteration) {
                 break;
             }
-            let Some(waiting) = self.waiting.get_mut(&place) else {
+            let Some(waiting) = self.waiting.get_mut(&queue_key) else {
                 continue;
             };
-            let part = waiting.left.min(chunk - read);
-            waiting.left -= part;
-            read += part;
-            if waiting.left == 0 {
-                ready.push(waiting.job);
-                self.places.remove(&waiting.job.id);
-                self.waiting.remove(&place);
-                self.begun -= 1;
+            let portion = waiting.remaining_tokens.min(chunk - prefilled_tokens);
+            waiting.remaining_tokens -= portion;
+            prefilled_tokens += portion;
+            if waiting.remaining_tokens == 0 {
+                prefilled.push(waiting.job);
+                self.queue_keys.remove(&waiting.job.id);
+                self.waiting.remove(&queue_key);
+                self.prefilling -= 1;
             }
         }
-        (read, ready)
+        (prefilled_tokens, prefilled)
     }
 
-    /// Gives a job its KV room; `false` when there is none, and none behind it gets any either.
-    fn begin(&mut self, place: (usize, u64, u64), iteration: &mut Iteration) -> bool {
-        let Some(waiting) = self.waiting.get_mut(&place) else {
+    /// Reserves KV cache for a job. Returns `false` if the cache or the batch is full; the caller
+    /// then stops, so that no later job overtakes this one.
+    fn reserve(&mut self, queue_key: (usize, u64, u64), iteration: &mut Iteration) -> bool {
+        let Some(waiting) = self.waiting.get_mut(&queue_key) else {
             return false;
         };
-        if waiting.begun {
+        if waiting.prefilling {
             return true;
         }
         let job = waiting.job;
-        let need = u64::from(job.prompt_tokens + job.output_tokens);
-        let sequences = self.running.len() as u32 + self.begun;
-        let full = self.kv_tokens + need > self.shape.kv_tokens && self.kv_tokens > 0;
-        if full || sequences >= self.shape.max_running {
+        let needed_tokens = u64::from(job.prompt_tokens + job.output_tokens);
+        let sequences = self.running.len() as u32 + self.prefilling;
+        let full = self.kv_tokens + needed_tokens > self.profile.kv_tokens && self.kv_tokens > 0;
+        if full || sequences >= self.profile.max_running {
             return false;
         }
         let cached = self
             .prefixes
             .lookup_or_insert(job.prefix, job.prefix_tokens);
-        waiting.begun = true;
-        waiting.left = waiting.left.saturating_sub(cached).max(1);
-        self.begun += 1;
-        self.kv_tokens += need;
+        waiting.prefilling = true;
+        waiting.remaining_tokens = waiting.remaining_tokens.saturating_sub(cached).max(1);
+        self.prefilling += 1;
+        self.kv_tokens += needed_tokens;
         iteration.started.push((job.id, cached));
         true
     }
 
-    fn collect(&mut self, iteration: &mut Iteration) {
+    fn collect_tokens(&mut self, iteration: &mut Iteration) {
         let mut index = 0;
         while index < self.running.len() {
             let running = self.running[index];
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the system serves: engines iteration by iteration, and the mixes of requests.
+//! Simulation model of engines and of request traffic.
 //!
-//! The stand-ins run it in real time and the benches in virtual time; docs/BENCH.md states its
-//! source and its limits.
+//! The stand-ins run the model in real time, the benches in virtual time. docs/BENCH.md states
+//! where its parameters come from and what it leaves out.
 
 mod batch;
 mod prefix;
--- a/crates/model/src/prefix.rs
+++ b/crates/model/src/prefix.rs
@@ -1,69 +1,70 @@
-//! Prompt prefixes whose KV cache an engine still holds.
+//! Simulates the prefix cache of an engine.
 
 use std::collections::HashMap;
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct Entry {
     tokens: u32,
-    used: u64,
+    last_use: u64,
 }
 
-/// Least recently used prefixes within a limited memory.
+/// Prompt prefixes in the KV cache, with least-recently-used eviction.
 #[derive(Debug, Clone)]
 pub struct PrefixCache {
-    room_tokens: u64,
-    held_tokens: u64,
-    held: HashMap<u64, Held>,
-    clock: u64,
+    capacity_tokens: u64,
+    used_tokens: u64,
+    entries: HashMap<u64, Entry>,
+    use_count: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache.
-    pub fn new(room_tokens: u64) -> Self {
+    /// Creates an empty cache for at most this many tokens.
+    pub fn new(capacity_tokens: u64) -> Self {
         Self {
-            room_tokens,
-            held_tokens: 0,
-            held: HashMap::new(),
-            clock: 0,
+            capacity_tokens,
+            used_tokens: 0,
+            entries: HashMap::new(),
+            use_count: 0,
         }
     }
 
-    /// Tokens of a prefix that need not be read again; afterwards the prefix is held.
+    /// Returns how many tokens of the prefix were cached and need no prefill. A missing prefix is
+    /// inserted, unless it is 0 or larger than the cache.
     pub fn lookup_or_insert(&mut self, prefix: u64, tokens: u32) -> u32 {
-        if prefix == 0 || u64::from(tokens) > self.room_tokens {
+        if prefix == 0 || u64::from(tokens) > self.capacity_tokens {
             return 0;
         }
-        self.clock += 1;
-        let used = self.clock;
-        if let Some(held) = self.held.get_mut(&prefix) {
-            held.used = used;
-            return held.tokens.min(tokens);
+        self.use_count += 1;
+        let last_use = self.use_count;
+        if let Some(entry) = self.entries.get_mut(&prefix) {
+            entry.last_use = last_use;
+            return entry.tokens.min(tokens);
         }
-        while self.held_tokens + u64::from(tokens) > self.room_tokens {
+        while self.used_tokens + u64::from(tokens) > self.capacity_tokens {
             self.evict();
         }
-        self.held_tokens += u64::from(tokens);
-        self.held.insert(prefix, Held { tokens, used });
+        self.used_tokens += u64::from(tokens);
+        self.entries.insert(prefix, Entry { tokens, last_use });
         0
     }
 
-    /// Tokens of a prefix that are held, without using them.
+    /// Number of cached tokens of a prefix; does not update its last use.
     pub fn cached_tokens(&self, prefix: u64) -> u32 {
-        self.held.get(&prefix).map_or(0, |held| held.tokens)
+        self.entries.get(&prefix).map_or(0, |entry| entry.tokens)
     }
 
     fn evict(&mut self) {
-        let oldest = self.held.iter().min_by_key(|(_, held)| held.used);
-        let Some((&prefix, &held)) = oldest else {
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_use);
+        let Some((&prefix, &entry)) = oldest else {
             return;
         };
-        self.held.remove(&prefix);
-        self.held_tokens -= u64::from(held.tokens);
+        self.entries.remove(&prefix);
+        self.used_tokens -= u64::from(entry.tokens);
     }
 
-    /// Forgets everything, as a restart or a role change does.
+    /// Empties the cache, as a restart or a role change does.
     pub fn clear(&mut self) {
-        self.held.clear();
-        self.held_tokens = 0;
+        self.entries.clear();
+        self.used_tokens = 0;
     }
 }
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,39 +1,39 @@
-//! Which requests come, and how their mix shifts.
+//! Request traffic of the modelled deployments.
 
 use derive_more::Display;
 use rand::Rng;
 
-/// Kinds of requests.
+/// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum RequestKind {
     /// A long prompt with a short answer.
     #[display("long")]
     Long,
-    /// A short prompt with a middling answer.
+    /// A short prompt with an answer of medium length.
     #[display("quick")]
     Quick,
-    /// A small completion that must not wait behind long ones.
+    /// A short completion that must not wait behind long ones.
     #[display("urgent")]
     Urgent,
-    /// A call to a plain service that may not be repeated.
+    /// A call to a plain service that must run at most once.
     #[display("once")]
     Once,
 }
 
-/// Deployments of today.
+/// Modelled deployments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display, derive_more::FromStr)]
 pub enum Deployment {
-    /// The surplus food exchange: nine engines.
+    /// Exchange for surplus food, with nine engines.
     #[default]
     #[display("annabhandar")]
     Annabhandar,
-    /// The groomers' booking: eighteen engines.
+    /// Booking for pet groomers, with eighteen engines.
     #[display("lakeshore")]
     Lakeshore,
 }
 
 impl Deployment {
-    /// Availability zones.
+    /// Names of the availability zones.
     pub fn zones(self) -> [&'static str; 3] {
         match self {
             Self::Annabhandar => ["salt-lake", "howrah", "garia"],
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The model served.
+    /// Name of the served model.
     pub fn model(self) -> &'static str {
         match self {
             Self::Annabhandar => "annagrade-llm",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The plain service, and its path that may not be repeated.
+    /// Name of the plain service, and the path whose calls must run at most once.
     pub fn service(self) -> (&'static str, &'static str) {
         match self {
             Self::Annabhandar => ("claimdesk", "/claim"),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Engines.
+    /// Number of engines.
     pub fn engines(self) -> usize {
         match self {
             Self::Annabhandar => 9,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Instances of the plain service.
+    /// Number of instances of the plain service.
     pub fn service_instances(self) -> usize {
         3
     }
 
-    /// Members.
+    /// Names of the members.
     pub fn members(self) -> &'static [&'static str] {
         match self {
             Self::Annabhandar => &["wholesalers", "caterers", "kitchens"],
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Weight of role changes: goodput first here, few changes there.
+    /// Cost weight of a role change: low where goodput matters most, high where changes should be
+    /// rare.
     pub fn role_change_weight(self) -> f64 {
         match self {
             Self::Annabhandar => 0.1,
@@ -87,26 +88,26 @@
     }
 }
 
-/// Rates of each kind, in requests a second.
+/// Request rate of each kind, in requests per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrafficMix {
-    /// Long prompts.
+    /// Rate of [`RequestKind::Long`].
     pub long: f64,
-    /// Quick questions.
+    /// Rate of [`RequestKind::Quick`].
     pub quick: f64,
-    /// Urgent completions.
+    /// Rate of [`RequestKind::Urgent`].
     pub urgent: f64,
-    /// Calls that may not be repeated.
+    /// Rate of [`RequestKind::Once`].
     pub once: f64,
 }
 
 impl TrafficMix {
-    /// Requests a second in all.
+    /// Sum of all rates, in requests per second.
     pub fn total(&self) -> f64 {
         self.long + self.quick + self.urgent + self.once
     }
 
-    /// Draws a kind by its rate.
+    /// Draws a kind at random, weighted by rate.
     pub fn draw(&self, rng: &mut impl Rng) -> RequestKind {
         let mut point = rng.random_range(0.0..self.total().max(f64::MIN_POSITIVE));
         for (kind, rate) in [
@@ -123,28 +124,28 @@
     }
 }
 
-/// A mix that lasts for a while.
+/// Period of time with a constant traffic mix.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Phase {
-    /// How long.
+    /// Length of the phase, in ms.
     pub duration_ms: u64,
-    /// Which mix.
+    /// Request rates during the phase.
     pub mix: TrafficMix,
 }
 
-/// Sizes of requests.
+/// Mean prompt and output tokens of each kind of request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestSizes {
-    /// Prompt and output tokens of long requests.
+    /// Prompt and output tokens of [`RequestKind::Long`].
     pub long: (u32, u32),
-    /// Those of quick ones.
+    /// Prompt and output tokens of [`RequestKind::Quick`].
     pub quick: (u32, u32),
-    /// Those of urgent ones.
+    /// Prompt and output tokens of [`RequestKind::Urgent`] and [`RequestKind::Once`].
     pub urgent: (u32, u32),
 }
 
 impl RequestSizes {
-    /// The deployment's sizes: whole manifests for a grade, or dogs' histories for a verdict.
+    /// Sizes in a deployment. Long prompts are complete food manifests or dogs' medical histories.
     pub fn of(deployment: Deployment) -> Self {
         match deployment {
             Deployment::Annabhandar => Self {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Prompt and output tokens of a kind.
+    /// Prompt and output tokens of a kind of request.
     pub fn tokens(&self, kind: RequestKind) -> (u32, u32) {
         match kind {
             RequestKind::Long => self.long,
