--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: looks instances up, keeps the answer a while and goes elsewhere when one fails.
+//! A caller, which caches lookups and avoids instances that failed.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,24 +9,24 @@
 use serde::Deserialize;
 use tick::Clock;
 
-/// Time for which an instance that failed is passed over: longer than instances take to notice
-/// that it is gone, or a fresh lookup would name it again at once.
-const SHUN_MS: u64 = 3_000;
+/// Time for which a failed instance is avoided, in ms. It must exceed the time that the other
+/// instances take to notice the failure, or a fresh lookup returns the failed instance again.
+const AVOID_MS: u64 = 3_000;
 
-/// Time for a lookup.
-const LOOKUP_MS: u64 = 1_000;
+/// Timeout of a lookup, in ms.
+const LOOKUP_TIMEOUT_MS: u64 = 1_000;
 
-/// Whose requests a caller makes.
+/// Identity under which a caller sends requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// API key.
+    /// API key of the workspace.
     pub key: String,
-    /// Availability zone that the caller is nearest to.
+    /// Availability zone closest to the caller.
     pub zone: String,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct LookedUp {
+struct Lookup {
     instances: Vec<Instance>,
     keep_ms: u64,
     key_prefix: Option<String>,
@@ -38,26 +38,26 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    answer: Option<LookedUp>,
-    until_ms: u64,
-    /// Instances that failed, and until when they are passed over.
+struct LookupCache {
+    lookup: Option<Lookup>,
+    valid_until_ms: u64,
+    /// Instances that failed, each with the time until which it is avoided.
     failed: Vec<(String, u64)>,
 }
 
-/// One caller.
+/// A caller. Clones share the cached lookup and the list of failed instances.
 #[derive(Clone)]
 pub struct Caller {
     pub(crate) tenant: Tenant,
     pub(crate) client: awc::Client,
     pub(crate) clock: Clock,
     seeds: Rc<Vec<String>>,
-    kept: Rc<RefCell<Kept>>,
+    cache: Rc<RefCell<LookupCache>>,
     rng: Rc<RefCell<Pcg64>>,
 }
 
 impl Caller {
-    /// A caller that knows some instances to ask for others.
+    /// Creates a caller that sends its first lookup to one of the seed instances.
     pub fn new(tenant: Tenant, seeds: Vec<String>, rng: Pcg64) -> Self {
         Self {
             tenant,
@@ -67,48 +67,50 @@
                 .finish(),
             clock: Clock::default(),
             seeds: Rc::new(seeds),
-            kept: Rc::default(),
+            cache: Rc::default(),
             rng: Rc::new(RefCell::new(rng)),
         }
     }
 
-    /// An instance to use now.
+    /// Returns the first instance of the lookup that is not avoided, or the first one if all are.
     pub(crate) async fn instance(&self) -> Option<String> {
-        self.refresh().await;
-        let kept = self.kept.borrow();
-        let answer = kept.answer.as_ref()?;
+        self.refresh_lookup().await;
+        let cache = self.cache.borrow();
+        let lookup = cache.lookup.as_ref()?;
         let now_ms = self.clock.now_ms();
-        let shunned = |address: &str| {
-            kept.failed
+        let avoided = |address: &str| {
+            cache
+                .failed
                 .iter()
                 .any(|(failed, until_ms)| failed == address && now_ms < *until_ms)
         };
-        let good = answer
+        let usable = lookup
             .instances
             .iter()
-            .find(|instance| !shunned(&instance.address));
-        good.or(answer.instances.first())
+            .find(|instance| !avoided(&instance.address));
+        usable
+            .or(lookup.instances.first())
             .map(|instance| instance.address.clone())
     }
 
-    /// What an idempotency key must begin with, fresh from an instance.
+    /// Required prefix of new idempotency keys, from the current lookup.
     pub(crate) async fn key_prefix(&self) -> Option<String> {
-        self.refresh().await;
-        self.kept.borrow().answer.as_ref()?.key_prefix.clone()
+        self.refresh_lookup().await;
+        self.cache.borrow().lookup.as_ref()?.key_prefix.clone()
     }
 
-    /// The instance failed: the next request goes elsewhere, and asks anew.
-    pub(crate) fn failed(&self, instance: &str) {
-        let mut kept = self.kept.borrow_mut();
-        let until_ms = self.clock.now_ms() + SHUN_MS;
-        kept.failed.push((instance.to_owned(), until_ms));
-        kept.until_ms = 0;
+    /// Marks an instance as failed and drops the cached lookup.
+    pub(crate) fn mark_failed(&self, instance: &str) {
+        let mut cache = self.cache.borrow_mut();
+        let until_ms = self.clock.now_ms() + AVOID_MS;
+        cache.failed.push((instance.to_owned(), until_ms));
+        cache.valid_until_ms = 0;
     }
 
-    /// The part that a key made from a refusal's own prefix begins with.
+    /// Replaces the key prefix with the one that a refusal carried.
     pub(crate) fn adopt_prefix(&self, prefix: &str) {
-        if let Some(answer) = &mut self.kept.borrow_mut().answer {
-            answer.key_prefix = Some(prefix.to_owned());
+        if let Some(lookup) = &mut self.cache.borrow_mut().lookup {
+            lookup.key_prefix = Some(prefix.to_owned());
         }
     }
 
@@ -116,42 +118,42 @@
         self.rng.borrow_mut().random()
     }
 
-    async fn refresh(&self) {
-        if self.clock.now_ms() < self.kept.borrow().until_ms {
+    async fn refresh_lookup(&self) {
+        if self.clock.now_ms() < self.cache.borrow().valid_until_ms {
             return;
         }
-        let mut asked: Vec<String> = self.seeds.to_vec();
-        if let Some(answer) = &self.kept.borrow().answer {
-            asked.extend(
-                answer
+        let mut candidates: Vec<String> = self.seeds.to_vec();
+        if let Some(lookup) = &self.cache.borrow().lookup {
+            candidates.extend(
+                lookup
                     .instances
                     .iter()
                     .map(|instance| instance.address.clone()),
             );
         }
-        let begin = self.random() as usize % asked.len().max(1);
-        for place in 0..asked.len() {
-            let address = &asked[(begin + place) % asked.len()];
-            let Some(answer) = self.look_up(address).await else {
+        let first = self.random() as usize % candidates.len().max(1);
+        for offset in 0..candidates.len() {
+            let address = &candidates[(first + offset) % candidates.len()];
+            let Some(lookup) = self.look_up(address).await else {
                 continue;
             };
-            let mut kept = self.kept.borrow_mut();
-            kept.until_ms = self.clock.now_ms() + answer.keep_ms;
+            let mut cache = self.cache.borrow_mut();
+            cache.valid_until_ms = self.clock.now_ms() + lookup.keep_ms;
             let now_ms = self.clock.now_ms();
-            kept.failed.retain(|(_, until_ms)| now_ms < *until_ms);
-            kept.answer = Some(answer);
+            cache.failed.retain(|(_, until_ms)| now_ms < *until_ms);
+            cache.lookup = Some(lookup);
             return;
         }
     }
 
-    async fn look_up(&self, address: &str) -> Option<LookedUp> {
+    async fn look_up(&self, address: &str) -> Option<Lookup> {
         let url = format!("http://{address}/v1/lookup?zone={}", self.tenant.zone);
         let request = self
             .client
             .get(url)
-            .timeout(Duration::from_millis(LOOKUP_MS));
+            .timeout(Duration::from_millis(LOOKUP_TIMEOUT_MS));
         let mut response = request.send().await.ok()?;
-        let answer = response.json::<LookedUp>().await.ok()?;
-        (!answer.instances.is_empty()).then_some(answer)
+        let lookup = response.json::<Lookup>().await.ok()?;
+        (!lookup.instances.is_empty()).then_some(lookup)
     }
 }
--- a/crates/load/src/completion.rs
+++ b/crates/load/src/completion.rs
@@ -1,4 +1,4 @@
-//! Streamed completions, checked token by token and resumed when their instance dies.
+//! Streamed completions, verified token by token and resumed when an instance fails.
 
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
 
 use crate::{Caller, Outcome};
 
-/// Times that a caller asks again before it gives up.
-const TRIES: u32 = 8;
+/// Maximum number of attempts per completion.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Silence after which a caller looks for the rest elsewhere.
-const SILENCE_MS: u64 = 6_000;
+/// Time without an event after which a stream counts as broken, in ms.
+const IDLE_TIMEOUT_MS: u64 = 6_000;
 
-/// One question.
+/// A completion to request.
 #[derive(Debug, Clone)]
 pub struct CompletionRequest {
-    /// Class it is asked under.
+    /// Request class.
     pub class: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens of the answer.
+    /// Number of output tokens.
     pub tokens: u32,
-    /// Time to the whole answer.
+    /// Deadline of the complete answer, in ms from the start of the request.
     pub deadline_ms: u64,
 }
 
-/// What a caller saw of one question.
+/// Result of a request, as its caller observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestResult {
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Time to the end.
+    /// Time to the end, in ms, over all attempts.
     pub duration_ms: u64,
-    /// Time to the first token.
+    /// Time to the first token, in ms; 0 if there was none.
     pub first_token_ms: u64,
-    /// The rest came from another instance.
+    /// Whether a partial stream broke and the caller went on at another instance.
     pub resumed: bool,
 }
 
-enum Step {
-    Whole,
+enum AttemptResult {
+    Complete,
     Wrong,
     Refused {
         ran: bool,
@@ -54,26 +54,26 @@
 }
 
 struct Progress {
-    have: u32,
+    received_tokens: u32,
     resume: Option<String>,
     first_token_ms: Option<u64>,
     resumed: bool,
 }
 
 impl Caller {
-    /// Asks a question and follows its answer to the end.
-    pub async fn complete(&self, question: &CompletionRequest) -> RequestResult {
-        let begun_ms = self.clock.now_ms();
+    /// Requests a completion and reads its stream to the end, with retries and resumes.
+    pub async fn complete(&self, completion: &CompletionRequest) -> RequestResult {
+        let started_ms = self.clock.now_ms();
         let mut progress = Progress {
-            have: 0,
+            received_tokens: 0,
             resume: None,
             first_token_ms: None,
             resumed: false,
         };
-        let mut last = Outcome::Refused;
-        for _ in 0..TRIES {
-            let spent_ms = self.clock.now_ms() - begun_ms;
-            if progress.have == 0 && spent_ms >= question.deadline_ms {
+        let mut outcome = Outcome::Refused;
+        for _ in 0..MAX_ATTEMPTS {
+            let elapsed_ms = self.clock.now_ms() - started_ms;
+            if progress.received_tokens == 0 && elapsed_ms >= completion.deadline_ms {
                 break;
             }
             let Some(instance) = self.instance().await else {
@@ -81,133 +81,137 @@
                 continue;
             };
             match self
-                .step(&instance, question, begun_ms, &mut progress)
+                .attempt(&instance, completion, started_ms, &mut progress)
                 .await
             {
-                Step::Whole => {
-                    let in_time = self.clock.now_ms() - begun_ms <= question.deadline_ms;
-                    last = if in_time {
+                AttemptResult::Complete => {
+                    let in_time = self.clock.now_ms() - started_ms <= completion.deadline_ms;
+                    outcome = if in_time {
                         Outcome::InTime
                     } else {
                         Outcome::Late
                     };
                     break;
                 }
-                Step::Wrong => {
-                    last = Outcome::Wrong;
+                AttemptResult::Wrong => {
+                    outcome = Outcome::Wrong;
                     break;
                 }
-                Step::Refused {
+                AttemptResult::Refused {
                     ran,
                     retry_after_ms,
                 } => {
-                    last = if ran {
+                    outcome = if ran {
                         Outcome::Unknown
                     } else {
                         Outcome::Refused
                     };
                     match retry_after_ms {
-                        Some(ms) if spent_ms + ms < question.deadline_ms => {
+                        Some(ms) if elapsed_ms + ms < completion.deadline_ms => {
                             actix_rt::time::sleep(Duration::from_millis(ms)).await;
                         }
                         _ => break,
                     }
                 }
-                Step::Broken => {
-                    last = Outcome::Unknown;
-                    self.failed(&instance);
-                    progress.resumed |= progress.have > 0;
+                AttemptResult::Broken => {
+                    outcome = Outcome::Unknown;
+                    self.mark_failed(&instance);
+                    progress.resumed |= progress.received_tokens > 0;
                 }
             }
         }
         RequestResult {
-            outcome: last,
-            duration_ms: self.clock.now_ms() - begun_ms,
+            outcome,
+            duration_ms: self.clock.now_ms() - started_ms,
             first_token_ms: progress.first_token_ms.unwrap_or(0),
             resumed: progress.resumed,
         }
     }
 
-    async fn step(
+    async fn attempt(
         &self,
         instance: &str,
-        question: &CompletionRequest,
-        begun_ms: u64,
+        completion: &CompletionRequest,
+        started_ms: u64,
         progress: &mut Progress,
-    ) -> Step {
-        let spent_ms = self.clock.now_ms() - begun_ms;
-        let left_ms = question.deadline_ms.saturating_sub(spent_ms).max(1);
+    ) -> AttemptResult {
+        let elapsed_ms = self.clock.now_ms() - started_ms;
+        let remaining_ms = completion.deadline_ms.saturating_sub(elapsed_ms).max(1);
         let sent = if let Some(token) = &progress.resume {
             let url = format!("http://{instance}/v1/streams/{token}");
             let request = self.client.get(url).bearer_auth(&self.tenant.key);
-            let request = request.insert_header(("last-event-id", progress.have));
+            let request = request.insert_header(("last-event-id", progress.received_tokens));
             request.send().await
         } else {
             let body = json!({
-                "model": question.model,
-                "prompt": question.prompt,
-                "max_tokens": question.tokens,
+                "model": completion.model,
+                "prompt": completion.prompt,
+                "max_tokens": completion.tokens,
                 "stream": true,
             });
             let url = format!("http://{instance}/v1/completions");
             let request = self.client.post(url).bearer_auth(&self.tenant.key);
-            let request = request.insert_header(("x-request-class", question.class.as_str()));
-            let request = request.insert_header(("x-deadline-ms", left_ms));
+            let request = request.insert_header(("x-request-class", completion.class.as_str()));
+            let request = request.insert_header(("x-deadline-ms", remaining_ms));
             request.send_json(&body).await
         };
         let Ok(mut response) = sent else {
-            return Step::Broken;
+            return AttemptResult::Broken;
         };
         if !response.status().is_success() {
-            // A stream that is gone cannot be resumed; the question is asked again from the start.
+            // The stream can no longer be resumed, so the request starts over.
             if progress.resume.take().is_some() {
-                progress.have = 0;
-                return Step::Broken;
+                progress.received_tokens = 0;
+                return AttemptResult::Broken;
             }
             let body: Value = response.json().await.unwrap_or_default();
-            return Step::Refused {
+            return AttemptResult::Refused {
                 ran: body["ran"] != "not_run",
                 retry_after_ms: body["retry_after_ms"].as_u64(),
             };
         }
         let mut events = response.eventsource();
         loop {
-            let limit = Duration::from_millis(SILENCE_MS);
+            let limit = Duration::from_millis(IDLE_TIMEOUT_MS);
             let Ok(Some(Ok(event))) = actix_rt::time::timeout(limit, events.next()).await else {
-                return Step::Broken;
+                return AttemptResult::Broken;
             };
-            if let Some(step) = self.take(question, begun_ms, progress, &event) {
-                return step;
+            if let Some(result) = self.process_event(completion, started_ms, progress, &event) {
+                return result;
             }
         }
     }
 
-    fn take(
+    fn process_event(
         &self,
-        question: &CompletionRequest,
-        begun_ms: u64,
+        completion: &CompletionRequest,
+        started_ms: u64,
         progress: &mut Progress,
         event: &eventsource_stream::Event,
-    ) -> Option<Step> {
+    ) -> Option<AttemptResult> {
         if event.data == "[DONE]" {
-            let whole = progress.have == question.tokens;
-            return Some(if whole { Step::Whole } else { Step::Wrong });
+            let complete = progress.received_tokens == completion.tokens;
+            return Some(if complete {
+                AttemptResult::Complete
+            } else {
+                AttemptResult::Wrong
+            });
         }
         if event.event == "error" {
-            return Some(Step::Broken);
+            return Some(AttemptResult::Broken);
         }
         let data: Value = serde_json::from_str(&event.data).ok()?;
         let text = data["choices"][0]["text"].as_str().unwrap_or_default();
         if text.is_empty() {
             return None;
         }
-        if text != expected_token(&question.prompt, progress.have as usize) {
-            return Some(Step::Wrong);
+        if text != expected_token(&completion.prompt, progress.received_tokens as usize) {
+            return Some(AttemptResult::Wrong);
         }
-        progress.have += 1;
+        progress.received_tokens += 1;
         progress
             .first_token_ms
-            .get_or_insert(self.clock.now_ms() - begun_ms);
+            .get_or_insert(self.clock.now_ms() - started_ms);
         progress.resume = data["resume"].as_str().map(str::to_owned);
         None
     }
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -1,4 +1,4 @@
-//! Many callers whose requests come at random times, whatever becomes of earlier ones.
+//! Open-loop load generator: requests arrive at random times, independent of earlier ones.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 use crate::{Caller, CompletionRequest, Tally};
 
-/// Deadlines by kind, in ms.
+/// Deadline of a kind of request, in ms.
 fn deadline_ms(kind: RequestKind) -> u64 {
     match kind {
         RequestKind::Long => 10_000,
@@ -20,17 +20,17 @@
     }
 }
 
-/// A load that is being made.
+/// Results of a load run, filled while it is under way.
 pub struct LoadRun {
-    /// What became of requests so far.
+    /// Outcome counts so far.
     pub tally: Rc<RefCell<Tally>>,
-    /// Bodies of calls that were answered, each of which must have run exactly once.
+    /// Bodies of answered calls, each of which must have run exactly once.
     pub completed_calls: Rc<RefCell<Vec<String>>>,
-    /// Bodies of calls that were refused as not run.
+    /// Bodies of calls that were refused as not run; none of them may have run.
     pub refused_calls: Rc<RefCell<Vec<String>>>,
 }
 
-/// Makes requests through the phases and waits for the last of them.
+/// Sends requests through all phases and waits until the last one has ended.
 pub async fn run(
     running: &LoadRun,
     callers: Vec<Caller>,
@@ -44,13 +44,13 @@
     for phase in phases {
         let end = Instant::now() + Duration::from_millis(phase.duration_ms);
         while Instant::now() < end {
-            // Exponential gaps: the requests of many callers who do not know of each other.
+            // Exponential gaps give the Poisson arrivals of many independent callers.
             let gap = -rng.random_range(f64::EPSILON..1.0_f64).ln() / phase.mix.total();
             actix_rt::time::sleep(Duration::from_secs_f64(gap)).await;
             number += 1;
             let kind = phase.mix.draw(&mut rng);
             let caller = callers[rng.random_range(0..callers.len())].clone();
-            let one = One {
+            let request = GeneratedRequest {
                 caller,
                 deployment,
                 kind,
@@ -59,7 +59,7 @@
                 completed_calls: running.completed_calls.clone(),
                 refused_calls: running.refused_calls.clone(),
             };
-            tasks.push(actix_rt::spawn(one.make()));
+            tasks.push(actix_rt::spawn(request.send()));
         }
     }
     for task in tasks {
@@ -67,7 +67,7 @@
     }
 }
 
-struct One {
+struct GeneratedRequest {
     caller: Caller,
     deployment: Deployment,
     kind: RequestKind,
@@ -77,11 +77,11 @@
     refused_calls: Rc<RefCell<Vec<String>>>,
 }
 
-impl One {
-    async fn make(self) {
+impl GeneratedRequest {
+    async fn send(self) {
         let deadline_ms = deadline_ms(self.kind);
         let class = self.kind.to_string();
-        let seen = if self.kind == RequestKind::Once {
+        let result = if self.kind == RequestKind::Once {
             self.call(deadline_ms).await
         } else {
             let (prompt_tokens, tokens) = RequestSizes::of(self.deployment).tokens(self.kind);
@@ -97,32 +97,32 @@
         let mut tally = self.tally.borrow_mut();
         tally.add(
             &class,
-            seen.outcome,
-            seen.duration_ms,
-            seen.first_token_ms,
-            seen.resumed,
+            result.outcome,
+            result.duration_ms,
+            result.first_token_ms,
+            result.resumed,
         );
     }
 
     async fn call(&self, deadline_ms: u64) -> crate::completion::RequestResult {
         let (service, path) = self.deployment.service();
         let body = format!("lot {}", self.number);
-        let seen = self
+        let result = self
             .caller
             .call_once(service, path, &body, deadline_ms)
             .await;
-        match seen.outcome {
+        match result.outcome {
             crate::Outcome::InTime | crate::Outcome::Late => {
-                self.completed_calls.borrow_mut().push(body)
+                self.completed_calls.borrow_mut().push(body);
             }
             crate::Outcome::Refused => self.refused_calls.borrow_mut().push(body),
             crate::Outcome::Unknown | crate::Outcome::Wrong => {}
         }
-        seen
+        result
     }
 }
 
-/// A prompt unlike any other, of about the given number of tokens.
+/// Builds a unique prompt of about the given number of tokens.
 fn prompt(number: u64, tokens: u32) -> String {
     let line = format!("item {number}: ");
     let mut text = String::with_capacity(tokens as usize * 4 + line.len());
--- a/crates/load/src/service.rs
+++ b/crates/load/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, made under a key and asked again after failures.
+//! At-most-once calls to plain services, retried under an idempotency key.
 
 use std::time::Duration;
 
@@ -7,14 +7,15 @@
 use crate::completion::RequestResult;
 use crate::{Caller, Outcome};
 
-/// Times that a caller asks again before it gives up.
-const TRIES: u32 = 6;
+/// Maximum number of attempts per call.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// Time for one try beyond the call's own deadline.
-const TRY_MS: u64 = 1_000;
+/// Time that the HTTP timeout of an attempt allows beyond the call's deadline, in ms.
+const TIMEOUT_SLACK_MS: u64 = 1_000;
 
 impl Caller {
-    /// Makes one call; `body` must be unlike that of any other call.
+    /// Makes one call. The body must be unique, so that the service's effects can be counted by
+    /// body.
     pub async fn call_once(
         &self,
         service: &str,
@@ -22,14 +23,14 @@
         body: &str,
         deadline_ms: u64,
     ) -> RequestResult {
-        let begun_ms = self.clock.now_ms();
-        let mut current = None;
-        let mut last = Outcome::Refused;
-        for _ in 0..TRIES {
-            if current.is_none() {
-                current = self.new_key().await;
+        let started_ms = self.clock.now_ms();
+        let mut current_key = None;
+        let mut outcome = Outcome::Refused;
+        for _ in 0..MAX_ATTEMPTS {
+            if current_key.is_none() {
+                current_key = self.new_key().await;
             }
-            let Some(key) = &current else {
+            let Some(key) = &current_key else {
                 actix_rt::time::sleep(Duration::from_millis(100)).await;
                 continue;
             };
@@ -37,11 +38,11 @@
                 continue;
             };
             let target = format!("{service}{path}");
-            let answer = self.try_call(&instance, key, &target, body, deadline_ms);
+            let answer = self.attempt_call(&instance, key, &target, body, deadline_ms);
             match answer.await {
                 Some((200, _)) => {
-                    let in_time = self.clock.now_ms() - begun_ms <= deadline_ms;
-                    last = if in_time {
+                    let in_time = self.clock.now_ms() - started_ms <= deadline_ms;
+                    outcome = if in_time {
                         Outcome::InTime
                     } else {
                         Outcome::Late
@@ -49,35 +50,35 @@
                     break;
                 }
                 Some((_, body)) if body["ran"] == "not_run" => {
-                    last = Outcome::Refused;
-                    let spent_ms = self.clock.now_ms() - begun_ms;
+                    outcome = Outcome::Refused;
+                    let elapsed_ms = self.clock.now_ms() - started_ms;
                     let Some(wait_ms) = body["retry_after_ms"].as_u64() else {
                         break;
                     };
-                    if spent_ms + wait_ms >= deadline_ms {
+                    if elapsed_ms + wait_ms >= deadline_ms {
                         break;
                     }
-                    // A call that is told not to have run may be made again, under a new key.
-                    current = None;
+                    // The call has not run, so it may be retried under a new key.
+                    current_key = None;
                     if let Some(prefix) = body["key_prefix"].as_str() {
                         self.adopt_prefix(prefix);
                     }
                     actix_rt::time::sleep(Duration::from_millis(wait_ms)).await;
                 }
                 Some((_, body)) => {
-                    last = Outcome::Unknown;
+                    outcome = Outcome::Unknown;
                     let wait_ms = body["retry_after_ms"].as_u64().unwrap_or(200);
                     actix_rt::time::sleep(Duration::from_millis(wait_ms)).await;
                 }
                 None => {
-                    last = Outcome::Unknown;
-                    self.failed(&instance);
+                    outcome = Outcome::Unknown;
+                    self.mark_failed(&instance);
                 }
             }
         }
         RequestResult {
-            outcome: last,
-            duration_ms: self.clock.now_ms() - begun_ms,
+            outcome,
+            duration_ms: self.clock.now_ms() - started_ms,
             first_token_ms: 0,
             resumed: false,
         }
@@ -88,7 +89,7 @@
         Some(format!("{prefix}{:016x}", self.random()))
     }
 
-    async fn try_call(
+    async fn attempt_call(
         &self,
         instance: &str,
         key: &str,
@@ -103,7 +104,7 @@
             .bearer_auth(&self.tenant.key)
             .insert_header(("idempotency-key", key))
             .insert_header(("x-deadline-ms", deadline_ms))
-            .timeout(Duration::from_millis(deadline_ms + TRY_MS));
+            .timeout(Duration::from_millis(deadline_ms + TIMEOUT_SLACK_MS));
         let mut response = request.send_body(body.to_owned()).await.ok()?;
         let status = response.status().as_u16();
         Some((status, response.json().await.unwrap_or_default()))
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,81 +1,81 @@
-//! What became of requests, by class.
+//! Counts of request outcomes by class.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest time that is told apart, in ms.
-const LONGEST_MS: u64 = 120_000;
+/// Upper limit of the latency histograms, in ms; longer times count as this.
+const MAX_LATENCY_MS: u64 = 120_000;
 
-/// How one request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The whole right answer by its deadline.
+    /// Complete and correct answer within the deadline.
     InTime,
-    /// The whole right answer, after its deadline.
+    /// Complete and correct answer after the deadline.
     Late,
-    /// It was told that the request has not run.
+    /// The answer said that the request has not run.
     Refused,
-    /// It was told, or has to assume, that the request may have run.
+    /// The request may have run; its answer was lost or said so.
     Unknown,
-    /// It got an answer that is not whole or not its own.
+    /// The answer was incomplete or belonged to another request.
     Wrong,
 }
 
-/// Counts of one class.
+/// Outcome counts and latencies of one class.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ClassCounts {
-    /// Requests made.
+    /// Number of requests sent.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Whole answers in time.
+    /// Requests that ended [`Outcome::InTime`].
     pub in_time: u64,
-    /// Whole answers that came late.
+    /// Requests that ended [`Outcome::Late`].
     pub late: u64,
-    /// Refusals that said `not_run`.
+    /// Requests that ended [`Outcome::Refused`].
     pub refused: u64,
-    /// Outcomes that are not known.
+    /// Requests that ended [`Outcome::Unknown`].
     pub unknown: u64,
-    /// Answers that were wrong or cut.
+    /// Requests that ended [`Outcome::Wrong`], and errors from [`Tally::add_wrong`].
     pub wrong: u64,
-    /// Median time to the whole answer, in ms.
+    /// Median time to the complete answer, in ms.
     pub p50_ms: u64,
-    /// 99th percentile of it.
+    /// 99th percentile of the time to the complete answer, in ms.
     pub p99_ms: u64,
-    /// 95th percentile of the time to the first token, in ms; 0 where there are no tokens.
+    /// 95th percentile of the time to the first token, in ms; 0 for calls without tokens.
     #[serde(rename = "first_p95_ms")]
     pub first_token_p95_ms: u64,
-    /// Answers that were resumed at another instance.
+    /// Requests whose stream broke and was continued at another instance.
     pub resumed: u64,
 }
 
-struct Class {
+struct ClassRecorder {
     row: ClassCounts,
-    whole: Histogram<u64>,
-    first: Histogram<u64>,
+    total_times: Histogram<u64>,
+    first_token_times: Histogram<u64>,
 }
 
-impl Class {
+impl ClassRecorder {
     fn new() -> Self {
         let histogram =
-            || Histogram::new_with_max(LONGEST_MS, 3).expect("bounds are constant and valid");
+            || Histogram::new_with_max(MAX_LATENCY_MS, 3).expect("bounds are constant and valid");
         Self {
             row: ClassCounts::default(),
-            whole: histogram(),
-            first: histogram(),
+            total_times: histogram(),
+            first_token_times: histogram(),
         }
     }
 }
 
-/// Counts of all classes.
+/// Outcome counts of all classes.
 #[derive(Default)]
 pub struct Tally {
-    classes: BTreeMap<String, Class>,
+    classes: BTreeMap<String, ClassRecorder>,
 }
 
 impl Tally {
-    /// Counts one request.
+    /// Records the end of one request.
     pub fn add(
         &mut self,
         class: &str,
@@ -87,7 +87,7 @@
         let entry = self
             .classes
             .entry(class.to_owned())
-            .or_insert_with(Class::new);
+            .or_insert_with(ClassRecorder::new);
         let row = &mut entry.row;
         row.requests += 1;
         row.resumed += u64::from(resumed);
@@ -100,43 +100,43 @@
         };
         *slot += 1;
         if matches!(outcome, Outcome::InTime | Outcome::Late) {
-            entry.whole.saturating_record(duration_ms);
-            entry.first.saturating_record(first_token_ms);
+            entry.total_times.saturating_record(duration_ms);
+            entry.first_token_times.saturating_record(first_token_ms);
         }
     }
 
-    /// Counts a wrong that only the whole run shows, such as a call that ran twice.
+    /// Adds errors that are found only after the run, such as a call that ran twice.
     pub fn add_wrong(&mut self, class: &str, count: u64) {
         let entry = self
             .classes
             .entry(class.to_owned())
-            .or_insert_with(Class::new);
+            .or_insert_with(ClassRecorder::new);
         entry.row.wrong += count;
     }
 
-    /// Rows by class.
+    /// Counts and latencies by class.
     pub fn rows(&self) -> BTreeMap<String, ClassCounts> {
         let rows = self.classes.iter().map(|(name, class)| {
             let mut row = class.row.clone();
-            row.p50_ms = class.whole.value_at_quantile(0.5);
-            row.p99_ms = class.whole.value_at_quantile(0.99);
-            row.first_token_p95_ms = class.first.value_at_quantile(0.95);
+            row.p50_ms = class.total_times.value_at_quantile(0.5);
+            row.p99_ms = class.total_times.value_at_quantile(0.99);
+            row.first_token_p95_ms = class.first_token_times.value_at_quantile(0.95);
             (name.clone(), row)
         });
         rows.collect()
     }
 
-    /// Requests whose answers were wrong or cut, which must be none.
+    /// Total of wrong answers and errors; 0 in a correct run.
     pub fn wrong(&self) -> u64 {
         self.classes.values().map(|class| class.row.wrong).sum()
     }
 
-    /// Requests made.
+    /// Total number of requests sent.
     pub fn requests(&self) -> u64 {
         self.classes.values().map(|class| class.row.requests).sum()
     }
 
-    /// A table for people.
+    /// Formats the counts as a text table.
     pub fn table(&self) -> String {
         use std::fmt::Write;
         let mut text = format!(
