--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: streams with resume and cancel, orders, and reports that lag.
+//! Engine stand-in: resumable and cancellable streams, orders, and delayed load reports.
 
 mod http;
 mod orders;
@@ -21,39 +21,39 @@
 use orders::Orders;
 use streams::Streams;
 
-/// Time between two snapshots that reports are taken from.
+/// Interval between the load snapshots that reports are answered from, in ms.
 const SNAPSHOT_MS: u64 = 50;
 
-/// What makes a prompt poisonous to an engine whose switch says so.
+/// Text that triggers [`EngineFaults::poison_behavior`] when a prompt contains it.
 pub const POISON_MARKER: &str = "poison";
 
-/// Switches of an engine.
+/// Injected faults of an engine.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Factor by which iterations take longer.
+    /// Factor on the duration of each iteration; 1 is normal speed.
     pub slow: f64,
-    /// Produces nothing.
+    /// Stops all iterations, so that no token is produced.
     pub stall: bool,
-    /// Cuts a stream's connection once, after this many tokens; 0 never does.
+    /// Closes the connection of each stream once, after this many tokens; 0 disables this.
     pub cut_after: u32,
-    /// Puts another request's id on answers.
+    /// Sends a wrong request id with each answer.
     pub cross_ids: bool,
-    /// Refuses new work with 503.
+    /// Refuses new completions with status 503.
     pub refuse: bool,
-    /// What a prompt that has [`POISON_MARKER`] in it does to it.
+    /// Reaction to a prompt that contains [`POISON_MARKER`].
     #[serde(rename = "at_poison")]
     pub poison_behavior: PoisonBehavior,
 }
 
-/// What becomes of an engine that begins with a poisonous prompt.
+/// Reaction of an engine to a poison request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoisonBehavior {
-    /// It answers.
+    /// The engine answers as usual.
     #[default]
     Survives,
-    /// It is killed.
+    /// The engine is killed, as by [`EngineStandin::kill`].
     #[serde(rename = "ends")]
     Crashes,
 }
@@ -71,27 +71,27 @@
     }
 }
 
-/// What an engine is like.
+/// Configuration of an engine stand-in.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
     /// Name of the instance.
     pub name: String,
-    /// Its cost model.
+    /// Cost model of the iterations.
     pub profile: EngineProfile,
-    /// Role it begins with.
+    /// Initial role.
     pub role: Role,
-    /// `model@version` of what it has loaded.
+    /// Loaded models, each as `model@version`.
     pub loaded: Vec<String>,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether orders with an outdated fencing token are rejected.
     pub checks_orders: bool,
-    /// Age of what it reports.
+    /// Age of the load in reports, in ms.
     pub report_lag_ms: u64,
-    /// IP address and port of the weight store; empty if loading needs none.
+    /// IP address and port of the weight store; if empty, models load without a fetch.
     pub weight_store: String,
 }
 
 impl EngineOptions {
-    /// An engine that has one model loaded.
+    /// Default options for an engine with one loaded model, given as `model@version`.
     pub fn new(name: &str, loaded: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -105,22 +105,25 @@
     }
 }
 
-/// What an engine reports of itself.
+/// Report of an engine about itself.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// Role it plays.
+    /// Current role.
     pub role: String,
-    /// `model@version` of all that it has loaded.
+    /// Loaded models, each as `model@version`.
     pub loaded: Vec<String>,
-    /// Whether it is carrying out an order.
+    /// Whether an order is in progress.
     pub changing: bool,
-    /// Highest fencing token it has taken an order with.
-    pub order: u64,
-    /// Prompt tokens waiting, by rank.
-    pub queued: Vec<f64>,
-    /// Sequences that produce output.
-    pub running: usize,
-    /// Age of all this.
+    /// Highest fencing token of an accepted order.
+    #[serde(rename = "order")]
+    pub highest_fencing_token: u64,
+    /// Prompt tokens that wait for prefill, by rank.
+    #[serde(rename = "queued")]
+    pub queued_tokens: Vec<f64>,
+    /// Number of sequences in decode.
+    #[serde(rename = "running")]
+    pub running_sequences: usize,
+    /// Age of the load values, in ms.
     pub age_ms: u64,
 }
 
@@ -130,21 +133,21 @@
     batch: Batch,
     streams: Streams,
     orders: Orders,
-    reports: VecDeque<(u64, EngineStatus)>,
+    snapshots: VecDeque<(u64, EngineStatus)>,
 }
 
-/// A running engine.
+/// A running engine stand-in; clones refer to the same engine.
 #[derive(Clone)]
 pub struct EngineStandin {
     clock: Clock,
     inner: Rc<RefCell<Inner>>,
-    work: Rc<Notify>,
+    wake_up: Rc<Notify>,
     server: Rc<RefCell<Option<Server>>>,
     is_killed: Rc<Cell<bool>>,
 }
 
 impl EngineStandin {
-    /// Starts an engine.
+    /// Starts an engine that listens on the given address.
     pub async fn start(address: &str, options: EngineOptions) -> io::Result<Self> {
         let batch = Batch::new(options.profile, options.role);
         let engine = Self {
@@ -155,9 +158,9 @@
                 faults: EngineFaults::default(),
                 batch,
                 streams: Streams::default(),
-                reports: VecDeque::new(),
+                snapshots: VecDeque::new(),
             })),
-            work: Rc::default(),
+            wake_up: Rc::default(),
             server: Rc::default(),
             is_killed: Rc::default(),
         };
@@ -170,11 +173,11 @@
         .await?;
         engine.server.replace(Some(server));
         actix_rt::spawn(engine.clone().iterate());
-        actix_rt::spawn(engine.clone().take_snapshots());
+        actix_rt::spawn(engine.clone().record_snapshots());
         Ok(engine)
     }
 
-    /// Where it listens.
+    /// Address and port of the HTTP server; empty before it is started.
     pub fn address(&self) -> String {
         let server = self.server.borrow();
         server
@@ -182,35 +185,36 @@
             .map_or(String::new(), |server| server.address().to_string())
     }
 
-    /// Sets the switches.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.inner.borrow_mut().faults = faults;
-        self.work.notify_one();
+        self.wake_up.notify_one();
     }
 
-    /// Orders that had an effect, in the order in which they arrived.
+    /// Accepted orders by arrival, each with its fencing token and its kind and argument.
     pub fn accepted_orders(&self) -> Vec<(u64, String)> {
-        self.inner.borrow().orders.taken().to_vec()
+        self.inner.borrow().orders.accepted().to_vec()
     }
 
-    /// Requests that are held.
+    /// Number of streams that have neither finished nor failed.
     pub fn unfinished_requests(&self) -> usize {
         self.inner.borrow().streams.unfinished()
     }
 
-    /// Loses all that it holds, as a crash does; it goes on listening, empty.
+    /// Fails all unfinished streams and empties the caches, as a crash does. The engine keeps
+    /// listening, like one that restarts at once.
     pub fn crash(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.batch.clear();
         inner.streams.fail_all();
     }
 
-    /// Whether it has not been killed.
+    /// Whether [`EngineStandin::kill`] has not been called yet.
     pub fn is_listening(&self) -> bool {
         !self.is_killed.get()
     }
 
-    /// Cuts all connections and stops listening.
+    /// Closes all connections and stops listening, as the loss of the process does.
     pub fn kill(&self) {
         self.is_killed.set(true);
         self.crash();
@@ -221,13 +225,13 @@
 
     async fn iterate(self) {
         loop {
-            let stopped = {
+            let has_no_work = {
                 let inner = self.inner.borrow();
                 inner.faults.stall || inner.batch.is_idle()
             };
-            if stopped {
+            if has_no_work {
                 let wait = Duration::from_millis(SNAPSHOT_MS);
-                let _ = actix_rt::time::timeout(wait, self.work.notified()).await;
+                let _ = actix_rt::time::timeout(wait, self.wake_up.notified()).await;
                 continue;
             }
             let (iteration, slow) = {
@@ -243,23 +247,23 @@
         }
     }
 
-    async fn take_snapshots(self) {
+    async fn record_snapshots(self) {
         loop {
             actix_rt::time::sleep(Duration::from_millis(SNAPSHOT_MS)).await;
             let now_ms = self.clock.now_ms();
             let mut inner = self.inner.borrow_mut();
-            for id in inner.streams.abandoned(now_ms) {
+            for id in inner.streams.remove_abandoned(now_ms) {
                 inner.batch.cancel(id);
             }
             let status = inner.status();
-            inner.reports.push_back((now_ms, status));
+            inner.snapshots.push_back((now_ms, status));
             let lag_ms = inner.options.report_lag_ms;
             while inner
-                .reports
+                .snapshots
                 .get(1)
                 .is_some_and(|next| next.0 + lag_ms <= now_ms)
             {
-                inner.reports.pop_front();
+                inner.snapshots.pop_front();
             }
         }
     }
@@ -271,22 +275,22 @@
             role: self.batch.role().to_string(),
             loaded: self.options.loaded.clone(),
             changing: self.orders.is_changing(),
-            order: self.orders.highest(),
-            queued: self.batch.queued_tokens().to_vec(),
-            running: self.batch.running_sequences(),
+            highest_fencing_token: self.orders.highest(),
+            queued_tokens: self.batch.queued_tokens().to_vec(),
+            running_sequences: self.batch.running_sequences(),
             age_ms: 0,
         }
     }
 
-    /// Load as it was `report_lag_ms` ago; what the engine is set up for is always current.
+    /// Reports the load of `report_lag_ms` ago. Role, loaded models and orders are current.
     fn report(&self, now_ms: u64) -> EngineStatus {
         let current = self.status();
-        let Some((at_ms, old)) = self.reports.front() else {
+        let Some((at_ms, snapshot)) = self.snapshots.front() else {
             return current;
         };
         EngineStatus {
-            queued: old.queued.clone(),
-            running: old.running,
+            queued_tokens: snapshot.queued_tokens.clone(),
+            running_sequences: snapshot.running_sequences,
             age_ms: now_ms - at_ms,
             ..current
         }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP side: completions as server-sent events, orders and reports.
+//! HTTP interface of the engine: completions as server-sent events, orders and reports.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use tokio::sync::mpsc;
 use web::{BodyError, Response};
 
-use super::orders::Taken;
+use super::orders::OrderDecision;
 use super::streams::{NewStream, Stream};
 use super::{EngineFaults, EngineStandin, POISON_MARKER, PoisonBehavior};
 use crate::prompt_tokens;
 
-/// Largest body, in bytes.
-const BODY_BYTES: usize = 4 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Events on their way to a reader.
-const EVENTS: usize = 16;
+/// Maximum number of event batches buffered for one connection.
+const EVENT_BUFFER: usize = 16;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -64,15 +64,15 @@
             Method::GET if !stream.is_empty() => self.resume(stream, last_event(&request)),
             Method::DELETE if !stream.is_empty() => self.cancel(stream),
             Method::POST if path == "/v1/completions" => {
-                let body = web::read_body(request.take_payload(), BODY_BYTES, 5_000).await?;
+                let body = web::read_body(request.take_payload(), MAX_BODY_BYTES, 5_000).await?;
                 self.complete(web::parse_json(&body)?)
             }
             Method::POST if path == "/orders" => {
-                let body = web::read_body(request.take_payload(), BODY_BYTES, 5_000).await?;
+                let body = web::read_body(request.take_payload(), MAX_BODY_BYTES, 5_000).await?;
                 self.order(web::parse_json(&body)?)
             }
             Method::PUT if path == "/faults" => {
-                let body = web::read_body(request.take_payload(), BODY_BYTES, 5_000).await?;
+                let body = web::read_body(request.take_payload(), MAX_BODY_BYTES, 5_000).await?;
                 self.set_faults(web::parse_json::<EngineFaults>(&body)?);
                 web::empty(StatusCode::NO_CONTENT)
             }
@@ -83,10 +83,10 @@
     fn complete(&self, completion: Completion) -> Response {
         let mut inner = self.inner.borrow_mut();
         let loaded = inner.options.loaded.contains(&completion.model);
-        if inner.faults.refuse || inner.orders.is_away() || !loaded {
+        if inner.faults.refuse || inner.orders.blocks_work() || !loaded {
             return web::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let ends = inner.faults.poison_behavior == PoisonBehavior::Crashes
+        let crashes = inner.faults.poison_behavior == PoisonBehavior::Crashes
             && completion.prompt.contains(POISON_MARKER);
         let tokens = prompt_tokens(&completion.prompt);
         let new = NewStream {
@@ -103,18 +103,18 @@
         };
         inner.batch.push(job);
         drop(inner);
-        self.work.notify_one();
-        if ends {
+        self.wake_up.notify_one();
+        if crashes {
             self.kill();
         }
-        self.read(job.id, 0)
+        self.stream_from(job.id, 0)
     }
 
     fn resume(&self, name: &str, from: u32) -> Response {
         let id = self.inner.borrow().streams.id(name);
         id.map_or_else(
             || web::empty(StatusCode::NOT_FOUND),
-            |id| self.read(id, from),
+            |id| self.stream_from(id, from),
         )
     }
 
@@ -126,13 +126,13 @@
         web::empty(StatusCode::NO_CONTENT)
     }
 
-    fn read(&self, id: u64, from: u32) -> Response {
-        let (sender, receiver) = mpsc::channel(EVENTS);
+    fn stream_from(&self, id: u64, from: u32) -> Response {
+        let (sender, receiver) = mpsc::channel(EVENT_BUFFER);
         let inner = self.inner.borrow();
         let crossed = inner.faults.cross_ids;
         let name = inner.streams.get(id).map(|stream| stream.name.clone());
         drop(inner);
-        actix_rt::spawn(self.clone().pump(id, from, sender));
+        actix_rt::spawn(self.clone().send_events(id, from, sender));
         let mut response = web::stream("text/event-stream", receiver);
         let name = name.unwrap_or_default();
         let name = if crossed {
@@ -147,23 +147,23 @@
         response
     }
 
-    async fn pump(self, id: u64, from: u32, sender: mpsc::Sender<Bytes>) {
+    async fn send_events(self, id: u64, from: u32, sender: mpsc::Sender<Bytes>) {
         self.inner
             .borrow_mut()
             .streams
-            .reading(self.clock.now_ms(), id, true);
-        let mut place = from;
-        while let Some(events) = self.events(id, &mut place) {
-            let grown = self
+            .update_readers(self.clock.now_ms(), id, true);
+        let mut position = from;
+        while let Some(events) = self.events(id, &mut position) {
+            let progress = self
                 .inner
                 .borrow()
                 .streams
                 .get(id)
-                .map(|stream| stream.grown.clone());
+                .map(|stream| stream.progress.clone());
             if events.is_empty() {
-                let Some(grown) = grown else { break };
+                let Some(progress) = progress else { break };
                 tokio::select! {
-                    () = grown.notified() => {}
+                    () = progress.notified() => {}
                     () = sender.closed() => break,
                     () = actix_rt::time::sleep(Duration::from_millis(20)) => {}
                 }
@@ -176,33 +176,34 @@
         self.inner
             .borrow_mut()
             .streams
-            .reading(self.clock.now_ms(), id, false);
+            .update_readers(self.clock.now_ms(), id, false);
     }
 
-    /// Events from a place on; `None` at the end, or when the connection is to be cut.
-    fn events(&self, id: u64, place: &mut u32) -> Option<String> {
+    /// Encodes the events from a position on and advances the position. Returns `None` after the
+    /// last event, if the stream failed, or if the connection is to be cut.
+    fn events(&self, id: u64, position: &mut u32) -> Option<String> {
         let mut inner = self.inner.borrow_mut();
         let cut_after = inner.faults.cut_after;
         let stream = inner.streams.get_mut(id)?;
         if stream.failed {
             return None;
         }
-        if cut_after > 0 && *place >= cut_after && !stream.was_cut {
+        if cut_after > 0 && *position >= cut_after && !stream.was_cut {
             stream.was_cut = true;
             return None;
         }
-        if *place > stream.total {
+        if *position > stream.total {
             return None;
         }
         let mut events = String::new();
-        let from = (*place).max(stream.given);
+        let from = (*position).max(stream.generated);
         for token in from..stream.produced {
-            events += &event(stream, token);
-            *place = token + 1;
+            events += &token_event(stream, token);
+            *position = token + 1;
         }
         if stream.is_done() {
-            events += &end(stream);
-            *place = stream.total + 1;
+            events += &end_event(stream);
+            *position = stream.total + 1;
         }
         Some(events)
     }
@@ -212,11 +213,11 @@
             .inner
             .borrow_mut()
             .orders
-            .take(order.order, &order.kind, &order.argument)
+            .accept(order.order, &order.kind, &order.argument)
         {
-            Taken::Stale => return web::empty(StatusCode::CONFLICT),
-            Taken::Again => return web::empty(StatusCode::ACCEPTED),
-            Taken::New => {}
+            OrderDecision::Stale => return web::empty(StatusCode::CONFLICT),
+            OrderDecision::Duplicate => return web::empty(StatusCode::ACCEPTED),
+            OrderDecision::New => {}
         }
         actix_rt::spawn(self.clone().carry_out(order));
         web::empty(StatusCode::ACCEPTED)
@@ -272,12 +273,12 @@
         .unwrap_or(0)
 }
 
-fn event(stream: &Stream, token: u32) -> String {
+fn token_event(stream: &Stream, token: u32) -> String {
     let data = json!({ "choices": [{ "index": 0, "text": stream.token(token) }] });
     format!("id: {}\ndata: {data}\n\n", token + 1)
 }
 
-fn end(stream: &Stream) -> String {
+fn end_event(stream: &Stream) -> String {
     let data = json!({
         "choices": [{ "index": 0, "text": "", "finish_reason": "stop" }],
         "usage": {
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,55 +1,55 @@
-//! Orders with fencing tokens.
+//! Fencing-token checks and progress of an engine's orders.
 
-/// Orders of one engine.
+/// Orders that one engine has accepted.
 #[derive(Debug)]
 pub(super) struct Orders {
-    checks: bool,
+    checks_tokens: bool,
     highest: u64,
     changing: Option<u64>,
-    away: bool,
-    taken: Vec<(u64, String)>,
+    blocks_work: bool,
+    accepted: Vec<(u64, String)>,
 }
 
-/// What becomes of an order that has arrived.
+/// Decision about an incoming order.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Taken {
-    /// It is new.
+pub(super) enum OrderDecision {
+    /// The order is new and is carried out.
     New,
-    /// It is the last one again.
-    Again,
-    /// Its token is old, and this engine looks at tokens.
+    /// The order repeats the last accepted one and is acknowledged without effect.
+    Duplicate,
+    /// The fencing token is outdated and this engine checks tokens, so the order is rejected.
     Stale,
 }
 
 impl Orders {
-    pub(super) fn new(checks: bool) -> Self {
+    pub(super) fn new(checks_tokens: bool) -> Self {
         Self {
-            checks,
+            checks_tokens,
             highest: 0,
             changing: None,
-            away: false,
-            taken: Vec::new(),
+            blocks_work: false,
+            accepted: Vec::new(),
         }
     }
 
-    pub(super) fn take(&mut self, order: u64, kind: &str, argument: &str) -> Taken {
-        if self.taken.last().is_some_and(|last| last.0 == order) {
-            return Taken::Again;
+    pub(super) fn accept(&mut self, order: u64, kind: &str, argument: &str) -> OrderDecision {
+        if self.accepted.last().is_some_and(|last| last.0 == order) {
+            return OrderDecision::Duplicate;
         }
-        if self.checks && order <= self.highest {
-            return Taken::Stale;
+        if self.checks_tokens && order <= self.highest {
+            return OrderDecision::Stale;
         }
         self.highest = self.highest.max(order);
-        self.taken.push((order, format!("{kind} {argument}")));
-        self.away = kind == "role";
+        self.accepted.push((order, format!("{kind} {argument}")));
+        self.blocks_work = kind == "role";
         self.changing = Some(order);
-        Taken::New
+        OrderDecision::New
     }
 
     pub(super) fn finish(&mut self, order: u64) {
         if self.changing == Some(order) {
             self.changing = None;
-            self.away = false;
+            self.blocks_work = false;
         }
     }
 
@@ -57,16 +57,16 @@
         self.changing.is_some()
     }
 
-    /// Whether it takes no work: a load goes on beside the work, a role change does not.
-    pub(super) fn is_away(&self) -> bool {
-        self.away
+    /// Whether new requests are refused: during a role change, but not while a model loads.
+    pub(super) fn blocks_work(&self) -> bool {
+        self.blocks_work
     }
 
     pub(super) fn highest(&self) -> u64 {
         self.highest
     }
 
-    pub(super) fn taken(&self) -> &[(u64, String)] {
-        &self.taken
+    pub(super) fn accepted(&self) -> &[(u64, String)] {
+        &self.accepted
     }
 }
--- a/crates/standin/src/engine/streams.rs
+++ b/crates/standin/src/engine/streams.rs
@@ -9,37 +9,37 @@
 
 use crate::{expected_text, expected_token};
 
-/// Time for which a stream that nobody reads is still worked on.
-const ABANDON_MS: u64 = 5_000;
+/// Time without a reader after which an unfinished stream is dropped, in ms.
+const UNREAD_TIMEOUT_MS: u64 = 5_000;
 
-/// Time for which a complete stream can be resumed.
-const KEEP_MS: u64 = 60_000;
+/// Time without a reader for which a finished stream stays available, in ms.
+const RETENTION_MS: u64 = 60_000;
 
-/// One request's stream.
+/// Stream of one request.
 #[derive(Debug)]
 pub(super) struct Stream {
-    /// Name that the sender gave.
+    /// Request id from the sender.
     pub(super) name: String,
-    /// Prompt with the model's name, from which the answer follows.
+    /// Prompt, which determines the tokens of the answer.
     pub(super) prompt: String,
-    /// Tokens that an earlier engine produced.
-    pub(super) given: u32,
-    /// Tokens of the whole answer.
+    /// Number of leading tokens that an earlier engine produced.
+    pub(super) generated: u32,
+    /// Number of tokens in the complete answer.
     pub(super) total: u32,
-    /// Tokens there are, those given included.
+    /// Number of tokens produced so far, including those of an earlier engine.
     pub(super) produced: u32,
-    /// Prompt tokens that were cached.
+    /// Number of prompt tokens found in the prefix cache.
     pub(super) cached: u32,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub(super) prompt_tokens: u32,
-    /// It was lost.
+    /// Whether a crash lost the stream.
     pub(super) failed: bool,
-    /// Its connection was cut once.
+    /// Whether its connection was already cut by an injected fault.
     pub(super) was_cut: bool,
     readers: u32,
     idle_since_ms: u64,
-    /// Wakes readers.
-    pub(super) grown: Rc<Notify>,
+    /// Notifies readers of new tokens and of the end.
+    pub(super) progress: Rc<Notify>,
 }
 
 impl Stream {
@@ -47,9 +47,9 @@
         self.produced >= self.total
     }
 
-    /// The token at a place of the answer.
-    pub(super) fn token(&self, place: u32) -> String {
-        expected_token(&self.prompt, place as usize)
+    /// The token at a position of the answer.
+    pub(super) fn token(&self, position: u32) -> String {
+        expected_token(&self.prompt, position as usize)
     }
 }
 
@@ -61,7 +61,7 @@
     next: u64,
 }
 
-/// What a new stream is for.
+/// Parameters of a new stream.
 pub(super) struct NewStream {
     pub(super) name: String,
     pub(super) prompt: String,
@@ -73,16 +73,17 @@
 }
 
 impl Streams {
-    /// Opens a stream; `None` when the name is in use or the text given is not its beginning.
+    /// Opens a stream. Returns `None` if the name is in use, or if the generated text is not the
+    /// beginning of the expected answer.
     pub(super) fn open(&mut self, now_ms: u64, new: NewStream) -> Option<Job> {
         if self.by_name.contains_key(&new.name) {
             return None;
         }
-        let mut given = 0;
-        while expected_text(&new.prompt, given as usize).len() < new.generated.len() {
-            given += 1;
+        let mut generated = 0;
+        while expected_text(&new.prompt, generated as usize).len() < new.generated.len() {
+            generated += 1;
         }
-        if expected_text(&new.prompt, given as usize) != new.generated {
+        if expected_text(&new.prompt, generated as usize) != new.generated {
             return None;
         }
         self.next += 1;
@@ -91,24 +92,24 @@
         let stream = Stream {
             name: new.name,
             prompt: new.prompt,
-            given,
+            generated,
             total: new.max_tokens,
-            produced: given,
+            produced: generated,
             cached: 0,
             prompt_tokens: new.prompt_tokens,
             failed: false,
             was_cut: false,
             readers: 0,
             idle_since_ms: now_ms,
-            grown: Rc::default(),
+            progress: Rc::default(),
         };
         self.by_id.insert(id, stream);
         Some(Job {
             id,
             rank: new.rank,
             order_in_rank: new.order,
-            prompt_tokens: new.prompt_tokens + given,
-            output_tokens: (new.max_tokens - given.min(new.max_tokens)).max(1),
+            prompt_tokens: new.prompt_tokens + generated,
+            output_tokens: (new.max_tokens - generated.min(new.max_tokens)).max(1),
             prefix: 0,
             prefix_tokens: 0,
         })
@@ -139,18 +140,18 @@
         }
         for (id, produced) in &iteration.tokens {
             if let Some(stream) = self.by_id.get_mut(id) {
-                stream.produced = stream.given + produced;
+                stream.produced = stream.generated + produced;
                 if stream.is_done() {
                     stream.idle_since_ms = now_ms;
                 }
-                stream.grown.notify_waiters();
+                stream.progress.notify_waiters();
             }
         }
     }
 
-    pub(super) fn reading(&mut self, now_ms: u64, id: u64, more: bool) {
+    pub(super) fn update_readers(&mut self, now_ms: u64, id: u64, is_added: bool) {
         if let Some(stream) = self.by_id.get_mut(&id) {
-            stream.readers = if more {
+            stream.readers = if is_added {
                 stream.readers + 1
             } else {
                 stream.readers - 1
@@ -162,25 +163,25 @@
     pub(super) fn fail_all(&mut self) {
         for stream in self.by_id.values_mut().filter(|stream| !stream.is_done()) {
             stream.failed = true;
-            stream.grown.notify_waiters();
+            stream.progress.notify_waiters();
         }
     }
 
     pub(super) fn cancel(&mut self, name: &str) -> Option<u64> {
         let id = self.by_name.remove(name)?;
         if let Some(stream) = self.by_id.remove(&id) {
-            stream.grown.notify_waiters();
+            stream.progress.notify_waiters();
         }
         Some(id)
     }
 
-    /// Ends streams that nobody has read for a while, and gives their numbers.
-    pub(super) fn abandoned(&mut self, now_ms: u64) -> Vec<u64> {
+    /// Removes streams without a reader whose time has run out, and returns their ids.
+    pub(super) fn remove_abandoned(&mut self, now_ms: u64) -> Vec<u64> {
         let old = |stream: &Stream| {
             let keep_ms = if stream.is_done() {
-                KEEP_MS
+                RETENTION_MS
             } else {
-                ABANDON_MS
+                UNREAD_TIMEOUT_MS
             };
             stream.readers == 0 && now_ms > stream.idle_since_ms + keep_ms
         };
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving instances.
+//! Stand-in for the platform's instance list, whose changes become visible with a delay.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,42 +10,42 @@
 use tick::Clock;
 use web::{Response, Server, ServerOptions};
 
-/// Largest entry of the list, in bytes.
-const ENTRY_BYTES: usize = 64 << 10;
+/// Maximum size of an entry in a request body, in bytes.
+const MAX_ENTRY_BYTES: usize = 64 << 10;
 
-/// Whether an instance is to stay.
+/// State of an instance on the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It stays.
+    /// In service.
     #[default]
     Live,
-    /// It is on its way out.
+    /// About to be removed from service.
     Leaving,
 }
 
-/// One instance of the list.
+/// Entry of the instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceEntry {
-    /// Name.
+    /// Name of the instance, unique on the list.
     pub name: String,
     /// `entry`, `engine` or `service`.
     pub kind: String,
-    /// IP address and port of its HTTP side.
+    /// IP address and port of the HTTP server.
     pub address: String,
-    /// IP address and port for other entry instances; empty for upstreams.
+    /// IP address and port for gossip between entry instances; empty for upstreams.
     #[serde(default)]
     pub peer_address: String,
     /// Availability zone.
     pub zone: String,
-    /// What it serves: a model or a service by name; empty for entry instances.
+    /// Name of the served model or service; empty for entry instances.
     #[serde(default)]
     pub serves: String,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether orders with an outdated fencing token are rejected.
     #[serde(default)]
     pub checks_orders: bool,
-    /// Whether it is to stay.
+    /// State of the instance.
     #[serde(default, rename = "standing")]
     pub state: InstanceState,
 }
@@ -54,38 +54,38 @@
 struct Change {
     at_ms: u64,
     name: String,
-    now: Option<InstanceEntry>,
+    entry: Option<InstanceEntry>,
 }
 
 #[derive(Debug, Default)]
 struct Store {
     lag_ms: u64,
-    shown: BTreeMap<String, InstanceEntry>,
+    visible: BTreeMap<String, InstanceEntry>,
     pending: Vec<Change>,
 }
 
 impl Store {
-    fn change(&mut self, now_ms: u64, name: &str, now: Option<InstanceEntry>) {
+    fn schedule(&mut self, now_ms: u64, name: &str, entry: Option<InstanceEntry>) {
         self.pending.push(Change {
             at_ms: now_ms + self.lag_ms,
             name: name.to_owned(),
-            now,
+            entry,
         });
     }
 
-    fn show(&mut self, now_ms: u64) -> Vec<InstanceEntry> {
+    fn visible_entries(&mut self, now_ms: u64) -> Vec<InstanceEntry> {
         let due = |change: &mut Change| change.at_ms <= now_ms;
         for change in self.pending.extract_if(.., due) {
-            match change.now {
-                Some(listed) => self.shown.insert(change.name, listed),
-                None => self.shown.remove(&change.name),
+            match change.entry {
+                Some(entry) => self.visible.insert(change.name, entry),
+                None => self.visible.remove(&change.name),
             };
         }
-        self.shown.values().cloned().collect()
+        self.visible.values().cloned().collect()
     }
 }
 
-/// A running list.
+/// A running instance list; clones refer to the same list.
 #[derive(Clone)]
 pub struct InstanceList {
     clock: Clock,
@@ -94,7 +94,7 @@
 }
 
 impl InstanceList {
-    /// Starts a list whose changes show after `lag_ms`.
+    /// Starts an empty list whose changes become visible after `lag_ms`.
     pub async fn start(address: &str, lag_ms: u64) -> io::Result<Self> {
         let list = Self {
             clock: Clock::default(),
@@ -115,7 +115,7 @@
         Ok(list)
     }
 
-    /// Where it listens.
+    /// Address and port of the HTTP server; empty before it is started.
     pub fn address(&self) -> String {
         let server = self.server.borrow();
         server
@@ -123,18 +123,18 @@
             .map_or(String::new(), |server| server.address().to_string())
     }
 
-    /// Puts an instance on the list, or changes it.
-    pub fn put(&self, listed: InstanceEntry) {
-        let name = listed.name.clone();
+    /// Adds an instance to the list or replaces its entry, after the list's delay.
+    pub fn put(&self, entry: InstanceEntry) {
+        let name = entry.name.clone();
         let mut store = self.store.borrow_mut();
-        store.change(self.clock.now_ms(), &name, Some(listed));
+        store.schedule(self.clock.now_ms(), &name, Some(entry));
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list, after the list's delay.
     pub fn remove(&self, name: &str) {
         self.store
             .borrow_mut()
-            .change(self.clock.now_ms(), name, None);
+            .schedule(self.clock.now_ms(), name, None);
     }
 
     async fn answer(&self, mut request: Request) -> Response {
@@ -146,14 +146,14 @@
             .to_owned();
         match method {
             Method::GET if path == "/instances" => {
-                let shown = self.store.borrow_mut().show(self.clock.now_ms());
-                web::json(StatusCode::OK, &shown)
+                let visible = self.store.borrow_mut().visible_entries(self.clock.now_ms());
+                web::json(StatusCode::OK, &visible)
             }
             Method::PUT if !name.is_empty() => {
-                let read = web::read_body(request.take_payload(), ENTRY_BYTES, 5_000).await;
-                match read.and_then(|body| web::parse_json::<InstanceEntry>(&body)) {
-                    Ok(listed) => {
-                        self.put(listed);
+                let body = web::read_body(request.take_payload(), MAX_ENTRY_BYTES, 5_000).await;
+                match body.and_then(|bytes| web::parse_json::<InstanceEntry>(&bytes)) {
+                    Ok(entry) => {
+                        self.put(entry);
                         web::empty(StatusCode::NO_CONTENT)
                     }
                     Err(error) => web::text(error.status(), "text/plain", error.to_string()),
@@ -168,10 +168,10 @@
     }
 }
 
-/// Puts an instance on a list over HTTP, as the platform's starter of processes does.
-pub async fn register(list: &str, listed: &InstanceEntry) -> io::Result<()> {
-    let url = format!("http://{list}/instances/{}", listed.name);
-    let sent = awc::Client::default().put(url).send_json(listed).await;
+/// Adds an instance to a list over HTTP, as the platform does when it starts a process.
+pub async fn register(list: &str, entry: &InstanceEntry) -> io::Result<()> {
+    let url = format!("http://{list}/instances/{}", entry.name);
+    let sent = awc::Client::default().put(url).send_json(entry).await;
     let response = sent.map_err(|error| io::Error::other(error.to_string()))?;
     if response.status().is_success() {
         return Ok(());
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log.
+//! Stand-in for the platform's append-only log.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,23 +10,23 @@
 use tokio::sync::Notify;
 use web::{Response, Server, ServerOptions};
 
-/// Largest append, in bytes.
-const APPEND_BYTES: usize = 16 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Most records of one page.
-const PAGE_RECORDS: usize = 1_024;
+/// Maximum number of records in one page.
+const MAX_PAGE_RECORDS: usize = 1_024;
 
-/// Switches of the log.
+/// Injected faults of the log.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Answers nothing but 503.
+    /// Answers every request but `PUT /faults` with status 503.
     pub down: bool,
-    /// Answers after this time.
+    /// Delay before each answer, in ms.
     pub slow_ms: u64,
-    /// Appends take effect, then the answer is lost.
+    /// Appends take effect, but are answered with status 504.
     pub lose_answers: bool,
-    /// Records kept; 0 keeps all.
+    /// Number of newest records to keep; 0 keeps all.
     #[serde(rename = "keep")]
     pub keep_records: usize,
 }
@@ -48,16 +48,16 @@
         let first = self.next();
         self.records.extend(records);
         self.appends += 1;
-        self.expire();
+        self.drop_expired();
         first
     }
 
-    fn expire(&mut self) {
+    fn drop_expired(&mut self) {
         let keep = self.faults.keep_records;
         if keep > 0 && self.records.len() > keep {
-            let gone = self.records.len() - keep;
-            self.records.drain(..gone);
-            self.first += gone as u64;
+            let expired = self.records.len() - keep;
+            self.records.drain(..expired);
+            self.first += expired as u64;
         }
     }
 
@@ -69,7 +69,7 @@
             .iter()
             .enumerate()
             .skip(skipped)
-            .take(PAGE_RECORDS)
+            .take(MAX_PAGE_RECORDS)
             .map(|(index, data)| PageRecord {
                 offset: self.first + index as u64,
                 data: data.clone(),
@@ -95,7 +95,7 @@
 }
 
 #[derive(Deserialize)]
-struct Read {
+struct ReadQuery {
     from: u64,
     #[serde(default)]
     wait_ms: u64,
@@ -114,23 +114,23 @@
     data: String,
 }
 
-/// A running log.
+/// A running log stand-in; clones refer to the same log.
 #[derive(Clone)]
 pub struct LogStandin {
     store: Rc<RefCell<Store>>,
-    grown: Rc<Notify>,
+    appended: Rc<Notify>,
     server: Rc<RefCell<Option<Server>>>,
 }
 
 impl LogStandin {
-    /// Starts a log; offsets begin at 1.
+    /// Starts an empty log; the first record gets offset 1.
     pub async fn start(address: &str) -> io::Result<Self> {
         let log = Self {
             store: Rc::new(RefCell::new(Store {
                 first: 1,
                 ..Store::default()
             })),
-            grown: Rc::default(),
+            appended: Rc::default(),
             server: Rc::default(),
         };
         let listener = web::bind(address).await?;
@@ -144,7 +144,7 @@
         Ok(log)
     }
 
-    /// Where it listens.
+    /// Address and port of the HTTP server; empty before it is started.
     pub fn address(&self) -> String {
         let server = self.server.borrow();
         server
@@ -152,14 +152,14 @@
             .map_or(String::new(), |server| server.address().to_string())
     }
 
-    /// Sets the switches.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: LogFaults) {
         let mut store = self.store.borrow_mut();
         store.faults = faults;
-        store.expire();
+        store.drop_expired();
     }
 
-    /// Appends that were made.
+    /// Number of appends that took effect, each with one or more records.
     pub fn appends(&self) -> u64 {
         self.store.borrow().appends
     }
@@ -179,14 +179,14 @@
         }
         match (&method, path.as_str()) {
             (&Method::POST, "/append") => {
-                let read = web::read_body(request.take_payload(), APPEND_BYTES, 5_000).await;
+                let read = web::read_body(request.take_payload(), MAX_BODY_BYTES, 5_000).await;
                 match read.and_then(|body| web::parse_json::<Append>(&body)) {
                     Ok(append) => self.append(append, faults),
                     Err(error) => web::text(error.status(), "text/plain", error.to_string()),
                 }
             }
-            (&Method::GET, "/records") => match web::parse_query::<Read>(&request) {
-                Ok(read) => self.read(&read).await,
+            (&Method::GET, "/records") => match web::parse_query::<ReadQuery>(&request) {
+                Ok(query) => self.read(&query).await,
                 Err(error) => web::text(error.status(), "text/plain", error.to_string()),
             },
             _ => web::empty(StatusCode::NOT_FOUND),
@@ -194,7 +194,7 @@
     }
 
     async fn put_faults(&self, mut request: Request) -> Response {
-        let read = web::read_body(request.take_payload(), APPEND_BYTES, 5_000).await;
+        let read = web::read_body(request.take_payload(), MAX_BODY_BYTES, 5_000).await;
         match read.and_then(|body| web::parse_json(&body)) {
             Ok(faults) => {
                 self.set_faults(faults);
@@ -206,21 +206,21 @@
 
     fn append(&self, append: Append, faults: LogFaults) -> Response {
         let first = self.store.borrow_mut().append(append.records);
-        self.grown.notify_waiters();
+        self.appended.notify_waiters();
         if faults.lose_answers {
             return web::empty(StatusCode::GATEWAY_TIMEOUT);
         }
         web::json(StatusCode::OK, &Appended { first })
     }
 
-    async fn read(&self, read: &Read) -> Response {
-        if read.wait_ms > 0 && read.from >= self.store.borrow().next() {
-            let wait = Duration::from_millis(read.wait_ms.min(30_000));
-            let _ = actix_rt::time::timeout(wait, self.grown.notified()).await;
+    async fn read(&self, query: &ReadQuery) -> Response {
+        if query.wait_ms > 0 && query.from >= self.store.borrow().next() {
+            let wait = Duration::from_millis(query.wait_ms.min(30_000));
+            let _ = actix_rt::time::timeout(wait, self.appended.notified()).await;
             if self.store.borrow().faults.down {
                 return web::empty(StatusCode::SERVICE_UNAVAILABLE);
             }
         }
-        web::json(StatusCode::OK, &self.store.borrow().page(read.from))
+        web::json(StatusCode::OK, &self.store.borrow().page(query.from))
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service, some of whose calls may not be repeated.
+//! Stand-in for a plain service, which counts the effects of each call.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,25 +10,25 @@
 use serde::{Deserialize, Serialize};
 use web::{Response, Server, ServerOptions};
 
-/// Largest body, in bytes.
-const BODY_BYTES: usize = 1 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Switches of a service.
+/// Injected faults of a service.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Answers after this time.
+    /// Additional duration of each call, in ms.
     pub slow_ms: u64,
-    /// Calls take effect, then no answer comes.
+    /// Calls take effect, but are not answered within an hour.
     pub lose_answers: bool,
 }
 
-/// What a service is like.
+/// Configuration of a service stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
     /// Name of the instance.
     pub name: String,
-    /// Time of a call.
+    /// Duration of a call, in ms.
     pub call_ms: u64,
 }
 
@@ -46,7 +46,7 @@
     bytes: usize,
 }
 
-/// A running service.
+/// A running service stand-in; clones refer to the same service.
 #[derive(Clone)]
 pub struct ServiceStandin {
     options: ServiceOptions,
@@ -55,7 +55,7 @@
 }
 
 impl ServiceStandin {
-    /// Starts a service.
+    /// Starts a service that listens on the given address.
     pub async fn start(address: &str, options: ServiceOptions) -> io::Result<Self> {
         let service = Self {
             options,
@@ -73,7 +73,7 @@
         Ok(service)
     }
 
-    /// Where it listens.
+    /// Address and port of the HTTP server; empty before it is started.
     pub fn address(&self) -> String {
         let server = self.server.borrow();
         server
@@ -81,17 +81,17 @@
             .map_or(String::new(), |server| server.address().to_string())
     }
 
-    /// Sets the switches.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.store.borrow_mut().faults = faults;
     }
 
-    /// How often each body took effect.
+    /// Number of effects of each call, keyed by path and body.
     pub fn effects(&self) -> BTreeMap<String, u64> {
         self.store.borrow().effects.clone()
     }
 
-    /// Cuts all connections and stops listening, as a crash would.
+    /// Closes all connections and stops listening, as a crash would.
     pub fn kill(&self) {
         if let Some(server) = self.server.borrow().as_ref() {
             server.kill();
@@ -104,7 +104,7 @@
         if (&method, path.as_str()) == (&Method::GET, "/effects") {
             return web::json(StatusCode::OK, &self.effects());
         }
-        let body = match web::read_body(request.take_payload(), BODY_BYTES, 5_000).await {
+        let body = match web::read_body(request.take_payload(), MAX_BODY_BYTES, 5_000).await {
             Ok(body) => body,
             Err(error) => return web::text(error.status(), "text/plain", error.to_string()),
         };
@@ -118,8 +118,8 @@
             };
         }
         let faults = self.store.borrow().faults;
-        let what = format!("{path} {}", String::from_utf8_lossy(&body));
-        *self.store.borrow_mut().effects.entry(what).or_default() += 1;
+        let call = format!("{path} {}", String::from_utf8_lossy(&body));
+        *self.store.borrow_mut().effects.entry(call).or_default() += 1;
         let wait_ms = if faults.lose_answers {
             3_600_000
         } else {
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The platform's rate-limited weight store.
+//! Stand-in for the platform's rate-limited store of model weights.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,22 +14,22 @@
     weights: &'a str,
 }
 
-/// A running store, which gives out one set of weights at a time.
+/// A running weight store, which serves one fetch at a time.
 #[derive(Clone)]
 pub struct WeightStoreStandin {
     fetch_ms: u64,
-    busy: Rc<tokio::sync::Mutex<()>>,
-    fetched: Rc<RefCell<u64>>,
+    fetch_lock: Rc<tokio::sync::Mutex<()>>,
+    fetch_count: Rc<RefCell<u64>>,
     server: Rc<RefCell<Option<Server>>>,
 }
 
 impl WeightStoreStandin {
-    /// Starts a store in which each fetch takes `fetch_ms`, one after the other.
+    /// Starts a store in which each fetch takes `fetch_ms`; concurrent fetches queue.
     pub async fn start(address: &str, fetch_ms: u64) -> io::Result<Self> {
         let store = Self {
             fetch_ms,
-            busy: Rc::default(),
-            fetched: Rc::default(),
+            fetch_lock: Rc::default(),
+            fetch_count: Rc::default(),
             server: Rc::default(),
         };
         let listener = web::bind(address).await?;
@@ -43,7 +43,7 @@
         Ok(store)
     }
 
-    /// Where it listens.
+    /// Address and port of the HTTP server; empty before it is started.
     pub fn address(&self) -> String {
         let server = self.server.borrow();
         server
@@ -51,18 +51,18 @@
             .map_or(String::new(), |server| server.address().to_string())
     }
 
-    /// Sets of weights given out.
+    /// Number of completed fetches.
     pub fn fetch_count(&self) -> u64 {
-        *self.fetched.borrow()
+        *self.fetch_count.borrow()
     }
 
     async fn answer(&self, request: Request) -> Response {
         let Some(weights) = request.path().strip_prefix("/weights/") else {
             return web::empty(StatusCode::NOT_FOUND);
         };
-        let _turn = self.busy.lock().await;
+        let _guard = self.fetch_lock.lock().await;
         actix_rt::time::sleep(Duration::from_millis(self.fetch_ms)).await;
-        *self.fetched.borrow_mut() += 1;
+        *self.fetch_count.borrow_mut() += 1;
         web::json(StatusCode::OK, &Fetched { weights })
     }
 }
