--- a/crates/fault/src/calls.rs
+++ b/crates/fault/src/calls.rs
@@ -1,36 +1,36 @@
-//! Calls that may not be repeated, from callers who ask again elsewhere.
+//! At-most-once calls, and callers that retry them at other instances.
 
 use once::{Admission, IdempotencyKey};
 use wire::{Answer, CallState, CallStatus, ClaimVerdict};
 
-use crate::instance::{Stage, Waiting};
-use crate::world::{Message, World};
+use crate::instance::{PendingCall, Stage};
+use crate::simulation::{Message, Simulation};
 use crate::{DisabledSafeguard, Invariant, Step};
 
-/// Time for a witness to answer.
-const CLAIM_MS: u64 = 300;
+/// Time that a home waits for its witness, in ms.
+const CLAIM_TIMEOUT_MS: u64 = 300;
 
-/// Time for the service to answer.
-const SERVICE_MS: u64 = 1_200;
+/// Time that a home waits for the service, in ms.
+const SERVICE_TIMEOUT_MS: u64 = 1_200;
 
-/// Time after which a caller asks another instance.
-const CALLER_MS: u64 = 1_500;
+/// Time after which a caller retries at the next instance, in ms.
+const CALLER_TIMEOUT_MS: u64 = 1_500;
 
-/// One caller in so many does not wait for its first answer.
-const IMPATIENT: usize = 7;
+/// One in this many calls is retried before the first attempt has timed out.
+const IMPATIENT_EVERY: usize = 7;
 
-/// Times that a caller asks.
-const ASKS: u32 = 4;
+/// Maximum number of attempts per call.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// What a caller knows of its call.
+/// A call as its caller knows it.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub(crate) key: IdempotencyKey,
     pub(crate) body: u64,
-    pub(crate) asked: u32,
-    pub(crate) next_ms: u64,
-    pub(crate) over: bool,
-    pub(crate) told_not_run: bool,
+    pub(crate) attempts: u32,
+    pub(crate) next_attempt_ms: u64,
+    pub(crate) ended: bool,
+    pub(crate) refused_as_not_run: bool,
 }
 
 fn digest(body: u64) -> once::BodyDigest {
@@ -47,168 +47,176 @@
     }
 }
 
-impl World {
-    /// A new call, with a key that names two instances that serve now.
-    pub(crate) fn make_call(&mut self) {
-        let ready: Vec<usize> = (0..self.instances.len())
-            .filter(|&place| self.instances[place].ready && self.instances[place].alive)
-            .filter(|&place| !self.instances[place].stopping)
+impl Simulation {
+    /// Starts a call whose key names two instances in service as home and witness.
+    pub(crate) fn start_call(&mut self) {
+        let in_service: Vec<usize> = (0..self.instances.len())
+            .filter(|&index| self.instances[index].ready && self.instances[index].alive)
+            .filter(|&index| !self.instances[index].stopping)
             .collect();
-        if ready.len() < 2 {
+        if in_service.len() < 2 {
             return;
         }
         let body = self.calls.len() as u64 + 1;
-        let home = ready[body as usize % ready.len()];
-        let witness = ready[(body as usize + 1) % ready.len()];
+        let home = in_service[body as usize % in_service.len()];
+        let witness = in_service[(body as usize + 1) % in_service.len()];
         let key = IdempotencyKey {
-            home: self.instances[home].place(self.now_ms),
-            witness: self.instances[witness].place(self.now_ms),
+            home: self.instances[home].instance_epoch(self.now_ms),
+            witness: self.instances[witness].instance_epoch(self.now_ms),
             suffix: body.to_string(),
         };
         self.calls.push(Call {
             key,
             body,
-            asked: 0,
-            next_ms: self.now_ms,
-            over: false,
-            told_not_run: false,
+            attempts: 0,
+            next_attempt_ms: self.now_ms,
+            ended: false,
+            refused_as_not_run: false,
         });
     }
 
-    /// Callers that have waited long enough ask the next instance.
-    pub(crate) fn ask(&mut self) {
+    /// Sends the first attempt of new calls, and retries calls that have timed out.
+    pub(crate) fn send_due_calls(&mut self) {
         for number in 0..self.calls.len() {
             let call = self.calls[number].clone();
-            if call.over || call.asked == ASKS || call.next_ms > self.now_ms {
+            if call.ended || call.attempts == MAX_ATTEMPTS || call.next_attempt_ms > self.now_ms {
                 continue;
             }
-            let home = self.by_name(&call.key.home.instance);
-            let target = (home + call.asked as usize) % self.instances.len();
-            if call.asked > 0 {
-                self.reach(Step::RetryCall, target);
+            let home = self.index_of(&call.key.home.instance);
+            let target = (home + call.attempts as usize) % self.instances.len();
+            if call.attempts > 0 {
+                self.reach_step(Step::RetryCall, target);
             }
             let entry = &mut self.calls[number];
-            entry.asked += 1;
-            // Some callers are impatient and ask twice at once.
-            let impatient = entry.asked == 1 && number.is_multiple_of(IMPATIENT);
-            entry.next_ms = self.now_ms + if impatient { 10 } else { CALLER_MS };
-            self.send_from_outside(target, Message::Ask { number });
+            entry.attempts += 1;
+            // Some calls are retried almost at once, so that two attempts overlap.
+            let impatient = entry.attempts == 1 && number.is_multiple_of(IMPATIENT_EVERY);
+            entry.next_attempt_ms = self.now_ms + if impatient { 10 } else { CALLER_TIMEOUT_MS };
+            self.send_from_outside(target, Message::Call { number });
         }
     }
 
-    /// A call arrives at an instance.
-    pub(crate) fn asked(&mut self, place: usize, number: usize) {
+    /// Handles a call at an instance: the home admits it, others forward it or fence it.
+    pub(crate) fn handle_call(&mut self, index: usize, number: usize) {
         let call = self.calls[number].clone();
-        if !self.instances[place].ready {
+        if !self.instances[index].ready {
             return;
         }
-        let instance = &self.instances[place];
+        let instance = &self.instances[index];
         if instance.home.is_home(&call.key) {
-            self.admit(place, number);
+            self.admit(index, number);
             return;
         }
-        let home = self.by_name(&call.key.home.instance);
+        let home = self.index_of(&call.key.home.instance);
         let same = self.instances[home].incarnation == call.key.home.incarnation;
-        // The forward and its failure are one step here: what matters is who decides.
-        if same && self.connected(place, home) && self.instances[home].acts(self.now_ms) {
+        // Forwarding takes no time here; only which instance decides matters.
+        if same && self.can_exchange(index, home) && self.instances[home].is_running(self.now_ms) {
             self.admit(home, number);
         } else {
-            self.fence(place, number);
+            self.fence_at_witness(index, number);
         }
     }
 
-    fn admit(&mut self, place: usize, number: usize) {
-        self.reach(Step::AdmitCall, place);
-        if !self.instances[place].acts(self.now_ms) {
+    fn admit(&mut self, index: usize, number: usize) {
+        self.reach_step(Step::AdmitCall, index);
+        if !self.instances[index].is_running(self.now_ms) {
             return;
         }
         let call = self.calls[number].clone();
-        let now_ms = self.instances[place].clock_ms(self.now_ms);
+        let now_ms = self.instances[index].clock_ms(self.now_ms);
         if self.disabled == DisabledSafeguard::ForgetKeys {
-            let identity = self.instances[place].place(self.now_ms);
+            let identity = self.instances[index].instance_epoch(self.now_ms);
             let epochs = once::EpochCounter::new(0);
-            self.instances[place].home =
+            self.instances[index].home =
                 once::Home::new(&identity.instance, identity.incarnation, epochs);
         }
-        let admission = self.instances[place]
+        let admission = self.instances[index]
             .home
             .admit(now_ms, &call.key, digest(call.body));
         match admission {
-            Admission::Known(status) => self.reply(place, number, &status),
+            Admission::Known(status) => self.reply(index, number, &status),
             Admission::Attach => {}
-            Admission::AskWitness => self.ask_witness(place, &call),
+            Admission::AskWitness => self.ask_witness(index, &call),
         }
     }
 
-    fn ask_witness(&mut self, place: usize, call: &Call) {
-        self.reach(Step::AskWitness, place);
-        let waiting = Waiting {
+    fn ask_witness(&mut self, index: usize, call: &Call) {
+        self.reach_step(Step::AskWitness, index);
+        let pending = PendingCall {
             key: call.key.clone(),
             body: call.body,
-            until_ms: self.now_ms + CLAIM_MS,
+            until_ms: self.now_ms + CLAIM_TIMEOUT_MS,
             stage: Stage::Witness,
         };
-        self.instances[place]
-            .waiting
-            .insert(call.key.to_string(), waiting);
+        self.instances[index]
+            .pending
+            .insert(call.key.to_string(), pending);
         if self.disabled == DisabledSafeguard::Witness {
-            self.granted(place, &call.key, Some(ClaimVerdict::Granted));
+            self.handle_verdict(index, &call.key, Some(ClaimVerdict::Granted));
             return;
         }
-        let witness = self.by_name(&call.key.witness.instance);
+        let witness = self.index_of(&call.key.witness.instance);
         let message = Message::Claim {
-            home: place,
+            home: index,
             key: call.key.clone(),
             body: call.body,
         };
-        self.send_between(place, witness, message);
+        self.send_between(index, witness, message);
     }
 
-    /// A claim arrives at the witness.
-    pub(crate) fn claimed(&mut self, place: usize, home: usize, key: &IdempotencyKey, body: u64) {
-        let now_ms = self.instances[place].clock_ms(self.now_ms);
-        let verdict = self.instances[place]
+    /// Handles a claim at the witness and sends the verdict to the home.
+    pub(crate) fn handle_claim(
+        &mut self,
+        index: usize,
+        home: usize,
+        key: &IdempotencyKey,
+        body: u64,
+    ) {
+        let now_ms = self.instances[index].clock_ms(self.now_ms);
+        let verdict = self.instances[index]
             .witness
             .claim(now_ms, key, digest(body));
-        self.reach(Step::AnswerHome, place);
+        self.reach_step(Step::AnswerHome, index);
         let key = key.clone();
-        self.send_between(place, home, Message::Verdict { key, verdict });
+        self.send_between(index, home, Message::Verdict { key, verdict });
     }
 
-    /// The witness's word arrives, or does not in time.
-    pub(crate) fn granted(
+    /// Handles the verdict of the witness at the home; `None` means that it timed out.
+    pub(crate) fn handle_verdict(
         &mut self,
-        place: usize,
+        index: usize,
         key: &IdempotencyKey,
         verdict: Option<ClaimVerdict>,
     ) {
-        let text = key.to_string();
-        let Some(waiting) = self.instances[place].waiting.get(&text).cloned() else {
+        let key_text = key.to_string();
+        let Some(pending) = self.instances[index].pending.get(&key_text).cloned() else {
             return;
         };
-        if waiting.stage != Stage::Witness {
+        if pending.stage != Stage::Witness {
             return;
         }
-        self.instances[place].waiting.remove(&text);
-        if !self.instances[place].home.record_verdict(key, verdict) {
-            self.reply_all(place, key);
+        self.instances[index].pending.remove(&key_text);
+        if !self.instances[index].home.record_verdict(key, verdict) {
+            self.reply_all(index, key);
             return;
         }
-        self.reach(Step::DispatchCall, place);
-        let waiting = Waiting {
-            until_ms: self.now_ms + SERVICE_MS,
+        self.reach_step(Step::DispatchCall, index);
+        let pending = PendingCall {
+            until_ms: self.now_ms + SERVICE_TIMEOUT_MS,
             stage: Stage::Service,
-            ..waiting
+            ..pending
         };
-        let body = waiting.body;
-        self.instances[place].waiting.insert(text, waiting);
-        if self.instances[place].speaks(self.now_ms) && self.instances[place].acts(self.now_ms) {
-            self.send_to_service(place, key.clone(), body);
+        let body = pending.body;
+        self.instances[index].pending.insert(key_text, pending);
+        if self.instances[index].can_send(self.now_ms)
+            && self.instances[index].is_running(self.now_ms)
+        {
+            self.send_to_service(index, key.clone(), body);
         }
     }
 
-    /// The call arrives at the service and takes effect.
-    pub(crate) fn served(&mut self, place: usize, key: IdempotencyKey, body: u64) {
+    /// Runs a call at the service and checks that it has not run before.
+    pub(crate) fn handle_service_call(&mut self, index: usize, key: IdempotencyKey, body: u64) {
         let effects = self.service.effects.entry(body).or_default();
         *effects += 1;
         if *effects > 1 {
@@ -219,106 +227,111 @@
         }
         if !self.service.loses_answers {
             let delay_ms = 20 + self.service.slow_ms;
-            self.send_later(delay_ms, place, Message::Served { key, body });
+            self.send_later(delay_ms, index, Message::ServiceAnswer { key, body });
         }
     }
 
-    /// The service's answer arrives at the home.
-    pub(crate) fn finished(&mut self, place: usize, key: &IdempotencyKey, body: u64) {
-        self.reach(Step::FinishCall, place);
-        if !self.instances[place].acts(self.now_ms) {
+    /// Handles the service's answer at the home and replicates it to the witness.
+    pub(crate) fn handle_service_answer(&mut self, index: usize, key: &IdempotencyKey, body: u64) {
+        self.reach_step(Step::FinishCall, index);
+        if !self.instances[index].is_running(self.now_ms) {
             return;
         }
-        self.instances[place].waiting.remove(&key.to_string());
-        self.instances[place].home.record_answer(key, answer(body));
-        let witness = self.by_name(&key.witness.instance);
-        let message = Message::Keep {
+        self.instances[index].pending.remove(&key.to_string());
+        self.instances[index].home.record_answer(key, answer(body));
+        let witness = self.index_of(&key.witness.instance);
+        let message = Message::ReplicateAnswer {
             key: key.clone(),
             body,
         };
-        self.send_between(place, witness, message);
-        self.reply_all(place, key);
+        self.send_between(index, witness, message);
+        self.reply_all(index, key);
     }
 
-    /// The home's answer arrives at the witness.
-    pub(crate) fn kept(&mut self, place: usize, key: &IdempotencyKey, body: u64) {
-        self.instances[place].witness.finish(key, answer(body));
+    /// Stores a replicated answer at the witness.
+    pub(crate) fn handle_replicated_answer(
+        &mut self,
+        index: usize,
+        key: &IdempotencyKey,
+        body: u64,
+    ) {
+        self.instances[index].witness.finish(key, answer(body));
     }
 
-    fn fence(&mut self, place: usize, number: usize) {
+    fn fence_at_witness(&mut self, index: usize, number: usize) {
         let call = self.calls[number].clone();
-        let witness = self.by_name(&call.key.witness.instance);
-        if place != witness && !self.connected(place, witness) {
+        let witness = self.index_of(&call.key.witness.instance);
+        if index != witness && !self.can_exchange(index, witness) {
             return;
         }
-        if !self.instances[witness].acts(self.now_ms) {
+        if !self.instances[witness].is_running(self.now_ms) {
             return;
         }
         let now_ms = self.instances[witness].clock_ms(self.now_ms);
         let status = self.instances[witness]
             .witness
             .fence(now_ms, &call.key, digest(call.body));
-        self.reply(place, number, &status);
+        self.reply(index, number, &status);
     }
 
-    /// Times of homes that ran out.
-    pub(crate) fn expire_calls(&mut self, place: usize) {
-        let due: Vec<Waiting> = self.instances[place]
-            .waiting
+    /// Ends the waits for a witness or the service that have timed out.
+    pub(crate) fn expire_calls(&mut self, index: usize) {
+        let due: Vec<PendingCall> = self.instances[index]
+            .pending
             .values()
-            .filter(|waiting| waiting.until_ms <= self.now_ms)
+            .filter(|pending| pending.until_ms <= self.now_ms)
             .cloned()
             .collect();
-        for waiting in due {
-            match waiting.stage {
-                Stage::Witness => self.granted(place, &waiting.key, None),
+        for pending in due {
+            match pending.stage {
+                Stage::Witness => self.handle_verdict(index, &pending.key, None),
                 Stage::Service => {
-                    self.instances[place]
-                        .waiting
-                        .remove(&waiting.key.to_string());
-                    self.instances[place].home.record_unknown(&waiting.key);
+                    self.instances[index]
+                        .pending
+                        .remove(&pending.key.to_string());
+                    self.instances[index].home.record_unknown(&pending.key);
                 }
             }
         }
     }
 
-    fn reply_all(&mut self, place: usize, key: &IdempotencyKey) {
-        let status = self.instances[place].home.status(key);
+    fn reply_all(&mut self, index: usize, key: &IdempotencyKey) {
+        let status = self.instances[index].home.status(key);
         for number in 0..self.calls.len() {
             if self.calls[number].key == *key {
-                self.reply(place, number, &status);
+                self.reply(index, number, &status);
             }
         }
     }
 
-    fn reply(&mut self, place: usize, number: usize, status: &CallStatus) {
-        if !self.instances[place].speaks(self.now_ms) {
+    fn reply(&mut self, index: usize, number: usize, status: &CallStatus) {
+        if !self.instances[index].can_send(self.now_ms) {
             return;
         }
         let call = &mut self.calls[number];
         match status.state {
             CallState::Done => {
-                call.over = true;
+                call.ended = true;
                 let body = status.answer.as_ref().map(|answer| answer.body.clone());
                 if body != Some(call.body.to_le_bytes().to_vec()) {
                     let detail = format!("call {} got another's answer", call.body);
                     self.violate(Invariant::OwnAnswer, detail);
                 }
             }
-            CallState::Unseen => call.told_not_run = true,
+            CallState::Unseen => call.refused_as_not_run = true,
             _ => {}
         }
     }
 
-    /// What was told of calls, against what the service did.
+    /// Checks that no call that was refused as not run has run.
     pub(crate) fn check_calls(&mut self) {
-        let untrue: Vec<u64> = self
+        let wrongly_refused: Vec<u64> = self
             .calls
             .iter()
-            .filter(|call| call.told_not_run && self.service.effects.contains_key(&call.body))
+            .filter(|call| call.refused_as_not_run && self.service.effects.contains_key(&call.body))
             .map(|call| call.body)
             .collect();
-        for body in untrue {
+        for body in wrongly_refused {
             self.violate(
                 Invariant::TrueRefusal,
                 format!("call {body} was told not to have run"),
--- a/crates/fault/src/fakes.rs
+++ b/crates/fault/src/fakes.rs
@@ -1,17 +1,17 @@
-//! Fakes of the platform and the upstreams.
+//! Fakes of the platform's log, the engines and the plain service.
 
 use std::collections::BTreeMap;
 
 use feed::{Page, RawRecord};
 use wire::OrderKind;
 
-/// Time of a role change.
-const CHANGE_MS: u64 = 1_000;
+/// Time that an engine needs for an order, in ms.
+const ORDER_MS: u64 = 1_000;
 
-/// Records that stay when old ones expire.
-const KEPT: usize = 12;
+/// Number of newest records that remain when old ones expire.
+const RECORDS_KEPT: usize = 12;
 
-/// The platform's log.
+/// Fake of the platform's log.
 #[derive(Debug, Default)]
 pub(crate) struct FakeLog {
     entries: Vec<RawRecord>,
@@ -54,86 +54,94 @@
     }
 
     pub(crate) fn expire(&mut self) {
-        let gone = self.entries.len().saturating_sub(KEPT);
-        self.entries.drain(..gone);
-        self.first += gone as u64;
+        let expired = self.entries.len().saturating_sub(RECORDS_KEPT);
+        self.entries.drain(..expired);
+        self.first += expired as u64;
     }
 }
 
-/// One engine. Those that ignore fencing tokens take whatever arrives.
+/// Fake engine. If it does not check fencing tokens, it accepts every order that arrives.
 #[derive(Debug)]
 pub(crate) struct FakeEngine {
     pub(crate) name: String,
-    pub(crate) checks: bool,
+    pub(crate) checks_tokens: bool,
     pub(crate) role: String,
     pub(crate) loaded: Vec<String>,
     pub(crate) highest: u64,
     pub(crate) slow: bool,
-    doing: Option<(u64, OrderKind, String)>,
-    taken: BTreeMap<u64, (OrderKind, String)>,
+    in_progress: Option<(u64, OrderKind, String)>,
+    accepted: BTreeMap<u64, (OrderKind, String)>,
 }
 
-/// What arrived that must not have.
-pub(crate) enum Arrived {
-    Fine,
+/// Result of an order's arrival.
+pub(crate) enum OrderResult {
+    Accepted,
     Conflict(String),
 }
 
 impl FakeEngine {
-    pub(crate) fn new(name: &str, checks: bool) -> Self {
+    pub(crate) fn new(name: &str, checks_tokens: bool) -> Self {
         Self {
             name: name.to_owned(),
-            checks,
+            checks_tokens,
             role: "mixed".to_owned(),
             loaded: vec!["m@v1".to_owned()],
             highest: 0,
             slow: false,
-            doing: None,
-            taken: BTreeMap::new(),
+            in_progress: None,
+            accepted: BTreeMap::new(),
         }
     }
 
     pub(crate) fn is_changing(&self) -> bool {
-        self.doing.is_some()
+        self.in_progress.is_some()
     }
 
-    /// Takes an order: an older one than it has seen that says something else is a conflict.
-    pub(crate) fn take(
+    /// Receives an order. A repeated order is ignored, as is an outdated one if tokens are checked.
+    /// It conflicts if another order is in progress, or if its fencing token is older than that of
+    /// a different order which was accepted before.
+    pub(crate) fn receive(
         &mut self,
         now_ms: u64,
         order: u64,
         kind: OrderKind,
         argument: &str,
-    ) -> Arrived {
-        let what = (kind, argument.to_owned());
-        if self.taken.get(&order) == Some(&what) {
-            return Arrived::Fine;
+    ) -> OrderResult {
+        let content = (kind, argument.to_owned());
+        if self.accepted.get(&order) == Some(&content) {
+            return OrderResult::Accepted;
         }
-        if order < self.highest && self.checks {
-            return Arrived::Fine;
+        if order < self.highest && self.checks_tokens {
+            return OrderResult::Accepted;
         }
         let newest = self
-            .taken
+            .accepted
             .last_key_value()
             .map(|(_, newest)| newest.clone());
-        let conflicts = order < self.highest && newest.is_some_and(|newest| newest != what);
-        let busy = self.doing.as_ref().is_some_and(|doing| doing.0 != order);
+        let conflicts = order < self.highest && newest.is_some_and(|newest| newest != content);
+        let busy = self
+            .in_progress
+            .as_ref()
+            .is_some_and(|in_progress| in_progress.0 != order);
         self.highest = self.highest.max(order);
-        self.taken.insert(order, what);
-        let took_ms = if self.slow { 10 * CHANGE_MS } else { CHANGE_MS };
-        self.doing = Some((now_ms + took_ms, kind, argument.to_owned()));
+        self.accepted.insert(order, content);
+        let took_ms = if self.slow { 10 * ORDER_MS } else { ORDER_MS };
+        self.in_progress = Some((now_ms + took_ms, kind, argument.to_owned()));
         if conflicts || busy {
             let highest = self.highest;
-            return Arrived::Conflict(format!(
+            return OrderResult::Conflict(format!(
                 "{}: order {order} {argument} beside {highest}",
                 self.name
             ));
         }
-        Arrived::Fine
+        OrderResult::Accepted
     }
 
     pub(crate) fn advance(&mut self, now_ms: u64) {
-        let Some((until_ms, kind, argument)) = self.doing.take_if(|doing| doing.0 <= now_ms) else {
+        let Some((until_ms, kind, argument)) = self
+            .in_progress
+            .take_if(|in_progress| in_progress.0 <= now_ms)
+        else {
             return;
         };
         debug_assert!(until_ms <= now_ms);
@@ -144,13 +152,13 @@
         }
     }
 
-    /// Forgets everything, its fencing token too.
+    /// Resets the engine, including its highest fencing token.
     pub(crate) fn crash(&mut self) {
-        *self = Self::new(&self.name.clone(), self.checks);
+        *self = Self::new(&self.name.clone(), self.checks_tokens);
     }
 }
 
-/// The plain service.
+/// Fake of the plain service.
 #[derive(Debug, Default)]
 pub(crate) struct FakeService {
     pub(crate) effects: BTreeMap<u64, u32>,
--- a/crates/fault/src/instance.rs
+++ b/crates/fault/src/instance.rs
@@ -1,4 +1,4 @@
-//! One entry instance: the product's decision code with what it waits for.
+//! A simulated entry instance: production decision code and its pending work.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-/// Group of all engines here.
+/// Lease group of all engines in the simulation.
 pub(crate) const GROUP: &str = "m/zone";
 
-/// Times of the leases here.
+/// Lease times in the simulation.
 pub(crate) const TIMES: LeaseTimes = LeaseTimes {
     ttl_ms: 2_000,
     margin_ms: 700,
 };
 
-/// What a home waits for, for one key.
+/// A call that waits at its home for the witness or the service.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingCall {
     pub(crate) key: IdempotencyKey,
     pub(crate) body: u64,
     pub(crate) until_ms: u64,
@@ -32,11 +32,11 @@
     Service,
 }
 
-/// An order on its way out: decided, and written at the next chance.
+/// An order that was decided and is sent in the next tick.
 #[derive(Debug, Clone)]
-pub(crate) struct Leaving {
-    pub(crate) send: lease::OutgoingOrder,
-    pub(crate) fence: u64,
+pub(crate) struct QueuedOrder {
+    pub(crate) order: lease::OutgoingOrder,
+    pub(crate) fencing_token: u64,
 }
 
 #[allow(
@@ -46,27 +46,27 @@
 pub(crate) struct Instance {
     pub(crate) name: String,
     pub(crate) incarnation: u64,
-    pub(crate) born_ms: u64,
+    pub(crate) started_ms: u64,
     pub(crate) alive: bool,
     pub(crate) ready: bool,
     pub(crate) stopping: bool,
     pub(crate) paused_until_ms: u64,
     pub(crate) cut_until_ms: u64,
-    pub(crate) mute_until_ms: u64,
+    pub(crate) send_cut_until_ms: u64,
     pub(crate) log_cut_until_ms: u64,
     pub(crate) clock_rate: f64,
-    pub(crate) cursor: LogReader,
+    pub(crate) log_reader: LogReader,
     pub(crate) outbox: Outbox,
     pub(crate) append_until_ms: Option<u64>,
-    pub(crate) read_at_ms: u64,
+    pub(crate) next_read_ms: u64,
     pub(crate) reading: bool,
     pub(crate) elector: Elector,
     pub(crate) claimed_ms: Option<u64>,
-    pub(crate) desk: OrderScheduler,
-    pub(crate) leaving: Vec<Leaving>,
+    pub(crate) order_scheduler: OrderScheduler,
+    pub(crate) queued_orders: Vec<QueuedOrder>,
     pub(crate) home: Home,
     pub(crate) witness: Witness,
-    pub(crate) waiting: BTreeMap<String, Waiting>,
+    pub(crate) pending: BTreeMap<String, PendingCall>,
     pub(crate) in_force_offset: u64,
 }
 
@@ -81,53 +81,53 @@
         Self {
             name: name.to_owned(),
             incarnation,
-            born_ms: now_ms,
+            started_ms: now_ms,
             alive: true,
             ready: false,
             stopping: false,
             paused_until_ms: 0,
             cut_until_ms: 0,
-            mute_until_ms: 0,
+            send_cut_until_ms: 0,
             log_cut_until_ms: 0,
             clock_rate: 1.0,
-            cursor: LogReader::default(),
+            log_reader: LogReader::default(),
             outbox: Outbox::new(name, incarnation),
             append_until_ms: None,
-            read_at_ms: now_ms,
+            next_read_ms: now_ms,
             reading: false,
             elector: Elector::new(identity, GROUP, TIMES, 0),
             claimed_ms: None,
-            desk: OrderScheduler::default(),
-            leaving: Vec::new(),
+            order_scheduler: OrderScheduler::default(),
+            queued_orders: Vec::new(),
             home: Home::new(name, incarnation, epochs),
             witness: Witness::new(name, incarnation, epochs),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             in_force_offset: 0,
         }
     }
 
-    /// The instance's own monotonic clock, which runs on while it is paused.
+    /// Monotonic clock of the instance, which keeps running during a pause.
     pub(crate) fn clock_ms(&self, now_ms: u64) -> u64 {
-        ((now_ms - self.born_ms) as f64 * self.clock_rate) as u64
+        ((now_ms - self.started_ms) as f64 * self.clock_rate) as u64
     }
 
-    pub(crate) fn acts(&self, now_ms: u64) -> bool {
+    pub(crate) fn is_running(&self, now_ms: u64) -> bool {
         self.alive && now_ms >= self.paused_until_ms
     }
 
-    pub(crate) fn hears(&self, now_ms: u64) -> bool {
+    pub(crate) fn can_receive(&self, now_ms: u64) -> bool {
         self.alive && now_ms >= self.cut_until_ms
     }
 
-    pub(crate) fn speaks(&self, now_ms: u64) -> bool {
-        self.hears(now_ms) && now_ms >= self.mute_until_ms
+    pub(crate) fn can_send(&self, now_ms: u64) -> bool {
+        self.can_receive(now_ms) && now_ms >= self.send_cut_until_ms
     }
 
-    pub(crate) fn reaches_log(&self, now_ms: u64) -> bool {
-        self.speaks(now_ms) && now_ms >= self.log_cut_until_ms
+    pub(crate) fn can_reach_log(&self, now_ms: u64) -> bool {
+        self.can_send(now_ms) && now_ms >= self.log_cut_until_ms
     }
 
-    pub(crate) fn place(&self, now_ms: u64) -> InstanceEpoch {
+    pub(crate) fn instance_epoch(&self, now_ms: u64) -> InstanceEpoch {
         InstanceEpoch {
             instance: self.name.clone(),
             incarnation: self.incarnation,
--- a/crates/fault/src/invariant.rs
+++ b/crates/fault/src/invariant.rs
@@ -1,47 +1,47 @@
-//! What must always hold.
+//! Invariants that every run must keep.
 
 use derive_more::Display;
 
-/// The brief's invariants, as far as they can be checked here.
+/// An invariant that the simulation checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Invariant {
     /// No engine ever receives conflicting orders.
     #[display("no conflicting orders")]
     NoConflictingOrders,
-    /// Orders from a process that has lost its authority have no effect.
+    /// No order is sent by a process that has lost its lease, and no two processes hold one lease.
     #[display("no order without authority")]
     NoOrderWithoutAuthority,
     /// Every caller receives only the answer to its own request.
     #[display("own answer")]
     OwnAnswer,
-    /// A refusal that says "not run" is true.
+    /// A call that is refused as not run has not run.
     #[display("true refusal")]
     TrueRefusal,
-    /// A call that may not be repeated runs at most once.
+    /// A call to an at-most-once path runs at most once.
     #[display("at most once")]
     AtMostOnce,
-    /// An upstream that is leaving receives no new order.
+    /// An upstream that is leaving receives no new orders.
     #[display("nothing to a leaving upstream")]
     NothingToLeaving,
-    /// A planned stop cuts no request.
+    /// A planned stop interrupts no request.
     #[display("planned stop cuts nothing")]
     StopCutsNothing,
-    /// An accepted bundle is in force everywhere within seconds.
+    /// An accepted bundle is in force at every instance within seconds.
     #[display("bundle in force")]
     BundleInForce,
-    /// An accepted bundle never reverts.
+    /// No instance returns to an older bundle.
     #[display("bundle never reverts")]
     NeverReverts,
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{invariant} at {at_ms} ms: {detail}")]
 pub struct Violation {
-    /// Which.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When, in virtual time.
+    /// Virtual time of the violation, in ms.
     pub at_ms: u64,
-    /// What happened.
+    /// Description of what happened.
     pub detail: String,
 }
--- a/crates/fault/src/safeguard.rs
+++ b/crates/fault/src/safeguard.rs
@@ -1,38 +1,38 @@
-//! Safeguards taken out on purpose, to show that the matrix catches it.
+//! Safeguards that can be disabled, to show that the matrix detects their absence.
 
 use derive_more::Display;
 
 use crate::Invariant;
 
-/// A safeguard that is left out.
+/// The safeguard that a run disables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display)]
 pub enum DisabledSafeguard {
-    /// Nothing is.
+    /// All safeguards are active.
     #[default]
     #[display("nothing")]
     None,
-    /// A claim counts as won before it was read back.
+    /// An instance acts on its claim of a lease before it has read the claim back from the log.
     #[display("skip the read-back of a claim")]
     ReadBack,
-    /// A successor claims without waiting for the lease to lapse.
+    /// A successor claims a lease before it has expired.
     #[display("skip a successor's wait")]
     Wait,
-    /// A paused order leaves when the process wakes up, whatever the lease.
+    /// An instance that was paused sends its orders even if the lease has expired since.
     #[display("take the guard off the order's connection")]
     Guard,
-    /// A peer's snapshot is taken whatever its offset.
+    /// An instance installs a peer's snapshot even if it is older than its own state.
     #[display("ignore the order of offsets")]
     OffsetOrder,
-    /// A home forgets its keys.
+    /// The home of a call forgets the idempotency keys that it has admitted.
     #[display("forget keys at the home")]
     ForgetKeys,
-    /// A home dispatches without asking the witness.
+    /// The home dispatches a call without a claim at the witness.
     #[display("skip the witness")]
     Witness,
 }
 
 impl DisabledSafeguard {
-    /// All safeguards that can be taken out.
+    /// All safeguards that can be disabled.
     pub const ALL: [Self; 6] = [
         Self::ReadBack,
         Self::Wait,
@@ -42,7 +42,7 @@
         Self::Witness,
     ];
 
-    /// Invariants of which at least one must then fail somewhere in the matrix.
+    /// Invariants of which at least one must fail somewhere in the matrix.
     pub fn expected(self) -> &'static [Invariant] {
         match self {
             Self::None => &[],
--- a/crates/fault/src/world/control.rs
+++ b/crates/fault/src/simulation/control.rs
@@ -1,27 +1,27 @@
-//! Leases and orders of an instance.
+//! Leases and engine orders of an instance.
 
 use lease::{DesiredState, EngineReport, LeaseAction, OrderAction};
 use wire::{Body, LeaseClaimed, LeaseRef, OrderKind};
 
-use super::{Flight, QUIET_MS, TOO_EARLY_MS, WAY_MS, World};
-use crate::instance::{GROUP, Leaving, TIMES};
+use super::{Delivery, EARLY_CLAIM_MS, ONE_WAY_DELAY_MS, QUIET_FROM_MS, Simulation};
+use crate::instance::{GROUP, QueuedOrder, TIMES};
 use crate::{DisabledSafeguard, Invariant, Step};
 
-impl World {
-    pub(super) fn elect(&mut self, place: usize) {
-        if !self.instances[place].ready || self.instances[place].stopping {
+impl Simulation {
+    pub(super) fn poll_lease(&mut self, index: usize) {
+        if !self.instances[index].ready || self.instances[index].stopping {
             return;
         }
-        let clock_ms = self.instances[place].clock_ms(self.now_ms);
+        let clock_ms = self.instances[index].clock_ms(self.now_ms);
         let early_ms = if self.disabled == DisabledSafeguard::Wait {
-            TOO_EARLY_MS
+            EARLY_CLAIM_MS
         } else {
             0
         };
-        let instance = &mut self.instances[place];
+        let instance = &mut self.instances[index];
         let holds = instance.elector.authority(clock_ms).is_some();
         let early_ms = if holds { 0 } else { early_ms };
-        let action = instance.elector.poll(clock_ms + early_ms, place as u64);
+        let action = instance.elector.poll(clock_ms + early_ms, index as u64);
         let group = GROUP.to_owned();
         let (body, step) = match action {
             LeaseAction::Wait => return,
@@ -50,18 +50,18 @@
                 .outbox
                 .push("entry", self.now_ms, body, Some(clock_ms + TIMES.ttl_ms));
         instance.elector.record_sent(clock_ms, sequence);
-        self.reach(step, place);
+        self.reach_step(step, index);
     }
 
-    pub(super) fn authority(&self, place: usize) -> Option<lease::Authority> {
-        let instance = &self.instances[place];
+    pub(super) fn authority(&self, index: usize) -> Option<lease::Authority> {
+        let instance = &self.instances[index];
         let clock_ms = instance.clock_ms(self.now_ms);
         if self.disabled == DisabledSafeguard::ReadBack
             && let Some(claimed_ms) = instance.claimed_ms
             && clock_ms < claimed_ms + TIMES.ttl_ms
         {
             let fence = instance
-                .cursor
+                .log_reader
                 .state()
                 .lease(GROUP)
                 .map_or(0, |lease| lease.fencing_token);
@@ -73,12 +73,12 @@
         instance.elector.authority(clock_ms)
     }
 
-    pub(super) fn command(&mut self, place: usize) {
-        let Some(authority) = self.authority(place) else {
+    pub(super) fn issue_orders(&mut self, index: usize) {
+        let Some(authority) = self.authority(index) else {
             return;
         };
-        let clock_ms = self.instances[place].clock_ms(self.now_ms);
-        let wishes = self.wishes(place);
+        let clock_ms = self.instances[index].clock_ms(self.now_ms);
+        let desired = self.desired_states(index);
         let report = |name: &str| {
             let engine = self.engines.iter().find(|engine| engine.name == name)?;
             Some(EngineReport {
@@ -88,44 +88,52 @@
                 fencing_token: engine.highest,
             })
         };
-        let instance = &mut self.instances[place];
+        let instance = &mut self.instances[index];
         let open: Vec<_> = instance
-            .cursor
+            .log_reader
             .state()
             .open_orders(GROUP)
             .cloned()
             .collect();
-        let moves =
-            instance
-                .desk
-                .next_actions(clock_ms, authority, GROUP, &wishes, open.iter(), report);
+        let actions = instance.order_scheduler.next_actions(
+            clock_ms,
+            authority,
+            GROUP,
+            &desired,
+            open.iter(),
+            report,
+        );
         let until_ms = clock_ms + TIMES.ttl_ms;
-        for next in moves {
-            let (body, step) = match next {
+        for action in actions {
+            let (body, step) = match action {
                 OrderAction::Place(order) => (Body::OrderPlaced(order), Step::PlaceOrder),
                 OrderAction::Settle(settled) => (Body::OrderSettled(settled), Step::SettleOrder),
-                OrderAction::Send(send) => {
-                    let fence = authority.fence;
-                    self.instances[place].leaving.push(Leaving { send, fence });
-                    self.reach(Step::SendOrder, place);
+                OrderAction::Send(order) => {
+                    let fencing_token = authority.fence;
+                    self.instances[index].queued_orders.push(QueuedOrder {
+                        order,
+                        fencing_token,
+                    });
+                    self.reach_step(Step::SendOrder, index);
                     continue;
                 }
             };
-            self.instances[place]
+            self.instances[index]
                 .outbox
                 .push("entry", self.now_ms, body, Some(until_ms));
-            self.reach(step, place);
+            self.reach_step(step, index);
         }
     }
 
-    /// Each holder wants another role every two seconds, so that a stale order differs.
-    pub(super) fn wishes(&mut self, place: usize) -> Vec<DesiredState> {
-        if self.now_ms >= QUIET_MS {
+    /// Desired roles of all engines. They depend on the instance and change every two seconds, so
+    /// that a stale order differs from the current one and shows up as a conflict.
+    pub(super) fn desired_states(&mut self, index: usize) -> Vec<DesiredState> {
+        if self.now_ms >= QUIET_FROM_MS {
             return Vec::new();
         }
-        let turn = (self.now_ms / 2_000 + place as u64) % 3;
+        let turn = (self.now_ms / 2_000 + index as u64) % 3;
         let role = ["prefill", "decode", "mixed"][turn as usize];
-        let drained = self.drained_known[place];
+        let drained = self.drained_known[index];
         let engines = self
             .engines
             .iter()
@@ -139,36 +147,38 @@
             .collect()
     }
 
-    /// Orders leave one step after they were decided, so that a pause can come in between.
-    pub(super) fn flush_orders(&mut self, place: usize) {
-        let clock_ms = self.instances[place].clock_ms(self.now_ms);
-        for leaving in std::mem::take(&mut self.instances[place].leaving) {
-            let lapsed = clock_ms >= leaving.send.expires_ms;
-            if lapsed && self.disabled != DisabledSafeguard::Guard {
+    /// Sends the orders that were decided in the previous tick, so that a pause can occur between
+    /// decision and sending.
+    pub(super) fn send_orders(&mut self, index: usize) {
+        let clock_ms = self.instances[index].clock_ms(self.now_ms);
+        for queued in std::mem::take(&mut self.instances[index].queued_orders) {
+            let has_expired = clock_ms >= queued.order.expires_ms;
+            if has_expired && self.disabled != DisabledSafeguard::Guard {
                 continue;
             }
-            if !self.instances[place].speaks(self.now_ms) {
+            if !self.instances[index].can_send(self.now_ms) {
                 continue;
             }
-            if leaving.fence < self.highest_fence {
+            if queued.fencing_token < self.highest_sent_token {
                 let detail = format!(
-                    "entry-{place} sent under {} after {}",
-                    leaving.fence, self.highest_fence
+                    "entry-{index} sent under {} after {}",
+                    queued.fencing_token, self.highest_sent_token
                 );
                 self.violate(Invariant::NoOrderWithoutAuthority, detail);
             }
-            self.highest_fence = self.highest_fence.max(leaving.fence);
+            self.highest_sent_token = self.highest_sent_token.max(queued.fencing_token);
             let engine = self
                 .engines
                 .iter()
-                .position(|engine| engine.name == leaving.send.engine);
-            let flight = Flight::ToEngine {
+                .position(|engine| engine.name == queued.order.engine);
+            let delivery = Delivery::ToEngine {
                 engine: engine.unwrap_or(0),
-                order: leaving.send.fencing_token,
-                kind: leaving.send.kind,
-                argument: leaving.send.argument,
+                order: queued.order.fencing_token,
+                kind: queued.order.kind,
+                argument: queued.order.argument,
             };
-            self.flights.push((self.now_ms + WAY_MS, flight));
+            self.deliveries
+                .push((self.now_ms + ONE_WAY_DELAY_MS, delivery));
         }
     }
 }
--- a/crates/fault/src/table.rs
+++ b/crates/fault/src/table.rs
@@ -1,58 +1,58 @@
-//! The table of faults by steps.
+//! Faults, steps and the matrix of both.
 
 use std::fmt::Write;
 
 use derive_more::Display;
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Fault {
-    /// The acting instance dies and is replaced after 3 s.
+    /// The instance that reaches the step dies and is replaced after 3 s.
     #[display("kill")]
     Kill,
-    /// It is paused for longer than any lease.
+    /// The instance is paused for longer than a lease lasts.
     #[display("pause")]
     Pause,
-    /// It is cut off both ways.
+    /// The instance can neither send nor receive.
     #[display("cut off")]
     CutOff,
-    /// What it sends is lost; what is sent to it arrives.
+    /// The instance cannot send, but still receives.
     #[display("cut off one way")]
     CutOffOneWay,
-    /// It reaches everything but the log.
+    /// The instance cannot reach the log.
     #[display("cut off from log")]
     CutOffFromLog,
-    /// The log answers nothing.
+    /// The log is unavailable.
     #[display("log down")]
     LogDown,
-    /// The log answers after seconds.
+    /// The log answers after 2.5 s.
     #[display("log slow")]
     LogSlow,
-    /// Appends take effect and their answers are lost.
+    /// Appends take effect, but their answers are lost.
     #[display("log answers lost")]
     LogAnswersLost,
-    /// Old records expire and a replacement must start from a snapshot.
+    /// Old records expire and the instance dies, so that its replacement starts from a snapshot.
     #[display("records expired")]
     RecordsExpired,
-    /// The engines crash and come back with nothing.
+    /// The engines crash and restart without state.
     #[display("engines crash")]
     EnginesCrash,
-    /// Orders take ten times as long.
+    /// The engines need ten times as long for an order.
     #[display("engines slow")]
     EnginesSlow,
-    /// The plain service answers after the caller's deadline.
+    /// The plain service answers after the caller has timed out.
     #[display("service slow")]
     ServiceSlow,
-    /// The plain service does what is asked and its answers are lost.
+    /// Calls to the plain service take effect, but their answers are lost.
     #[display("service answers lost")]
     ServiceAnswersLost,
-    /// Another operator publishes the same version.
+    /// A second operator publishes another bundle under the same version.
     #[display("racing operator")]
     RacingOperator,
-    /// The instance's clock runs fast by the bound.
+    /// The instance's clock runs fast by [`lease::CLOCK_RATE_BOUND`].
     #[display("clock fast")]
     ClockFast,
-    /// The instance's clock runs slow by the bound.
+    /// The instance's clock runs slow by [`lease::CLOCK_RATE_BOUND`].
     #[display("clock slow")]
     ClockSlow,
 }
@@ -79,7 +79,7 @@
     ];
 }
 
-/// The moment at which it goes wrong: when the step is first reached.
+/// Step at which a fault is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Step {
     /// A claim of a lease is queued.
@@ -88,16 +88,16 @@
     /// A renewal is queued.
     #[display("renew lease")]
     RenewLease,
-    /// A lease is given up.
+    /// A lease is released.
     #[display("release lease")]
     ReleaseLease,
     /// A bundle is published.
     #[display("publish")]
     Publish,
-    /// A bundle is signed off.
+    /// A bundle is signed.
     #[display("sign")]
     Sign,
-    /// A bundle is rolled.
+    /// A bundle is rolled out.
     #[display("roll")]
     Roll,
     /// A bundle is withdrawn.
@@ -106,10 +106,10 @@
     /// The record of an order is queued.
     #[display("place order")]
     PlaceOrder,
-    /// An order is about to leave.
+    /// An order is about to be sent to its engine.
     #[display("send order")]
     SendOrder,
-    /// The end of an order is queued.
+    /// The record that settles an order is queued.
     #[display("settle order")]
     SettleOrder,
     /// An engine is drained.
@@ -118,25 +118,25 @@
     /// An instance starts.
     #[display("start")]
     Start,
-    /// An instance begins to leave.
+    /// An instance begins a planned stop.
     #[display("stop")]
     Stop,
-    /// A home takes a call in.
+    /// The home of a call admits it.
     #[display("admit call")]
     AdmitCall,
-    /// A home asks its witness.
+    /// The home claims the call at its witness.
     #[display("ask witness")]
     AskWitness,
-    /// A witness answers.
+    /// The witness answers the claim.
     #[display("answer home")]
     AnswerHome,
-    /// A home dispatches a call.
+    /// The home dispatches the call to the service.
     #[display("dispatch call")]
     DispatchCall,
-    /// The answer reaches the home.
+    /// The service's answer reaches the home.
     #[display("finish call")]
     FinishCall,
-    /// A caller asks a second instance.
+    /// A caller retries its call at another instance.
     #[display("retry call")]
     RetryCall,
     /// A snapshot is queued.
@@ -170,17 +170,17 @@
     ];
 }
 
-/// One fault at one step.
+/// Cell of the matrix: one fault at one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("{fault} at {step}")]
 pub struct Cell {
-    /// What goes wrong.
+    /// Fault to inject.
     pub fault: Fault,
-    /// When.
+    /// Step at which it is injected.
     pub step: Step,
 }
 
-/// Why a cell makes no sense, if it does not.
+/// Reason to skip a cell whose fault cannot affect its step; `None` if the cell is run.
 pub fn skip_reason(cell: Cell) -> Option<&'static str> {
     let is_call = matches!(
         cell.step,
@@ -210,13 +210,13 @@
     }
 }
 
-/// All cells.
+/// All cells of the matrix, skipped ones included.
 pub fn cells() -> impl Iterator<Item = Cell> {
     let cell = |fault| Step::ALL.into_iter().map(move |step| Cell { fault, step });
     Fault::ALL.into_iter().flat_map(cell)
 }
 
-/// The table as docs/FAULTS.md has it: `x` is run, `-` makes no sense.
+/// Renders the matrix for docs/FAULTS.md: `x` marks cells that run, `-` skipped cells.
 pub fn markdown() -> String {
     let mut text = "| step |".to_owned();
     for fault in Fault::ALL {
--- a/crates/fault/tests/matrix.rs
+++ b/crates/fault/tests/matrix.rs
@@ -1,11 +1,11 @@
-//! Every fault at every step, pairs of them, and safeguards taken out on purpose.
+//! Runs of the fault matrix: single faults, pairs of faults, and disabled safeguards.
 
 use fault::{Cell, DisabledSafeguard, Fault, Injection, Step, cells, run, skip_reason};
 use proptest::prelude::*;
 
 const SEEDS: [u64; 2] = [1, 2];
 
-/// Calls taken in before the second roll.
+/// Number of calls admitted before the second roll.
 const BEFORE_SECOND_ROLL: u32 = 39;
 
 fn injection(cell: Cell, occurrence: u32) -> Injection {
@@ -16,15 +16,19 @@
 fn without_faults_everything_settles() {
     let outcome = run(&[], DisabledSafeguard::None, 1);
     assert_eq!(outcome.violations, []);
-    assert!(outcome.orders > 10, "{} orders", outcome.orders);
-    assert!(outcome.ran > 100, "{} calls", outcome.ran);
+    assert!(
+        outcome.orders_received > 10,
+        "{} orders",
+        outcome.orders_received
+    );
+    assert!(outcome.calls_run > 100, "{} calls", outcome.calls_run);
 }
 
 #[test]
 fn a_stale_peer_does_not_bring_an_old_bundle_back() {
-    // entry-1 is cut off while version 2 is rolled, and comes back while the log is down. The
-    // others then learn from it, among others, and would put version 1 in force again if they
-    // took whatever a peer gives; members would see a bundle revert.
+    // An instance is cut off while version 2 is rolled, and returns while the log is down. The
+    // others then catch up from peers, this one included. If they installed every snapshot from a
+    // peer, version 1 would be in force again.
     let outcome = run(&stale_peer(), DisabledSafeguard::None, SEEDS[0]);
     assert!(outcome.reached);
     assert_eq!(outcome.violations, []);
@@ -71,7 +75,7 @@
     assert!(unreached.is_empty(), "steps never reached: {unreached:?}");
 }
 
-/// A peer that was cut off while a bundle was rolled, met by the others while the log is down.
+/// Faults that leave one instance behind by a bundle and make the others catch up from it.
 fn stale_peer() -> [Injection; 2] {
     let cut = Cell {
         fault: Fault::CutOff,
@@ -81,13 +85,13 @@
         fault: Fault::LogDown,
         step: Step::Publish,
     };
-    // The call is one that another instance takes in than the operator's, shortly before the
-    // second roll; the third publication comes while the cut lasts.
+    // This call is admitted shortly before the second roll, by another instance than the one that
+    // the operator uses. The third publication happens while that instance is cut off.
     [injection(cut, BEFORE_SECOND_ROLL), injection(down, 2)]
 }
 
-/// Breaks a safeguard and gives the first faults of the matrix that show it.
-fn caught(disabled: DisabledSafeguard) -> Option<String> {
+/// Disables a safeguard and returns the first faults whose run violates an expected invariant.
+fn first_detection(disabled: DisabledSafeguard) -> Option<String> {
     let singles = cells().filter(|cell| skip_reason(*cell).is_none());
     let singles = singles.map(|cell| vec![injection(cell, 0)]);
     let all = std::iter::once(stale_peer().to_vec()).chain(singles);
@@ -110,11 +114,11 @@
 }
 
 #[test]
-fn each_safeguard_taken_out_is_caught() {
-    // A checker that cannot fail proves nothing. For each safeguard, the same matrix is run
-    // with it left out, and must show one of the invariants that the safeguard is there for.
+fn each_disabled_safeguard_is_detected() {
+    // Guards against a matrix that cannot fail: with any one safeguard disabled, it must report a
+    // violation of an invariant that the safeguard protects.
     for disabled in DisabledSafeguard::ALL {
-        let found = caught(disabled);
+        let found = first_detection(disabled);
         println!("{disabled}: {}", found.as_deref().unwrap_or("not caught"));
         assert!(found.is_some(), "{disabled} is not caught");
     }
