--- a/crates/perf/src/bounds.rs
+++ b/crates/perf/src/bounds.rs
@@ -1,49 +1,49 @@
-//! Regression bounds on the deterministic figures.
+//! Regression bounds on the figures of the policy bench.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Case, Policy, Suite, TraceKind, cases};
 use model::Deployment;
 
-/// The committed bounds.
-const COMMITTED: &str = include_str!("../bounds.json");
+/// Contents of the committed `bounds.json`.
+const BOUNDS_JSON: &str = include_str!("../bounds.json");
 
-/// Loads that bounds are kept for.
+/// Loads that have bounds, as shares of the engines' capacity.
 const LOADS: [f64; 2] = [1.1, 1.5];
 
-/// Goodput that a run may lose before it counts as worse, as a share of requests.
+/// Loss of goodput that does not count as a regression, as a share of requests.
 const TOLERANCE: f64 = 0.004;
 
-/// Seed of the bounded runs.
+/// Seed of the runs that have bounds.
 pub const BOUNDS_SEED: u64 = 1;
 
-/// What one run must keep.
+/// Bounds of one run.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Bound {
-    /// Deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Trace.
+    /// Name of the trace.
     pub trace: String,
-    /// Load.
+    /// Load, as a share of the engines' capacity.
     pub load: f64,
-    /// Least goodput, as a share of requests.
+    /// Minimum goodput, as a share of requests.
     pub least_goodput: f64,
-    /// Most role changes.
+    /// Maximum number of role changes.
     pub most_role_changes: u64,
 }
 
-/// The runs that bounds are kept for, made with some policy.
+/// The runs that have bounds, with the given policy.
 pub fn bounded_cases(policy: Policy) -> Vec<Case> {
     let deployments = [Deployment::Annabhandar, Deployment::Lakeshore];
     cases(&deployments, &TraceKind::ALL, &LOADS, &[policy])
 }
 
-/// The committed bounds.
+/// Parses the committed bounds.
 pub fn committed_bounds() -> Result<Vec<Bound>, serde_json::Error> {
-    serde_json::from_str(COMMITTED)
+    serde_json::from_str(BOUNDS_JSON)
 }
 
-/// Bounds that the figures of a suite would just keep.
+/// Tightest bounds that the figures of a suite keep, with the tolerance applied.
 pub fn bounds_from_suite(suite: &Suite) -> Vec<Bound> {
     let rows = suite.rows.iter();
     rows.map(|row| Bound {
@@ -56,7 +56,7 @@
     .collect()
 }
 
-/// What a suite's runs of one policy break, a line each; a bound without a run is broken too.
+/// Describes each bound that the runs of a policy break. A bound without a run is broken too.
 pub fn broken_bounds(suite: &Suite, bounds: &[Bound], policy: Policy) -> Vec<String> {
     let mut lines = Vec::new();
     for bound in bounds {
--- a/crates/perf/src/engine.rs
+++ b/crates/perf/src/engine.rs
@@ -1,29 +1,29 @@
-//! One engine in virtual time.
+//! An engine in virtual time.
 
 use conf::Role;
 use model::{Batch, Iteration, Job};
 use plan::{EngineProfile, LoadReport};
 
-/// An engine that iterates while it has work.
+/// A simulated engine, which iterates while it has work.
 pub(crate) struct SimEngine {
     batch: Batch,
-    under_way: Option<Iteration>,
-    slow: f64,
+    in_progress: Option<Iteration>,
+    slowdown: f64,
     pub(crate) alive: bool,
     pub(crate) drained: bool,
-    /// The role it is changing to.
-    pub(crate) changing: Option<Role>,
+    /// Target of the role change in progress.
+    pub(crate) changing_to: Option<Role>,
 }
 
 impl SimEngine {
-    pub(crate) fn new(shape: EngineProfile, role: Role) -> Self {
+    pub(crate) fn new(profile: EngineProfile, role: Role) -> Self {
         Self {
-            batch: Batch::new(shape, role),
-            under_way: None,
-            slow: 1.0,
+            batch: Batch::new(profile, role),
+            in_progress: None,
+            slowdown: 1.0,
             alive: true,
             drained: false,
-            changing: None,
+            changing_to: None,
         }
     }
 
@@ -31,13 +31,13 @@
         self.batch.role()
     }
 
-    /// Whether it takes new work; a drained engine that is asked all the same still does.
-    pub(crate) fn takes(&self) -> bool {
-        self.alive && self.changing.is_none()
+    /// Whether the engine accepts requests. A drained engine still does.
+    pub(crate) fn accepts_requests(&self) -> bool {
+        self.alive && self.changing_to.is_none()
     }
 
     pub(crate) fn is_idle(&self) -> bool {
-        self.under_way.is_none() && self.batch.is_idle()
+        self.in_progress.is_none() && self.batch.is_idle()
     }
 
     pub(crate) fn push(&mut self, job: Job) {
@@ -48,35 +48,36 @@
         self.batch.cancel(id);
     }
 
-    pub(crate) fn set_slow(&mut self, factor: f64) {
-        self.slow = factor;
+    pub(crate) fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor;
     }
 
-    /// Begins an iteration if none is under way and there is work; gives its length.
-    pub(crate) fn begin(&mut self) -> Option<f64> {
-        if !self.alive || self.under_way.is_some() || self.batch.is_idle() {
+    /// Starts an iteration and returns its duration in ms; `None` if one is in progress, there is no
+    /// work, or the engine has crashed.
+    pub(crate) fn start_iteration(&mut self) -> Option<f64> {
+        if !self.alive || self.in_progress.is_some() || self.batch.is_idle() {
             return None;
         }
         let iteration = self.batch.iterate();
-        let ms = iteration.duration_ms * self.slow;
-        self.under_way = Some(iteration);
-        Some(ms)
+        let duration_ms = iteration.duration_ms * self.slowdown;
+        self.in_progress = Some(iteration);
+        Some(duration_ms)
     }
 
-    /// Ends the iteration under way.
-    pub(crate) fn end(&mut self) -> Iteration {
-        self.under_way.take().unwrap_or_default()
+    /// Ends the iteration in progress and returns its results.
+    pub(crate) fn end_iteration(&mut self) -> Iteration {
+        self.in_progress.take().unwrap_or_default()
     }
 
     pub(crate) fn crash(&mut self) {
         self.alive = false;
         self.batch.clear();
-        self.under_way = None;
+        self.in_progress = None;
     }
 
-    pub(crate) fn become_role(&mut self, role: Role) {
+    pub(crate) fn finish_role_change(&mut self, role: Role) {
         self.batch.set_role(role);
-        self.changing = None;
+        self.changing_to = None;
     }
 
     pub(crate) fn report(&self, now_ms: f64) -> LoadReport {
--- a/crates/perf/src/node.rs
+++ b/crates/perf/src/instance.rs
@@ -1,4 +1,4 @@
-//! One entry instance in virtual time: what it believes, and how it chooses.
+//! An entry instance in virtual time: its view of the engines and its routing.
 
 use model::Deployment;
 use plan::{
@@ -11,21 +11,21 @@
 use crate::trace::{Arrival, rank};
 use crate::{Policy, RunSettings};
 
-/// Time of one way to another availability zone, from the brief.
-const OTHER_ZONE_MS: f64 = 1.2;
+/// One-way delay to another availability zone, in ms.
+const CROSS_ZONE_DELAY_MS: f64 = 1.2;
 
-pub(crate) struct Node {
+pub(crate) struct SimInstance {
     pub(crate) fleet: Fleet,
     pub(crate) forecast: Forecast,
     pub(crate) prefixes: PrefixIndex,
     pub(crate) rng: Pcg64,
     router: Router,
     policy: Policy,
-    turn: usize,
+    next_engine: usize,
 }
 
-impl Node {
-    pub(crate) fn new(place: usize, deployment: Deployment, setting: &RunSettings) -> Self {
+impl SimInstance {
+    pub(crate) fn new(index: usize, deployment: Deployment, settings: &RunSettings) -> Self {
         let mut fleet = Fleet::default();
         for number in 0..deployment.engines() {
             let zone = number % 3;
@@ -33,65 +33,65 @@
             let name = format!("engine-{number}");
             let mut engine =
                 Engine::new(&name, deployment.model(), group, EngineProfile::default());
-            engine.one_way_delay_ms = if place % 3 == zone {
+            engine.one_way_delay_ms = if index % 3 == zone {
                 0.0
             } else {
-                OTHER_ZONE_MS
+                CROSS_ZONE_DELAY_MS
             };
             fleet.add(engine);
         }
-        let own = setting.route;
-        let route = match setting.policy {
+        let route_settings = settings.route;
+        let route = match settings.policy {
             Policy::NoAdmission => RouteSettings {
                 refuse_late: false,
                 enforce_shares: false,
-                ..own
+                ..route_settings
             },
             Policy::WithoutHarm => RouteSettings {
                 interference_weight: 0.0,
-                ..own
+                ..route_settings
             },
             Policy::WithoutShares => RouteSettings {
                 enforce_shares: false,
-                ..own
+                ..route_settings
             },
             Policy::WithoutPrefixes => RouteSettings {
                 use_prefixes: false,
-                ..own
+                ..route_settings
             },
-            _ => own,
+            _ => route_settings,
         };
         Self {
             fleet,
             forecast: Forecast::default(),
             prefixes: PrefixIndex::default(),
-            rng: Pcg64::seed_from_u64(setting.seed ^ (place as u64 + 1).wrapping_mul(0x9e37_79b9)),
+            rng: Pcg64::seed_from_u64(settings.seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9)),
             router: Router::new(route),
-            policy: setting.policy,
-            turn: place,
+            policy: settings.policy,
+            next_engine: index,
         }
     }
 
-    /// Chooses an engine for a request with this much time left, or refuses.
+    /// Chooses an engine for a request, or refuses it.
     pub(crate) fn choose(
         &mut self,
         now_ms: f64,
         arrival: &Arrival,
-        left_ms: f64,
+        remaining_ms: f64,
         tried: &[usize],
     ) -> Result<Choice, Refusal> {
         if self.policy.is_routed() {
-            return self.route(now_ms, arrival, left_ms, tried);
+            return self.route(now_ms, arrival, remaining_ms, tried);
         }
         let live: Vec<usize> = (0..self.fleet.len())
-            .filter(|place| self.fleet.get(*place).presence == Presence::Live)
-            .filter(|place| !tried.contains(place))
+            .filter(|index| self.fleet.get(*index).presence == Presence::Live)
+            .filter(|index| !tried.contains(index))
             .collect();
-        let none = Refusal {
+        let refusal = Refusal {
             reason: RefusalReason::NoUpstream,
             retry_after_ms: 1_000,
         };
-        let engine = self.simple(arrival, &live).ok_or(none)?;
+        let engine = self.choose_baseline(arrival, &live).ok_or(refusal)?;
         Ok(Choice {
             engine,
             first_token_ms: 0.0,
@@ -105,7 +105,7 @@
         &mut self,
         now_ms: f64,
         arrival: &Arrival,
-        left_ms: f64,
+        remaining_ms: f64,
         tried: &[usize],
     ) -> Result<Choice, Refusal> {
         let member = format!("member-{}", arrival.member);
@@ -117,49 +117,54 @@
             rank: rank(arrival.kind),
             prompt_tokens: f64::from(arrival.prompt_tokens),
             output_tokens: f64::from(arrival.expected_tokens),
-            left_ms,
+            left_ms: remaining_ms,
         };
         let prefixes = &self.prefixes;
-        let cached = |place: usize| match arrival.prefix {
+        let cached = |index: usize| match arrival.prefix {
             0 => 0.0,
-            prefix => prefixes.cached_tokens(prefix, place),
+            prefix => prefixes.cached_tokens(prefix, index),
         };
         let now_ms = now_ms as u64;
         self.router
             .route(now_ms, &self.fleet, &request, cached, tried, &mut self.rng)
     }
 
-    fn simple(&mut self, arrival: &Arrival, live: &[usize]) -> Option<usize> {
+    fn choose_baseline(&mut self, arrival: &Arrival, live: &[usize]) -> Option<usize> {
         if live.is_empty() {
             return None;
         }
         match self.policy {
             Policy::RoundRobin => {
-                self.turn += 1;
-                Some(live[self.turn % live.len()])
+                self.next_engine += 1;
+                Some(live[self.next_engine % live.len()])
             }
             Policy::TwoChoices => {
-                let one = live[self.rng.random_range(0..live.len())];
-                let two = live[self.rng.random_range(0..live.len())];
-                Some(if self.reported(two) < self.reported(one) {
-                    two
-                } else {
-                    one
-                })
+                let first = live[self.rng.random_range(0..live.len())];
+                let second = live[self.rng.random_range(0..live.len())];
+                Some(
+                    if self.reported_load_ms(second) < self.reported_load_ms(first) {
+                        second
+                    } else {
+                        first
+                    },
+                )
             }
             Policy::PrefixAffinity if arrival.prefix != 0 => {
                 Some(live[arrival.prefix as usize % live.len()])
             }
             _ => {
                 let least = live.iter().copied();
-                least.min_by(|&a, &b| self.reported(a).total_cmp(&self.reported(b)))
+                least.min_by(|&a, &b| {
+                    self.reported_load_ms(a)
+                        .total_cmp(&self.reported_load_ms(b))
+                })
             }
         }
     }
 
-    /// Engine time that a report says is waiting.
-    fn reported(&self, place: usize) -> f64 {
-        let engine = self.fleet.get(place);
+    /// Reported load of an engine, as engine time in ms.
+    fn reported_load_ms(&self, index: usize) -> f64 {
+        let engine = self.fleet.get(index);
         let report = engine.report();
         let queued: f64 = report.queued.iter().sum();
         queued * engine.profile.token_ms + report.running * engine.profile.base_ms
--- a/crates/perf/src/lib.rs
+++ b/crates/perf/src/lib.rs
@@ -1,15 +1,15 @@
-//! Deterministic decision benches, slopes and reports.
+//! Deterministic policy benches, cost measurements and reports.
 //!
-//! The policy bench runs the decisions of `plan` in virtual time against the engine model of
-//! `model`, with fixed seeds: the same figures on every machine. See docs/BENCH.md.
+//! The policy bench runs the decision code of `plan` in virtual time against the engines of
+//! `model`. With the same seed it gives the same figures on every machine. See docs/BENCH.md.
 
 mod bound;
 mod bounds;
-mod calendar;
 mod engine;
+mod event_queue;
 mod figures;
 mod greedy;
-mod node;
+mod instance;
 mod policy;
 mod report;
 mod run;
@@ -28,4 +28,4 @@
 pub use slopes::{Fit, slopes, slopes_markdown};
 pub use staleness::staleness_markdown;
 pub use suite::{Case, Suite, SuiteRow, cases, goodput_markdown, load_factors};
-pub use trace::{Arrival, Event, Trace, TraceKind};
+pub use trace::{Arrival, EngineEvent, Trace, TraceKind};
--- a/crates/perf/src/policy.rs
+++ b/crates/perf/src/policy.rs
@@ -1,49 +1,49 @@
-//! The policy under test and what a user would pick instead.
+//! Routing and role policies that the bench compares.
 
 use derive_more::{Display, FromStr};
 use serde::Serialize;
 
-/// Policies.
+/// A policy. `chicoryrack` is the one under test, the others are baselines and ablations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, FromStr, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The product's own.
+    /// Chicoryrack's policy, which is under test.
     #[display("chicoryrack")]
     Own,
-    /// Each engine in turn.
+    /// Baseline: engines in turn.
     #[display("round-robin")]
     RoundRobin,
-    /// The engine with the least reported load.
+    /// Baseline: the engine with the lowest reported load.
     #[display("least-reported")]
     LeastReported,
-    /// The less loaded of two random engines, by reports.
+    /// Baseline: of two random engines, the one with the lower reported load.
     #[display("two-choices")]
     TwoChoices,
-    /// The engine that a prompt's prefix hashes to; the least reported without one.
+    /// Baseline: the engine that the prompt's prefix maps to, or the least reported without one.
     #[display("prefix-affinity")]
     PrefixAffinity,
-    /// The product's own without admission.
+    /// Baseline: Chicoryrack's policy without admission control.
     #[display("no-admission")]
     NoAdmission,
-    /// The product's own with fixed roles, the best of several in hindsight.
+    /// Baseline: Chicoryrack's policy with fixed roles, the best of several splits in hindsight.
     #[display("static-roles")]
     StaticRoles,
-    /// The product's own with roles that follow the mix at once.
+    /// Baseline: Chicoryrack's policy with roles that adapt to the mix immediately.
     #[display("greedy-roles")]
     GreedyRoles,
-    /// The product's own with retries counted in attempts.
+    /// Baseline: Chicoryrack's policy with a fixed number of attempts instead of a retry budget.
     #[display("counted-retries")]
     CountedRetries,
-    /// Ablation: no word from other instances.
+    /// Ablation: no gossip between instances.
     #[display("without-peers")]
     WithoutPeers,
-    /// Ablation: no price on the delay caused to others.
+    /// Ablation: no cost for the delay that a request causes to others.
     #[display("without-harm")]
     WithoutHarm,
-    /// Ablation: no fair shares.
+    /// Ablation: no fair shares between members.
     #[display("without-shares")]
     WithoutShares,
-    /// Ablation: no prefixes.
+    /// Ablation: routing ignores cached prefixes.
     #[display("without-prefixes")]
     WithoutPrefixes,
     /// Ablation: no role changes.
@@ -55,7 +55,7 @@
 }
 
 impl Policy {
-    /// What a user would pick instead.
+    /// Policies that a user could choose instead.
     pub const BASELINES: [Self; 8] = [
         Self::RoundRobin,
         Self::LeastReported,
@@ -67,7 +67,7 @@
         Self::CountedRetries,
     ];
 
-    /// The product's own with one mechanism taken out.
+    /// Chicoryrack's policy, each time without one mechanism.
     pub const ABLATIONS: [Self; 6] = [
         Self::WithoutPeers,
         Self::WithoutHarm,
@@ -77,7 +77,7 @@
         Self::WithoutEjection,
     ];
 
-    /// Whether requests are routed by the product's router.
+    /// Whether `plan::Router` chooses the engine.
     pub(crate) fn is_routed(self) -> bool {
         !matches!(
             self,
@@ -85,7 +85,7 @@
         )
     }
 
-    /// Whether roles may change.
+    /// Whether engines may change their roles.
     pub(crate) fn plans_roles(self) -> bool {
         self.is_routed() && !matches!(self, Self::StaticRoles | Self::WithoutRoles)
     }
--- a/crates/perf/src/report.rs
+++ b/crates/perf/src/report.rs
@@ -1,4 +1,4 @@
-//! A page with goodput and role changes over time for each trace and policy.
+//! HTML report with charts of goodput and role changes over time.
 
 use std::fmt::Write;
 
@@ -10,13 +10,13 @@
 use crate::trace::LENGTH_MS;
 use crate::{Figures, Policy, RunSettings, Trace, TraceKind, committed_bounds, run};
 
-/// Load of the page's runs.
+/// Load of the reported runs, as a share of the engines' capacity.
 const LOAD: f64 = 1.5;
 
-/// Size of one chart, in pixels.
-const CHART: (u32, u32) = (620, 260);
+/// Width and height of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (620, 260);
 
-/// Policies on the page, with their colours.
+/// Reported policies and the colours of their lines.
 const POLICIES: [(Policy, RGBColor); 4] = [
     (Policy::Own, BLUE),
     (Policy::GreedyRoles, RED),
@@ -24,17 +24,17 @@
     (Policy::LeastReported, MAGENTA),
 ];
 
-/// A chart could not be drawn.
+/// Error from drawing a chart.
 #[derive(Debug, Display, Error)]
 #[display("chart {chart}: {detail}")]
 pub struct ReportError {
     /// Title of the chart.
     pub chart: String,
-    /// What the drawing said.
+    /// Message of the drawing library.
     pub detail: String,
 }
 
-/// Makes the runs and gives the page as HTML.
+/// Runs all reported cases and returns the report as HTML.
 pub fn report(deployments: &[Deployment], seed: u64) -> Result<String, ReportError> {
     let mut page = "<!doctype html><meta charset=\"utf-8\"><title>Policy bench</title>\n\
         <style>body{font-family:sans-serif}svg{margin:4px}</style>\n"
@@ -62,17 +62,17 @@
             let title = format!("{deployment}, {kind}");
             let bound = bound(&deployment.to_string(), &kind.to_string());
             page += &chart(&format!("{title}: goodput"), &runs, goodput, 1.0, bound)?;
-            let most = runs
+            let max_changes = runs
                 .iter()
                 .map(|each| each.0.role_changes)
                 .max()
                 .unwrap_or(0);
-            let top = most.max(1) as f64;
+            let max_y = max_changes.max(1) as f64;
             page += &chart(
                 &format!("{title}: role changes"),
                 &runs,
                 role_changes,
-                top,
+                max_y,
                 None,
             )?;
         }
@@ -90,40 +90,40 @@
 
 type Points = Vec<(f64, f64)>;
 
-/// Share of each slot's requests that were whole and in time.
+/// Goodput of each slot that has requests.
 fn goodput(figures: &Figures) -> Points {
     let slots = figures.series.iter().enumerate();
     slots
-        .filter(|(_, slot)| slot.asked > 0)
-        .map(|(place, slot)| (seconds(place), slot.good as f64 / slot.asked as f64))
+        .filter(|(_, slot)| slot.requests > 0)
+        .map(|(index, slot)| (seconds(index), slot.good as f64 / slot.requests as f64))
         .collect()
 }
 
-/// Role changes up to each slot.
+/// Cumulative number of role changes at each slot.
 fn role_changes(figures: &Figures) -> Points {
     let mut sum = 0;
     let slots = figures.series.iter().enumerate();
     slots
-        .map(|(place, slot)| {
+        .map(|(index, slot)| {
             sum += slot.role_changes;
-            (seconds(place), sum as f64)
+            (seconds(index), sum as f64)
         })
         .collect()
 }
 
-fn seconds(place: usize) -> f64 {
-    place as f64 * SLOT_MS / 1_000.0
+fn seconds(index: usize) -> f64 {
+    index as f64 * SLOT_MS / 1_000.0
 }
 
 fn chart(
     title: &str,
     runs: &[(Figures, RGBColor)],
     points: fn(&Figures) -> Points,
-    top: f64,
+    max_y: f64,
     bound: Option<f64>,
 ) -> Result<String, ReportError> {
     let mut svg = String::new();
-    let drawn = draw(&mut svg, title, runs, points, top, bound);
+    let drawn = draw(&mut svg, title, runs, points, max_y, bound);
     drawn.map_err(|error| ReportError {
         chart: title.to_owned(),
         detail: error.to_string(),
@@ -136,10 +136,10 @@
     title: &str,
     runs: &[(Figures, RGBColor)],
     points: fn(&Figures) -> Points,
-    top: f64,
+    max_y: f64,
     bound: Option<f64>,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::with_string(svg, CHART).into_drawing_area();
+    let root = SVGBackend::with_string(svg, CHART_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let end = LENGTH_MS / 1_000.0;
     let mut chart = ChartBuilder::on(&root)
@@ -147,7 +147,7 @@
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(40)
-        .build_cartesian_2d(0.0..end, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..end, 0.0..max_y * 1.05)?;
     chart.configure_mesh().x_labels(7).y_labels(6).draw()?;
     if let Some(bound) = bound {
         let line = [(0.0, bound), (end, bound)];
--- a/crates/perf/src/run.rs
+++ b/crates/perf/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a policy on a trace in virtual time.
+//! Run of a policy on a trace, in virtual time.
 
 mod control;
 mod requests;
@@ -12,58 +12,60 @@
 use rand::seq::IteratorRandom;
 
 use crate::Policy;
-use crate::calendar::Calendar;
 use crate::engine::SimEngine;
-use crate::figures::{Counter, Figures};
-use crate::node::Node;
-use crate::trace::{Event, LENGTH_MS, Trace};
+use crate::event_queue::EventQueue;
+use crate::figures::{Figures, Recorder};
+use crate::instance::SimInstance;
+use crate::trace::{EngineEvent, LENGTH_MS, Trace};
 
-/// Time between two reports of an engine.
-const REPORT_MS: f64 = 250.0;
+/// Interval between reports of an engine, in ms.
+const REPORT_INTERVAL_MS: f64 = 250.0;
 
-/// Time between two plans of roles.
-const PLAN_MS: f64 = 500.0;
+/// Interval between role plans, in ms.
+const PLAN_INTERVAL_MS: f64 = 500.0;
 
-/// Instances that one heartbeat goes to.
+/// Number of peers that receive each heartbeat.
 const FAN_OUT: usize = 3;
 
-/// Share of cache events that never come.
-const EVENT_GAPS: f64 = 0.1;
+/// Share of cache events that are lost.
+const CACHE_EVENT_LOSS: f64 = 0.1;
 
-/// Time after which a crash or a drain is known to all.
-const NOTICE_MS: f64 = 750.0;
+/// Time until all instances know of a crash or a drain, in ms.
+const PRESENCE_DELAY_MS: f64 = 750.0;
 
-/// How long past its deadline a caller waits before it leaves, as a share of the deadline.
-const PATIENCE: f64 = 1.5;
+/// Time after which a caller abandons its request, as a multiple of the deadline.
+const CALLER_PATIENCE: f64 = 1.5;
 
-/// Attempts of the policy that counts them.
-const COUNTED_ATTEMPTS: usize = 3;
+/// Maximum number of attempts per request for policies without a retry budget.
+const MAX_COUNTED_ATTEMPTS: usize = 3;
 
-/// Bytes of a heartbeat and of each load in it, as `bench slopes` measures them.
-const BEAT_BYTES: f64 = 208.0;
+/// Size of a heartbeat without loads, as `bench slopes` measures it.
+const HEARTBEAT_BYTES: f64 = 208.0;
+
+/// Size of each engine load in a heartbeat, as `bench slopes` measures it.
 const LOAD_BYTES: f64 = 104.0;
 
-/// What a run is of.
+/// Settings of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunSettings {
-    /// Policy.
+    /// Policy to run.
     pub policy: Policy,
-    /// Entry instances.
+    /// Number of entry instances.
     pub instances: usize,
-    /// Time between two tellings of load, which is how stale instances know each other.
+    /// Interval between heartbeats, in ms. It determines how stale the loads of peers are.
     pub heartbeat_ms: f64,
-    /// Seed of the policy's own choices.
+    /// Seed of the policy's random choices.
     pub seed: u64,
-    /// Routing.
+    /// Settings of the router.
     pub route: RouteSettings,
-    /// Roles.
+    /// Settings of the role planner.
     pub roles: RoleSettings,
-    /// Engines that begin as prefill and as decode engines; the rest are mixed.
+    /// Initial numbers of prefill and of decode engines; the others are mixed.
     pub initial_roles: (usize, usize),
 }
 
 impl RunSettings {
-    /// The product's own settings for a deployment, under some policy.
+    /// Chicoryrack's default settings for a deployment, with the given policy.
     pub fn new(policy: Policy, deployment: model::Deployment, seed: u64) -> Self {
         Self {
             policy,
@@ -80,26 +82,26 @@
     }
 }
 
-/// Tokens from which an answer's pace is judged.
-const LEAST_TOKENS: u32 = 8;
+/// Minimum output tokens for an answer's pace to count in the health of its engine.
+const MIN_PACE_TOKENS: u32 = 8;
 
-fn known_slowness(node: &Node, engine: usize) -> f64 {
-    node.fleet.get(engine).health.slowness()
+fn engine_slowness(instance: &SimInstance, engine: usize) -> f64 {
+    instance.fleet.get(engine).health.slowness()
 }
 
-enum Step {
+enum SimEvent {
     Arrive(usize),
     Deliver {
         request: usize,
         attempt: usize,
         engine: usize,
     },
-    Iterated {
+    IterationEnd {
         engine: usize,
-        life: u64,
+        crash_count: u64,
     },
-    ReportFrom(usize),
-    ReportTo {
+    SendReport(usize),
+    ReceiveReport {
         engine: usize,
         report: LoadReport,
     },
@@ -108,44 +110,44 @@
         prefix: u64,
         tokens: f64,
     },
-    Beat(usize),
+    Heartbeat(usize),
     GiveUp {
         request: usize,
         attempt: usize,
     },
-    Silence {
+    AttemptTimeout {
         request: usize,
         attempt: usize,
     },
-    Leave(usize),
-    Happens(Event),
-    Notice {
+    CallerTimeout(usize),
+    EngineEvent(EngineEvent),
+    PresenceChange {
         engine: usize,
         presence: Presence,
         role: Role,
     },
-    Plan,
-    Changed {
+    PlanRoles,
+    RoleChanged {
         engine: usize,
         role: Role,
     },
 }
 
 #[derive(Default)]
-struct Progress {
-    node: usize,
+struct RequestState {
+    instance: usize,
     engine: Option<usize>,
     attempt: usize,
-    booked: Option<Booked>,
+    reservation: Option<Reservation>,
     tried: Vec<usize>,
     token_ms: f64,
     sent_ms: f64,
-    first_ms: Option<f64>,
-    over: bool,
+    first_token_ms: Option<f64>,
+    ended: bool,
 }
 
 #[derive(Clone, Copy)]
-struct Booked {
+struct Reservation {
     prompt: f64,
     output: f64,
     started: bool,
@@ -153,36 +155,36 @@
 
 struct Sim<'a> {
     trace: &'a Trace,
-    setting: RunSettings,
+    settings: RunSettings,
     now_ms: f64,
-    calendar: Calendar<Step>,
+    event_queue: EventQueue<SimEvent>,
     engines: Vec<SimEngine>,
-    lives: Vec<u64>,
-    nodes: Vec<Node>,
+    crash_counts: Vec<u64>,
+    instances: Vec<SimInstance>,
     planners: Vec<RolePlanner>,
-    requests: Vec<Progress>,
+    requests: Vec<RequestState>,
     jobs: HashMap<u64, usize>,
     retries: Vec<RetryBudget>,
-    change_began_ms: HashMap<usize, f64>,
-    counter: Counter,
-    bytes: f64,
+    role_change_started_ms: HashMap<usize, f64>,
+    recorder: Recorder,
+    gossip_bytes: f64,
 }
 
-/// Runs a trace under a setting.
-pub fn run(trace: &Trace, setting: &RunSettings) -> Figures {
-    let mut sim = Sim::new(trace, *setting);
-    sim.prepare();
-    while let Some((at_ms, step)) = sim.calendar.next() {
+/// Runs a trace with the given settings.
+pub fn run(trace: &Trace, settings: &RunSettings) -> Figures {
+    let mut sim = Sim::new(trace, *settings);
+    sim.schedule_initial_events();
+    while let Some((at_ms, event)) = sim.event_queue.next() {
         sim.now_ms = at_ms;
-        sim.take(step);
+        sim.handle(event);
     }
-    let instances = setting.instances as f64;
-    sim.counter.figures.told_bytes = sim.bytes / instances / (LENGTH_MS / 1_000.0);
-    sim.counter.finish()
+    let instances = settings.instances as f64;
+    sim.recorder.figures.gossip_bytes = sim.gossip_bytes / instances / (LENGTH_MS / 1_000.0);
+    sim.recorder.finish()
 }
 
-fn begin_role(setting: &RunSettings, number: usize) -> Role {
-    let (prefill, decode) = setting.initial_roles;
+fn initial_role(settings: &RunSettings, number: usize) -> Role {
+    let (prefill, decode) = settings.initial_roles;
     if number < prefill {
         Role::Prefill
     } else if number < prefill + decode {
@@ -193,176 +195,189 @@
 }
 
 impl<'a> Sim<'a> {
-    fn new(trace: &'a Trace, setting: RunSettings) -> Self {
+    fn new(trace: &'a Trace, settings: RunSettings) -> Self {
         let deployment = trace.deployment;
-        let role = |number| begin_role(&setting, number);
+        let role = |number| initial_role(&settings, number);
         let engines: Vec<SimEngine> = (0..deployment.engines())
             .map(|number| SimEngine::new(EngineProfile::default(), role(number)))
             .collect();
-        let mut nodes: Vec<Node> = (0..setting.instances)
-            .map(|place| Node::new(place, deployment, &setting))
+        let mut instances: Vec<SimInstance> = (0..settings.instances)
+            .map(|index| SimInstance::new(index, deployment, &settings))
             .collect();
-        for node in &mut nodes {
+        for instance in &mut instances {
             for number in 0..engines.len() {
-                node.fleet.get_mut(number).role = role(number);
+                instance.fleet.get_mut(number).role = role(number);
             }
         }
         Self {
             trace,
-            setting,
+            settings,
             now_ms: 0.0,
-            calendar: Calendar::new(),
-            lives: vec![0; engines.len()],
+            event_queue: EventQueue::new(),
+            crash_counts: vec![0; engines.len()],
             engines,
-            retries: vec![RetryBudget::default(); setting.instances],
-            nodes,
-            planners: vec![RolePlanner::new(setting.roles); deployment.zones().len()],
+            retries: vec![RetryBudget::default(); settings.instances],
+            instances,
+            planners: vec![RolePlanner::new(settings.roles); deployment.zones().len()],
             requests: Vec::new(),
             jobs: HashMap::new(),
-            change_began_ms: HashMap::new(),
-            counter: Counter::new(deployment.members().len()),
-            bytes: 0.0,
+            role_change_started_ms: HashMap::new(),
+            recorder: Recorder::new(deployment.members().len()),
+            gossip_bytes: 0.0,
         }
     }
 
-    fn prepare(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for (number, arrival) in self.trace.arrivals.iter().enumerate() {
-            self.calendar.add(arrival.at_ms, Step::Arrive(number));
-            let node = number % self.nodes.len();
-            self.requests.push(Progress {
-                node,
-                ..Progress::default()
+            self.event_queue
+                .add(arrival.at_ms, SimEvent::Arrive(number));
+            let instance = number % self.instances.len();
+            self.requests.push(RequestState {
+                instance,
+                ..RequestState::default()
             });
         }
         for (at_ms, event) in &self.trace.events {
-            self.calendar.add(*at_ms, Step::Happens(*event));
+            self.event_queue.add(*at_ms, SimEvent::EngineEvent(*event));
         }
         for engine in 0..self.engines.len() {
-            let offset = REPORT_MS * engine as f64 / self.engines.len() as f64;
-            self.calendar.add(offset, Step::ReportFrom(engine));
+            let offset = REPORT_INTERVAL_MS * engine as f64 / self.engines.len() as f64;
+            self.event_queue.add(offset, SimEvent::SendReport(engine));
         }
-        for node in 0..self.nodes.len() {
-            let offset = self.setting.heartbeat_ms * node as f64 / self.nodes.len() as f64;
-            self.calendar.add(offset, Step::Beat(node));
+        for instance in 0..self.instances.len() {
+            let offset = self.settings.heartbeat_ms * instance as f64 / self.instances.len() as f64;
+            self.event_queue.add(offset, SimEvent::Heartbeat(instance));
         }
-        if self.setting.policy.plans_roles() && self.trace.log_up {
-            self.calendar.add(PLAN_MS, Step::Plan);
+        if self.settings.policy.plans_roles() && self.trace.log_up {
+            self.event_queue.add(PLAN_INTERVAL_MS, SimEvent::PlanRoles);
         }
     }
 
-    #[expect(clippy::needless_pass_by_value, reason = "a step is taken once")]
-    fn take(&mut self, step: Step) {
-        match step {
-            Step::Arrive(request) => self.arrive(request),
-            Step::Deliver {
+    #[expect(clippy::needless_pass_by_value, reason = "each event is handled once")]
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrive(request) => self.arrive(request),
+            SimEvent::Deliver {
                 request,
                 attempt,
                 engine,
             } => self.deliver(request, attempt, engine),
-            Step::Iterated { engine, life } => self.iterated(engine, life),
-            Step::ReportFrom(engine) => self.report_from(engine),
-            Step::ReportTo { engine, report } => {
-                for node in &mut self.nodes {
-                    node.fleet.get_mut(engine).record_report(report);
+            SimEvent::IterationEnd {
+                engine,
+                crash_count,
+            } => self.finish_iteration(engine, crash_count),
+            SimEvent::SendReport(engine) => self.send_report(engine),
+            SimEvent::ReceiveReport { engine, report } => {
+                for instance in &mut self.instances {
+                    instance.fleet.get_mut(engine).record_report(report);
                 }
             }
-            Step::CacheEvent {
+            SimEvent::CacheEvent {
                 engine,
                 prefix,
                 tokens,
             } => {
-                for node in &mut self.nodes {
-                    node.prefixes.record_holder(prefix, engine, tokens);
+                for instance in &mut self.instances {
+                    instance.prefixes.record_holder(prefix, engine, tokens);
                 }
             }
-            Step::Beat(node) => self.beat(node),
-            Step::Silence { request, attempt } => self.silence(request, attempt),
-            Step::GiveUp { request, attempt } => self.give_up(request, attempt),
-            Step::Leave(request) => self.leave(request),
-            Step::Happens(event) => self.happens(event),
-            Step::Notice {
+            SimEvent::Heartbeat(instance) => self.send_heartbeat(instance),
+            SimEvent::AttemptTimeout { request, attempt } => {
+                self.handle_attempt_timeout(request, attempt);
+            }
+            SimEvent::GiveUp { request, attempt } => self.give_up(request, attempt),
+            SimEvent::CallerTimeout(request) => self.abandon(request),
+            SimEvent::EngineEvent(event) => self.apply_engine_event(event),
+            SimEvent::PresenceChange {
                 engine,
                 presence,
                 role,
             } => {
-                for node in &mut self.nodes {
-                    let known = node.fleet.get_mut(engine);
-                    known.presence = presence;
-                    known.role = role;
+                for instance in &mut self.instances {
+                    let engine_view = instance.fleet.get_mut(engine);
+                    engine_view.presence = presence;
+                    engine_view.role = role;
                 }
             }
-            Step::Plan => self.plan(),
-            Step::Changed { engine, role } => self.changed(engine, role),
+            SimEvent::PlanRoles => self.plan_roles(),
+            SimEvent::RoleChanged { engine, role } => self.finish_role_change(engine, role),
         }
     }
 
-    fn report_from(&mut self, engine: usize) {
+    fn send_report(&mut self, engine: usize) {
         if self.now_ms > 2.0 * LENGTH_MS || !self.engines[engine].alive {
             return;
         }
         let report = self.engines[engine].report(self.now_ms);
-        self.calendar.add(
+        self.event_queue.add(
             self.now_ms + self.trace.lag_ms,
-            Step::ReportTo { engine, report },
+            SimEvent::ReceiveReport { engine, report },
+        );
+        self.event_queue.add(
+            self.now_ms + REPORT_INTERVAL_MS,
+            SimEvent::SendReport(engine),
         );
-        self.calendar
-            .add(self.now_ms + REPORT_MS, Step::ReportFrom(engine));
     }
 
-    fn beat(&mut self, node: usize) {
+    fn send_heartbeat(&mut self, instance: usize) {
         if self.now_ms > 2.0 * LENGTH_MS {
             return;
         }
-        let heartbeat_ms = self.setting.heartbeat_ms;
-        self.calendar
-            .add(self.now_ms + heartbeat_ms.max(10.0), Step::Beat(node));
-        self.expect(node);
-        if self.setting.policy == Policy::WithoutPeers {
+        let heartbeat_ms = self.settings.heartbeat_ms;
+        self.event_queue.add(
+            self.now_ms + heartbeat_ms.max(10.0),
+            SimEvent::Heartbeat(instance),
+        );
+        self.update_forecast(instance);
+        if self.settings.policy == Policy::WithoutPeers {
             return;
         }
-        let others = (0..self.nodes.len()).filter(|other| *other != node);
-        let targets = others.choose_multiple(&mut self.nodes[node].rng, FAN_OUT);
-        for other in targets {
-            self.tell(node, other);
-            self.tell(other, node);
+        let peers = (0..self.instances.len()).filter(|peer| *peer != instance);
+        let targets = peers.choose_multiple(&mut self.instances[instance].rng, FAN_OUT);
+        for peer in targets {
+            self.send_loads(instance, peer);
+            self.send_loads(peer, instance);
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
-        let loads: Vec<_> = self.nodes[from]
+    fn send_loads(&mut self, from: usize, to: usize) {
+        let loads: Vec<_> = self.instances[from]
             .fleet
             .iter()
             .map(|engine| *engine.own_load())
             .collect();
         let busy = loads.iter().filter(|load| load.requests() > 0.0).count();
-        self.bytes += BEAT_BYTES + LOAD_BYTES * busy as f64;
+        self.gossip_bytes += HEARTBEAT_BYTES + LOAD_BYTES * busy as f64;
         let name = format!("node-{from}");
         for (engine, load) in loads.into_iter().enumerate() {
-            self.nodes[to]
-                .fleet
-                .get_mut(engine)
-                .record_peer_load(self.now_ms as u64, &name, load);
+            self.instances[to].fleet.get_mut(engine).record_peer_load(
+                self.now_ms as u64,
+                &name,
+                load,
+            );
         }
     }
 
-    fn total_forecast(&self, node: usize) -> plan::Forecast {
-        let others = self
-            .nodes
+    fn total_forecast(&self, instance: usize) -> plan::Forecast {
+        let peers = self
+            .instances
             .iter()
             .enumerate()
-            .filter(|(other, _)| *other != node);
-        let (prompt, output) = others.fold((0.0, 0.0), |sum, (_, other)| {
+            .filter(|(peer, _)| *peer != instance);
+        let (prompt, output) = peers.fold((0.0, 0.0), |sum, (_, peer)| {
             (
-                sum.0 + other.forecast.prompt_rate(),
-                sum.1 + other.forecast.output_rate(),
+                sum.0 + peer.forecast.prompt_rate(),
+                sum.1 + peer.forecast.output_rate(),
             )
         });
-        self.nodes[node].forecast.with_peer_rates(prompt, output)
+        self.instances[instance]
+            .forecast
+            .with_peer_rates(prompt, output)
     }
 
-    fn expect(&mut self, node: usize) {
-        let forecast = self.total_forecast(node);
-        self.nodes[node]
+    fn update_forecast(&mut self, instance: usize) {
+        let forecast = self.total_forecast(instance);
+        self.instances[instance]
             .fleet
             .apply_forecast(self.trace.deployment.model(), &forecast);
     }
--- a/crates/perf/src/run/control.rs
+++ b/crates/perf/src/run/control.rs
@@ -1,41 +1,41 @@
-//! What happens to engines, and their roles.
+//! Engine events and role changes.
 
 use conf::Role;
 use plan::{EngineProfile, Presence};
 
-use super::{NOTICE_MS, PLAN_MS, Sim, Step};
-use crate::trace::{Event, LENGTH_MS};
+use super::{PLAN_INTERVAL_MS, PRESENCE_DELAY_MS, Sim, SimEvent};
+use crate::trace::{EngineEvent, LENGTH_MS};
 use crate::{Policy, greedy};
 
 impl Sim<'_> {
-    pub(super) fn happens(&mut self, event: Event) {
+    pub(super) fn apply_engine_event(&mut self, event: EngineEvent) {
         match event {
-            Event::Crash(engine) => self.crash(engine),
-            Event::Drain(engine) => {
+            EngineEvent::Crash(engine) => self.crash(engine),
+            EngineEvent::Drain(engine) => {
                 self.engines[engine].drained = true;
-                self.notice(engine, Presence::Leaving);
+                self.announce_presence(engine, Presence::Leaving);
             }
-            Event::Slow(engine, factor) => self.engines[engine].set_slow(factor),
+            EngineEvent::Slow(engine, factor) => self.engines[engine].set_slowdown(factor),
         }
     }
 
     pub(super) fn crash(&mut self, engine: usize) {
         self.engines[engine].crash();
-        self.lives[engine] += 1;
-        self.notice(engine, Presence::Gone);
+        self.crash_counts[engine] += 1;
+        self.announce_presence(engine, Presence::Gone);
         for request in 0..self.requests.len() {
-            let progress = &self.requests[request];
-            if progress.engine == Some(engine) && !progress.over {
-                self.fail(request, true);
+            let state = &self.requests[request];
+            if state.engine == Some(engine) && !state.ended {
+                self.handle_failure(request, true);
             }
         }
     }
 
-    pub(super) fn notice(&mut self, engine: usize, presence: Presence) {
+    pub(super) fn announce_presence(&mut self, engine: usize, presence: Presence) {
         let role = self.engines[engine].role();
-        self.calendar.add(
-            self.now_ms + NOTICE_MS,
-            Step::Notice {
+        self.event_queue.add(
+            self.now_ms + PRESENCE_DELAY_MS,
+            SimEvent::PresenceChange {
                 engine,
                 presence,
                 role,
@@ -43,76 +43,82 @@
         );
     }
 
-    /// Plans the roles of each availability zone's group, as its lease holder would.
-    pub(super) fn plan(&mut self) {
+    /// Plans the roles of the engines in each availability zone, as the zone's lease holder would.
+    pub(super) fn plan_roles(&mut self) {
         if self.now_ms > LENGTH_MS {
             return;
         }
-        self.calendar.add(self.now_ms + PLAN_MS, Step::Plan);
+        self.event_queue
+            .add(self.now_ms + PLAN_INTERVAL_MS, SimEvent::PlanRoles);
         for group in 0..self.planners.len() {
-            let holder = group % self.nodes.len();
+            let holder = group % self.instances.len();
             let engines: Vec<usize> = (0..self.engines.len())
                 .filter(|engine| engine % 3 == group)
                 .collect();
             let share = engines.len() as f64 / self.engines.len() as f64;
             let forecast = self.total_forecast(holder).scaled(share);
-            let fleet = &self.nodes[holder].fleet;
+            let fleet = &self.instances[holder].fleet;
             let now_ms = self.now_ms as u64;
-            let changes = if self.setting.policy == Policy::GreedyRoles {
+            let changes = if self.settings.policy == Policy::GreedyRoles {
                 greedy::plan(fleet, &engines, &forecast)
             } else {
                 self.planners[group].plan(now_ms, fleet, &engines, &forecast, |_, _| true)
             };
             for change in changes {
-                self.order(change.engine, change.role);
+                self.order_role_change(change.engine, change.role);
             }
         }
     }
 
-    pub(super) fn order(&mut self, engine: usize, role: Role) {
-        if !self.engines[engine].takes() {
+    pub(super) fn order_role_change(&mut self, engine: usize, role: Role) {
+        if !self.engines[engine].accepts_requests() {
             return;
         }
-        self.engines[engine].changing = Some(role);
-        self.change_began_ms.insert(engine, self.now_ms);
-        self.counter.role_changed(self.now_ms);
-        let current = self.engines[engine].role();
-        for node in &mut self.nodes {
-            let known = node.fleet.get_mut(engine);
-            known.presence = Presence::Changing;
-            known.role = current;
+        self.engines[engine].changing_to = Some(role);
+        self.role_change_started_ms.insert(engine, self.now_ms);
+        self.recorder.record_role_change(self.now_ms);
+        let current_role = self.engines[engine].role();
+        for instance in &mut self.instances {
+            let engine_view = instance.fleet.get_mut(engine);
+            engine_view.presence = Presence::Changing;
+            engine_view.role = current_role;
         }
-        self.maybe_change(engine);
+        self.start_pending_role_change(engine);
     }
 
-    /// An engine ends what it holds before it changes.
-    pub(super) fn maybe_change(&mut self, engine: usize) {
-        let Some(role) = self.engines[engine].changing else {
+    /// Starts a role change that was ordered, once the engine has finished its requests.
+    pub(super) fn start_pending_role_change(&mut self, engine: usize) {
+        let Some(role) = self.engines[engine].changing_to else {
             return;
         };
-        if self.engines[engine].is_idle() && self.change_began_ms.contains_key(&engine) {
-            let began_ms = self.change_began_ms.remove(&engine).unwrap_or(self.now_ms);
+        if self.engines[engine].is_idle() && self.role_change_started_ms.contains_key(&engine) {
+            let started_ms = self
+                .role_change_started_ms
+                .remove(&engine)
+                .unwrap_or(self.now_ms);
             let change_ms = EngineProfile::default().change_ms as f64;
-            self.counter.figures.lost_s += (self.now_ms - began_ms + change_ms) / 1_000.0;
-            self.calendar
-                .add(self.now_ms + change_ms, Step::Changed { engine, role });
+            self.recorder.figures.role_change_s += (self.now_ms - started_ms + change_ms) / 1_000.0;
+            self.event_queue.add(
+                self.now_ms + change_ms,
+                SimEvent::RoleChanged { engine, role },
+            );
         }
     }
 
-    pub(super) fn changed(&mut self, engine: usize, role: Role) {
+    pub(super) fn finish_role_change(&mut self, engine: usize, role: Role) {
         if !self.engines[engine].alive {
             return;
         }
-        self.engines[engine].become_role(role);
+        self.engines[engine].finish_role_change(role);
         let presence = if self.engines[engine].drained {
             Presence::Leaving
         } else {
             Presence::Live
         };
-        for node in &mut self.nodes {
-            let known = node.fleet.get_mut(engine);
-            known.presence = presence;
-            known.role = role;
+        for instance in &mut self.instances {
+            let engine_view = instance.fleet.get_mut(engine);
+            engine_view.presence = presence;
+            engine_view.role = role;
         }
     }
 }
--- a/crates/perf/src/slopes.rs
+++ b/crates/perf/src/slopes.rs
@@ -1,7 +1,7 @@
-//! What state, time and bytes cost as sizes grow, measured at several sizes.
+//! Measures how time and size grow with the number of engines, instances, leases and so on.
 //!
-//! docs/CAPACITY.md is worked out from these. They are wall-clock figures of one machine, so no
-//! test rests on them.
+//! docs/CAPACITY.md is derived from these measurements. They depend on the machine, so no test
+//! relies on them.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -17,25 +17,25 @@
 use rand_pcg::Pcg64;
 use wire::{Body, Condition, EngineLoad, Heartbeat, LeaseClaimed, LeaseRef, Origin, Record};
 
-/// Runs of each measurement, of which the fastest counts: the others were disturbed.
-const RUNS: usize = 5;
+/// Repetitions of each time measurement. The fastest counts, as it is the least disturbed.
+const REPETITIONS: usize = 5;
 
-/// A straight line through measured points.
+/// Least-squares line through measured points.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fit {
-    /// What was measured.
+    /// Name of the measurement.
     pub name: &'static str,
-    /// Unit of the figures.
+    /// Unit of the measured values.
     pub unit: &'static str,
-    /// What grows.
+    /// Unit of the size.
     pub per: &'static str,
-    /// Sizes and figures.
+    /// Sizes and measured values.
     pub points: Vec<(f64, f64)>,
-    /// Figure at size 0.
+    /// Value of the line at size 0.
     pub base: f64,
-    /// Growth with each unit of size.
+    /// Increase of the line per unit of size.
     pub slope: f64,
-    /// Largest distance of a point from the line, as a share of the largest figure.
+    /// Largest distance of a point from the line, as a share of the largest value.
     pub residual: f64,
 }
 
@@ -60,10 +60,10 @@
             .iter()
             .map(|point| point.1)
             .fold(f64::MIN_POSITIVE, f64::max);
-        let off = points
+        let distances = points
             .iter()
             .map(|point| (point.1 - base - slope * point.0).abs());
-        let residual = off.fold(0.0, f64::max) / largest;
+        let residual = distances.fold(0.0, f64::max) / largest;
         Self {
             name,
             unit,
@@ -75,107 +75,107 @@
         }
     }
 
-    /// The figure that the line gives at a size.
+    /// Value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
 
-/// Time of one of many equal steps, in µs.
+/// Mean time of a step, in µs, in the fastest of several repetitions.
 fn time_us(steps: usize, mut step: impl FnMut(usize)) -> f64 {
     let run = |step: &mut dyn FnMut(usize)| {
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0..steps {
             step(number);
         }
-        begun.elapsed().as_secs_f64() * 1e6 / steps as f64
+        started.elapsed().as_secs_f64() * 1e6 / steps as f64
     };
-    (0..RUNS)
+    (0..REPETITIONS)
         .map(|_| run(&mut step))
         .fold(f64::INFINITY, f64::min)
 }
 
-fn sized(sizes: &[usize], mut measure: impl FnMut(usize) -> f64) -> Vec<(f64, f64)> {
+fn measure_sizes(sizes: &[usize], mut measure: impl FnMut(usize) -> f64) -> Vec<(f64, f64)> {
     sizes
         .iter()
         .map(|&size| (size as f64, measure(size)))
         .collect()
 }
 
-/// All measurements.
+/// Runs all measurements.
 pub fn slopes() -> Vec<Fit> {
     vec![
         Fit::new(
             "routing decision",
             "µs",
             "engine",
-            sized(&[12, 190, 1_900], route_us),
+            measure_sizes(&[12, 190, 1_900], route_us),
         ),
         Fit::new(
             "heartbeat with loads, size",
             "bytes",
             "busy engine",
-            sized(&[0, 18, 60, 120], beat_bytes),
+            measure_sizes(&[0, 18, 60, 120], heartbeat_bytes),
         ),
         Fit::new(
             "heartbeat with loads, encode and decode",
             "µs",
             "busy engine",
-            sized(&[0, 18, 60, 120], beat_us),
+            measure_sizes(&[0, 18, 60, 120], heartbeat_us),
         ),
         Fit::new(
             "taking in a heartbeat",
             "µs",
             "engine",
-            sized(&[18, 120, 480], hear_us),
+            measure_sizes(&[18, 120, 480], record_peer_load_us),
         ),
         Fit::new(
             "lookup",
             "µs",
             "instance known",
-            sized(&[9, 24, 95, 380], lookup_us),
+            measure_sizes(&[9, 24, 95, 380], lookup_us),
         ),
         Fit::new(
             "folding a renewal",
             "µs",
             "lease",
-            sized(&[3, 68, 272], fold_us),
+            measure_sizes(&[3, 68, 272], apply_renewal_us),
         ),
         Fit::new(
             "renewal record, size",
             "bytes",
             "lease",
-            sized(&[3, 68, 272], renewal_bytes),
+            measure_sizes(&[3, 68, 272], renewal_bytes),
         ),
         Fit::new(
             "snapshot, size",
             "bytes",
             "lease",
-            sized(&[3, 68, 272], snapshot_bytes),
+            measure_sizes(&[3, 68, 272], snapshot_bytes),
         ),
         Fit::new(
             "bundle, size",
             "bytes",
             "workspace",
-            sized(&[100, 1_000, 12_000], bundle_bytes),
+            measure_sizes(&[100, 1_000, 12_000], bundle_bytes),
         ),
         Fit::new(
             "taking a bundle into use",
             "µs",
             "workspace",
-            sized(&[100, 1_000, 12_000], bundle_us),
+            measure_sizes(&[100, 1_000, 12_000], index_bundle_us),
         ),
         Fit::new(
             "finding a workspace by its key",
             "µs",
             "workspace",
-            sized(&[100, 1_000, 12_000], tenant_us),
+            measure_sizes(&[100, 1_000, 12_000], find_workspace_us),
         ),
         Fit::new(
             "call that runs once, home and witness",
             "µs",
             "key held",
-            sized(&[100, 1_000, 10_000], once_us),
+            measure_sizes(&[100, 1_000, 10_000], once_call_us),
         ),
     ]
 }
@@ -214,7 +214,7 @@
     })
 }
 
-fn beat(loads: usize) -> Heartbeat {
+fn heartbeat(loads: usize) -> Heartbeat {
     let load = |number: usize| EngineLoad {
         engine: format!("engine-{number:04}"),
         at_ms: 1_000_000,
@@ -238,18 +238,18 @@
     }
 }
 
-fn beat_bytes(loads: usize) -> f64 {
-    beat(loads).encode().len() as f64
+fn heartbeat_bytes(loads: usize) -> f64 {
+    heartbeat(loads).encode().len() as f64
 }
 
-fn beat_us(loads: usize) -> f64 {
-    let beat = beat(loads);
+fn heartbeat_us(loads: usize) -> f64 {
+    let heartbeat = heartbeat(loads);
     time_us(500, |_| {
-        let _ = black_box(Heartbeat::decode(&beat.encode()));
+        let _ = black_box(Heartbeat::decode(&heartbeat.encode()));
     })
 }
 
-fn hear_us(engines: usize) -> f64 {
+fn record_peer_load_us(engines: usize) -> f64 {
     let mut fleet = fleet(engines);
     time_us(500, |number| {
         for engine in fleet.iter_mut() {
@@ -278,7 +278,7 @@
             1,
             Heartbeat {
                 instance: name,
-                ..beat(0)
+                ..heartbeat(0)
             },
         );
     }
@@ -321,15 +321,15 @@
 }
 
 fn renewal(leases: usize, number: u64) -> Record {
-    let place = number as usize % leases;
+    let lease = number as usize % leases;
     let renewed = LeaseRef {
-        group: group(place),
-        fencing_token: place as u64 + 1,
+        group: group(lease),
+        fencing_token: lease as u64 + 1,
     };
     record(leases as u64 + number + 1, Body::LeaseRenewed(renewed))
 }
 
-fn fold_us(leases: usize) -> f64 {
+fn apply_renewal_us(leases: usize) -> f64 {
     let mut state = state(leases);
     let mut next = 0_u64;
     time_us(2_000, |_| {
@@ -376,14 +376,14 @@
     Some(BundleIndex::new(bundle, conf::digest(text)))
 }
 
-fn bundle_us(workspaces: usize) -> f64 {
+fn index_bundle_us(workspaces: usize) -> f64 {
     let text = bundle(workspaces);
     time_us(3, |_| {
         black_box(index(&text));
     })
 }
 
-fn tenant_us(workspaces: usize) -> f64 {
+fn find_workspace_us(workspaces: usize) -> f64 {
     let index = index(&bundle(workspaces));
     let hashes: Vec<KeyHash> = (0..100)
         .map(|number| KeyHash::of(number.to_string().as_bytes()))
@@ -396,11 +396,11 @@
     })
 }
 
-fn once_us(held: usize) -> f64 {
+fn once_call_us(held: usize) -> f64 {
     let epochs = EpochCounter::new(0);
     let mut home = Home::new("home", 1, epochs);
     let mut witness = Witness::new("witness", 2, epochs);
-    let place = |instance: &str, incarnation| InstanceEpoch {
+    let epoch_of = |instance: &str, incarnation| InstanceEpoch {
         instance: instance.to_owned(),
         incarnation,
         epoch: 1,
@@ -409,8 +409,8 @@
     let mut call = |_: usize| {
         number += 1;
         let key = IdempotencyKey {
-            home: place("home", 1),
-            witness: place("witness", 2),
+            home: epoch_of("home", 1),
+            witness: epoch_of("witness", 2),
             suffix: number.to_string(),
         };
         home.admit(1, &key, [0; 32]);
@@ -421,7 +421,7 @@
     time_us(200, call)
 }
 
-/// The measurements as a table.
+/// Renders the measurements as a Markdown table.
 pub fn slopes_markdown(fits: &[Fit]) -> String {
     let mut text = "| measured | sizes: figures | base | slope | residual |\n| --- | --- | ---: | ---: | ---: |\n".to_owned();
     for fit in fits {
--- a/crates/perf/src/suite.rs
+++ b/crates/perf/src/suite.rs
@@ -1,4 +1,4 @@
-//! All runs of the policy bench, side by side.
+//! Runs of the policy bench and their table.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,12 +9,12 @@
 use crate::bound::upper_bound;
 use crate::{Figures, Policy, RunSettings, Trace, TraceKind, run};
 
-/// Loads, in shares of what all engines can do.
+/// Loads of the bench, as shares of the engines' capacity.
 pub fn load_factors() -> [f64; 5] {
     [0.6, 0.9, 1.1, 1.5, 2.0]
 }
 
-/// Splits that the best fixed roles are taken from, in shares of the engines.
+/// Shares of prefill and decode engines among which the best fixed split is chosen.
 const STATIC_SPLITS: [(f64, f64); 5] = [
     (0.0, 0.0),
     (0.34, 0.0),
@@ -23,44 +23,44 @@
     (0.67, 0.33),
 ];
 
-/// One run to make.
+/// Parameters of one run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Case {
-    /// Deployment.
+    /// Deployment to simulate.
     pub deployment: Deployment,
-    /// Trace.
+    /// Kind of the trace.
     pub trace: TraceKind,
-    /// Load.
+    /// Load, as a share of the engines' capacity.
     pub load: f64,
-    /// Policy.
+    /// Policy to run.
     pub policy: Policy,
 }
 
-/// One run's figures.
+/// Parameters and figures of one run.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct SuiteRow {
-    /// Deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Trace.
+    /// Name of the trace.
     pub trace: String,
-    /// Load.
+    /// Load, as a share of the engines' capacity.
     pub load: f64,
-    /// Policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Figures.
+    /// Figures of the run.
     pub figures: Figures,
 }
 
-/// All figures with what they were made from.
+/// Results of several runs with the same seed.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
 pub struct Suite {
-    /// Seed.
+    /// Seed of all runs.
     pub seed: u64,
-    /// Rows.
+    /// Results, in the order of the cases.
     pub rows: Vec<SuiteRow>,
 }
 
-/// The runs of all combinations.
+/// All combinations of the given parameters.
 pub fn cases(
     deployments: &[Deployment],
     traces: &[TraceKind],
@@ -84,7 +84,8 @@
 }
 
 impl Suite {
-    /// Makes all runs on as many threads as there are processors; the figures do not depend on it.
+    /// Runs all cases, in parallel on all processors. The figures do not depend on the number of
+    /// threads.
     pub fn run(cases: &[Case], seed: u64) -> Self {
         let next = AtomicUsize::new(0);
         let rows = Mutex::new(vec![None; cases.len()]);
@@ -93,13 +94,13 @@
             for _ in 0..threads {
                 scope.spawn(|| {
                     loop {
-                        let place = next.fetch_add(1, Ordering::Relaxed);
-                        let Some(case) = cases.get(place) else {
+                        let index = next.fetch_add(1, Ordering::Relaxed);
+                        let Some(case) = cases.get(index) else {
                             return;
                         };
                         let row = case.run(seed);
                         if let Ok(mut rows) = rows.lock() {
-                            rows[place] = Some(row);
+                            rows[index] = Some(row);
                         }
                     }
                 });
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The figures of one run.
+    /// Figures of one run; `None` if the suite does not have it.
     pub fn get(
         &self,
         deployment: &str,
@@ -134,12 +135,12 @@
 impl Case {
     fn run(&self, seed: u64) -> SuiteRow {
         let trace = Trace::new(self.trace, self.deployment, self.load, seed);
-        let setting = RunSettings::new(self.policy, self.deployment, seed);
+        let settings = RunSettings::new(self.policy, self.deployment, seed);
         let mut figures = match self.policy {
-            Policy::StaticRoles => self.best_static(&trace, &setting),
-            _ => run(&trace, &setting),
+            Policy::StaticRoles => self.best_static(&trace, &settings),
+            _ => run(&trace, &settings),
         };
-        figures.bound = upper_bound(&trace);
+        figures.upper_bound = upper_bound(&trace);
         SuiteRow {
             deployment: self.deployment.to_string(),
             trace: self.trace.to_string(),
@@ -149,7 +150,7 @@
         }
     }
 
-    fn best_static(&self, trace: &Trace, setting: &RunSettings) -> Figures {
+    fn best_static(&self, trace: &Trace, settings: &RunSettings) -> Figures {
         let engines = self.deployment.engines() as f64;
         let runs = STATIC_SPLITS.map(|(prefill, decode)| {
             let initial_roles = ((prefill * engines) as usize, (decode * engines) as usize);
@@ -157,7 +158,7 @@
                 trace,
                 &RunSettings {
                     initial_roles,
-                    ..*setting
+                    ..*settings
                 },
             )
         });
@@ -166,7 +167,7 @@
     }
 }
 
-/// A table of goodput, as a share of requests, with one row for each trace and load.
+/// Renders a Markdown table of goodput, with a row for each trace and load.
 pub fn goodput_markdown(suite: &Suite, deployment: Deployment, policies: &[Policy]) -> String {
     use std::fmt::Write;
     let mut text = "| trace | load |".to_owned();
@@ -177,15 +178,16 @@
     text.push_str(&" ---: |".repeat(policies.len() + 3));
     text.push('\n');
     let name = deployment.to_string();
-    let own = |row: &&SuiteRow| row.deployment == name && row.policy == Policy::Own.to_string();
-    for row in suite.rows.iter().filter(own) {
+    let is_under_test =
+        |row: &&SuiteRow| row.deployment == name && row.policy == Policy::Own.to_string();
+    for row in suite.rows.iter().filter(is_under_test) {
         let _ = write!(text, "| {} | {} |", row.trace, row.load);
         let get = |policy| suite.get(&row.deployment, &row.trace, row.load, policy);
         for policy in policies {
             let goodput = get(*policy).map_or(f64::NAN, Figures::goodput);
             let _ = write!(text, " {goodput:.3} |");
         }
-        let bound = row.figures.bound as f64 / row.figures.asked().max(1) as f64;
+        let bound = row.figures.upper_bound as f64 / row.figures.requests().max(1) as f64;
         let greedy = get(Policy::GreedyRoles).map_or(0, |figures| figures.role_changes);
         let _ = writeln!(
             text,
--- a/crates/perf/src/trace.rs
+++ b/crates/perf/src/trace.rs
@@ -1,4 +1,4 @@
-//! What arrives and what goes wrong, from fixed seeds.
+//! Traces: arrivals and engine events, generated from a seed.
 
 use derive_more::{Display, FromStr};
 use model::{Deployment, RequestKind, RequestSizes};
@@ -7,62 +7,62 @@
 use rand_pcg::Pcg64;
 use serde::Serialize;
 
-/// Length of a trace.
+/// Length of a trace, in ms.
 pub(crate) const LENGTH_MS: f64 = 120_000.0;
 
-/// Share of long prompts that were asked about before.
-const AGAIN_SHARE: f64 = 0.3;
+/// Share of long prompts that refer to one of the shared documents.
+const SHARED_DOCUMENT_SHARE: f64 = 0.3;
 
-/// Documents that are asked about again.
-const DOCUMENTS: u64 = 40;
+/// Number of shared documents.
+const SHARED_DOCUMENTS: u64 = 40;
 
-/// Part of a prompt that a document asked about again shares.
-const SHARED: f64 = 0.8;
+/// Part of a prompt that consists of the shared document.
+const SHARED_PREFIX_PART: f64 = 0.8;
 
-/// Share of the work that urgent requests are.
+/// Share of the work that comes from urgent requests.
 const URGENT_SHARE: f64 = 0.05;
 
-/// Kinds of traces.
+/// Kind of a trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, FromStr, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceKind {
-    /// Half long prompts, half questions, by work.
+    /// Long and quick requests in equal parts, by work.
     #[display("steady")]
     Steady,
-    /// The share of long prompts swings between a fifth and four fifths.
+    /// The share of long requests alternates between a fifth and four fifths.
     #[display("swing")]
     Swing,
-    /// After a third of the time nearly all work is long prompts.
+    /// After a third of the time, nearly all work comes from long requests.
     #[display("reads")]
     Reads,
-    /// Long prompts come four times as fast for ten seconds.
+    /// Long requests arrive at four times their rate for ten seconds.
     #[display("burst")]
     Burst,
-    /// One member asks for as much as all others.
+    /// After 30 s, one member sends about as many requests as all others together.
     #[display("flood")]
     Flood,
-    /// An engine is lost.
+    /// An engine crashes and does not return.
     #[display("lost")]
     Lost,
     /// Two engines are drained.
     #[display("drained")]
     Drained,
-    /// New weights are loaded beside the work, engine after engine.
+    /// The engines load new weights one after the other, while they serve requests.
     #[display("roll")]
     Roll,
-    /// Reports and cache events are four seconds old.
+    /// Reports and cache events arrive four seconds late.
     #[display("stale")]
     Stale,
-    /// An engine takes four times as long.
+    /// An engine is four times as slow for a minute.
     #[display("slow")]
     Slow,
-    /// The log is down, so that no role can change, while the mix swings.
+    /// The mix alternates as in `swing`, but the log is down, so that no role can change.
     #[display("log-down")]
     LogDown,
 }
 
 impl TraceKind {
-    /// All kinds.
+    /// All kinds of traces.
     pub const ALL: [Self; 11] = [
         Self::Steady,
         Self::Swing,
@@ -78,58 +78,58 @@
     ];
 }
 
-/// One request.
+/// Arrival of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// Time of the arrival, in ms.
     pub at_ms: f64,
-    /// Which kind.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Member by number.
+    /// Index of the member.
     pub member: usize,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Output tokens it will have.
+    /// Actual number of output tokens, which the router does not know.
     pub output_tokens: u32,
-    /// Output tokens that could be expected of its kind.
+    /// Expected number of output tokens for the kind.
     pub expected_tokens: u32,
-    /// Prefix shared with earlier prompts; 0 for none.
+    /// Identifies the shared document in the prompt; 0 if there is none.
     pub prefix: u64,
-    /// Tokens of that prefix.
+    /// Number of tokens in the shared document.
     pub prefix_tokens: u32,
-    /// Time to the whole answer.
+    /// Deadline of the complete answer, in ms after the arrival.
     pub deadline_ms: f64,
 }
 
-/// What happens to engines.
+/// Event at an engine, given by index.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Event {
-    /// The engine crashes for good.
+pub enum EngineEvent {
+    /// The engine crashes and does not return.
     Crash(usize),
-    /// An operator drains it.
+    /// An operator drains the engine.
     Drain(usize),
-    /// Its iterations take this factor longer.
+    /// The duration of its iterations is multiplied by this factor.
     Slow(usize, f64),
 }
 
-/// A whole trace.
+/// Input of a run.
 #[derive(Debug, Clone)]
 pub struct Trace {
-    /// Its kind.
+    /// Kind of the trace.
     pub kind: TraceKind,
-    /// Deployment whose sizes it has.
+    /// Deployment whose fleet and request sizes are used.
     pub deployment: Deployment,
-    /// Requests in the order of their times.
+    /// Arrivals in order of time.
     pub arrivals: Vec<Arrival>,
-    /// What happens to engines, and when.
-    pub events: Vec<(f64, Event)>,
-    /// Age of reports and cache events.
+    /// Engine events, each with its time in ms.
+    pub events: Vec<(f64, EngineEvent)>,
+    /// Delay of reports and cache events, in ms.
     pub lag_ms: f64,
-    /// Whether roles can change.
+    /// Whether the log is available, without which no role can change.
     pub log_up: bool,
 }
 
-/// Level of urgency of a kind.
+/// Priority rank of a kind of request; 0 is served first.
 pub(crate) fn rank(kind: RequestKind) -> usize {
     match kind {
         RequestKind::Urgent | RequestKind::Once => 0,
@@ -146,16 +146,17 @@
     }
 }
 
-/// Engine time of a request at the mixed role with half a batch, by which load is counted.
-pub(crate) fn nominal_ms(shape: &EngineProfile, prompt_tokens: f64, output_tokens: f64) -> f64 {
+/// Engine time of a request on a mixed engine with a half-full batch, in ms. Loads are defined by
+/// it.
+pub(crate) fn nominal_ms(profile: &EngineProfile, prompt_tokens: f64, output_tokens: f64) -> f64 {
     let chunk = f64::from(EngineProfile::chunk_tokens(conf::Role::Mixed));
-    let running = f64::from(shape.max_running) / 2.0;
-    prompt_tokens * (shape.token_ms + shape.base_ms / chunk)
-        + output_tokens * (shape.sequence_ms + shape.base_ms / running)
+    let running = f64::from(profile.max_running) / 2.0;
+    prompt_tokens * (profile.token_ms + profile.base_ms / chunk)
+        + output_tokens * (profile.sequence_ms + profile.base_ms / running)
 }
 
 impl Trace {
-    /// Makes a trace at a load, counted in shares of what all engines can do.
+    /// Generates a trace. The load is a share of the engines' capacity.
     pub fn new(kind: TraceKind, deployment: Deployment, load: f64, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut arrivals = Vec::new();
@@ -163,13 +164,13 @@
         let mut at_ms = 0.0;
         while at_ms < LENGTH_MS {
             let step_ms = 100.0;
-            for (request, share) in shares(kind, at_ms) {
+            for (request, share) in work_shares(kind, at_ms) {
                 let work_ms = mean_work_ms(deployment, request);
                 let mut rate = capacity * load * share / work_ms;
                 if kind == TraceKind::Flood && at_ms > 30_000.0 {
                     rate *= 1.5;
                 }
-                draw(
+                draw_arrivals(
                     &mut rng,
                     kind,
                     deployment,
@@ -187,7 +188,7 @@
             kind,
             deployment,
             arrivals,
-            events: events(kind, deployment),
+            events: engine_events(kind, deployment),
             lag_ms: if kind == TraceKind::Stale {
                 4_000.0
             } else {
@@ -198,9 +199,9 @@
     }
 }
 
-/// Shares of the work by kind at a time; they add up to 1 but in a burst.
-fn shares(kind: TraceKind, at_ms: f64) -> [(RequestKind, f64); 3] {
-    let rest = 1.0 - URGENT_SHARE;
+/// Shares of the work by kind of request; they add up to 1 except during a burst.
+fn work_shares(kind: TraceKind, at_ms: f64) -> [(RequestKind, f64); 3] {
+    let other_share = 1.0 - URGENT_SHARE;
     let long = match kind {
         TraceKind::Swing | TraceKind::LogDown => swing(at_ms),
         TraceKind::Reads if at_ms > LENGTH_MS / 3.0 => 0.95,
@@ -210,15 +211,15 @@
     let factor = if burst { 4.0 } else { 1.0 };
     [
         (RequestKind::Urgent, URGENT_SHARE),
-        (RequestKind::Quick, rest * (1.0 - long)),
-        (RequestKind::Long, rest * long * factor),
+        (RequestKind::Quick, other_share * (1.0 - long)),
+        (RequestKind::Long, other_share * long * factor),
     ]
 }
 
-/// A fifth for 30 s, four fifths for 30 s, and so on, each way within 5 s.
+/// Share of long requests, which alternates between 0.2 and 0.8 every 30 s with ramps of 5 s.
 fn swing(at_ms: f64) -> f64 {
     let phase = (at_ms / 30_000.0).floor();
-    let into_ms = at_ms - phase * 30_000.0;
+    let phase_ms = at_ms - phase * 30_000.0;
     let (low, high) = (0.2, 0.8);
     let (from, to) = if (phase as u64).is_multiple_of(2) {
         (high, low)
@@ -226,7 +227,7 @@
         (low, high)
     };
     let from = if phase == 0.0 { low } else { from };
-    from + (to - from) * (into_ms / 5_000.0).min(1.0)
+    from + (to - from) * (phase_ms / 5_000.0).min(1.0)
 }
 
 fn mean_work_ms(deployment: Deployment, kind: RequestKind) -> f64 {
@@ -242,7 +243,7 @@
     clippy::too_many_arguments,
     reason = "one call site, all of them needed"
 )]
-fn draw(
+fn draw_arrivals(
     rng: &mut Pcg64,
     trace: TraceKind,
     deployment: Deployment,
@@ -252,7 +253,7 @@
     rate: f64,
     arrivals: &mut Vec<Arrival>,
 ) {
-    // Exponential gaps within the step.
+    // Exponential gaps give Poisson arrivals within the step.
     let mut at_ms = from_ms;
     loop {
         at_ms += -rng.random_range(f64::EPSILON..1.0_f64).ln() / rate.max(1e-12);
@@ -276,19 +277,23 @@
     };
     let prompt_tokens = spread(rng, prompt);
     let members = deployment.members().len();
-    let flooded = trace == TraceKind::Flood && at_ms > 30_000.0 && rng.random_bool(0.33);
-    let member = if flooded {
+    let is_flood = trace == TraceKind::Flood && at_ms > 30_000.0 && rng.random_bool(0.33);
+    let member = if is_flood {
         0
     } else {
         rng.random_range(0..members)
     };
-    let again = kind == RequestKind::Long && rng.random_bool(AGAIN_SHARE);
-    let prefix = if again {
-        1 + rng.random_range(0..DOCUMENTS)
+    let shares_document = kind == RequestKind::Long && rng.random_bool(SHARED_DOCUMENT_SHARE);
+    let prefix = if shares_document {
+        1 + rng.random_range(0..SHARED_DOCUMENTS)
     } else {
         0
     };
-    let prompt_tokens = if again { prompt } else { prompt_tokens };
+    let prompt_tokens = if shares_document {
+        prompt
+    } else {
+        prompt_tokens
+    };
     Arrival {
         at_ms,
         kind,
@@ -297,8 +302,8 @@
         output_tokens: spread(rng, output),
         expected_tokens: output,
         prefix,
-        prefix_tokens: if again {
-            (f64::from(prompt) * SHARED) as u32
+        prefix_tokens: if shares_document {
+            (f64::from(prompt) * SHARED_PREFIX_PART) as u32
         } else {
             0
         },
@@ -306,21 +311,24 @@
     }
 }
 
-fn events(kind: TraceKind, deployment: Deployment) -> Vec<(f64, Event)> {
+fn engine_events(kind: TraceKind, deployment: Deployment) -> Vec<(f64, EngineEvent)> {
     match kind {
-        TraceKind::Lost => vec![(40_000.0, Event::Crash(0))],
-        TraceKind::Drained => vec![(30_000.0, Event::Drain(0)), (45_000.0, Event::Drain(1))],
+        TraceKind::Lost => vec![(40_000.0, EngineEvent::Crash(0))],
+        TraceKind::Drained => vec![
+            (30_000.0, EngineEvent::Drain(0)),
+            (45_000.0, EngineEvent::Drain(1)),
+        ],
         TraceKind::Slow => vec![
-            (30_000.0, Event::Slow(0, 4.0)),
-            (90_000.0, Event::Slow(0, 1.0)),
+            (30_000.0, EngineEvent::Slow(0, 4.0)),
+            (90_000.0, EngineEvent::Slow(0, 1.0)),
         ],
-        // Loading takes memory bandwidth from the work for two seconds on each engine in turn.
+        // Loading takes memory bandwidth from each engine in turn, for two seconds.
         TraceKind::Roll => (0..deployment.engines())
             .flat_map(|engine| {
                 let begin = 40_000.0 + 2_000.0 * engine as f64;
                 [
-                    (begin, Event::Slow(engine, 1.3)),
-                    (begin + 2_000.0, Event::Slow(engine, 1.0)),
+                    (begin, EngineEvent::Slow(engine, 1.3)),
+                    (begin + 2_000.0, EngineEvent::Slow(engine, 1.0)),
                 ]
             })
             .collect(),
--- a/crates/perf/tests/bounds.rs
+++ b/crates/perf/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! The regression bounds can fail, and the figures are the same each time.
+//! The regression bounds detect a worse policy, and runs are deterministic.
 
 use model::Deployment;
 use perf::{
