--- a/crates/fault/src/fakes.rs
+++ b/crates/fault/src/fakes.rs
@@ -67,15 +67,17 @@
     pub(crate) checks_tokens: bool,
     pub(crate) role: String,
     pub(crate) loaded: Vec<String>,
-    pub(crate) highest: u64,
+    pub(crate) highest_token: u64,
     pub(crate) slow: bool,
+    /// Time at which the current order ends, in ms, with its kind and argument.
     in_progress: Option<(u64, OrderKind, String)>,
+    /// Accepted orders by fencing token.
     accepted: BTreeMap<u64, (OrderKind, String)>,
 }
 
 /// Result of an order's arrival.
 pub(crate) enum OrderResult {
-    Accepted,
+    NoConflict,
     Conflict(String),
 }
 
@@ -86,7 +88,7 @@
             checks_tokens,
             role: "mixed".to_owned(),
             loaded: vec!["m@v1".to_owned()],
-            highest: 0,
+            highest_token: 0,
             slow: false,
             in_progress: None,
             accepted: BTreeMap::new(),
@@ -109,32 +111,33 @@
     ) -> OrderResult {
         let content = (kind, argument.to_owned());
         if self.accepted.get(&order) == Some(&content) {
-            return OrderResult::Accepted;
+            return OrderResult::NoConflict;
         }
-        if order < self.highest && self.checks_tokens {
-            return OrderResult::Accepted;
+        if order < self.highest_token && self.checks_tokens {
+            return OrderResult::NoConflict;
         }
         let newest = self
             .accepted
             .last_key_value()
             .map(|(_, newest)| newest.clone());
-        let conflicts = order < self.highest && newest.is_some_and(|newest| newest != content);
+        let conflicts =
+            order < self.highest_token && newest.is_some_and(|newest| newest != content);
         let busy = self
             .in_progress
             .as_ref()
             .is_some_and(|in_progress| in_progress.0 != order);
-        self.highest = self.highest.max(order);
+        self.highest_token = self.highest_token.max(order);
         self.accepted.insert(order, content);
         let took_ms = if self.slow { 10 * ORDER_MS } else { ORDER_MS };
         self.in_progress = Some((now_ms + took_ms, kind, argument.to_owned()));
         if conflicts || busy {
-            let highest = self.highest;
+            let highest = self.highest_token;
             return OrderResult::Conflict(format!(
                 "{}: order {order} {argument} beside {highest}",
                 self.name
             ));
         }
-        OrderResult::Accepted
+        OrderResult::NoConflict
     }
 
     pub(crate) fn advance(&mut self, now_ms: u64) {
--- a/crates/fault/src/instance.rs
+++ b/crates/fault/src/instance.rs
@@ -47,7 +47,9 @@
     pub(crate) name: String,
     pub(crate) incarnation: u64,
     pub(crate) started_ms: u64,
+    /// Whether the process exists; a dead one is replaced under the same name.
     pub(crate) alive: bool,
+    /// Whether it has caught up with the log and serves calls.
     pub(crate) ready: bool,
     pub(crate) stopping: bool,
     pub(crate) paused_until_ms: u64,
@@ -61,12 +63,15 @@
     pub(crate) next_read_ms: u64,
     pub(crate) reading: bool,
     pub(crate) elector: Elector,
+    /// Own clock time of the last claim or renewal, in ms.
     pub(crate) claimed_ms: Option<u64>,
     pub(crate) order_scheduler: OrderScheduler,
     pub(crate) queued_orders: Vec<QueuedOrder>,
     pub(crate) home: Home,
     pub(crate) witness: Witness,
+    /// Pending calls by idempotency key.
     pub(crate) pending: BTreeMap<String, PendingCall>,
+    /// Log offset of the record that put the current bundle in force.
     pub(crate) in_force_offset: u64,
 }
 
--- a/crates/fault/src/simulation.rs
+++ b/crates/fault/src/simulation.rs
@@ -151,12 +151,16 @@
     engines: Vec<FakeEngine>,
     deliveries: Vec<(u64, Delivery)>,
     operator_actions: Vec<(u64, OperatorAction)>,
+    /// Times at which dead instances are replaced, in ms, with their indices.
     replacements: Vec<(u64, usize)>,
+    /// Each fault with the occurrences left until it is injected; `u32::MAX` once it was.
     injections: Vec<(Injection, u32)>,
     heal_at_ms: u64,
     violations: Vec<Violation>,
     highest_sent_token: u64,
+    /// Per instance, whether it knows that engine-2 is drained.
     drained_known: Vec<bool>,
+    /// Newest accepted bundle version, with the time of its roll in ms.
     rolled: Option<(u64, u64)>,
     orders_received: usize,
     rng: Pcg64,
--- a/crates/fault/src/simulation/control.rs
+++ b/crates/fault/src/simulation/control.rs
@@ -85,7 +85,7 @@
                 role: engine.role.clone(),
                 loaded: engine.loaded.clone(),
                 changing: engine.is_changing(),
-                fencing_token: engine.highest,
+                fencing_token: engine.highest_token,
             })
         };
         let instance = &mut self.instances[index];
