--- a/src/benches.rs
+++ b/src/benches.rs
@@ -4,7 +4,7 @@
 
 use derive_more::{Display, FromStr};
 use model::Deployment;
-use perf::{Policy, Suite, TraceKind, cases, load_factors, markdown};
+use perf::{Policy, Suite, TraceKind, cases, goodput_markdown, load_factors};
 
 /// Benches that can be selected on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display, FromStr)]
@@ -77,7 +77,7 @@
     }
     let mut text = String::new();
     for deployment in deployments {
-        let table = markdown(&suite, deployment, &policies);
+        let table = goodput_markdown(&suite, deployment, &policies);
         let _ = writeln!(text, "{deployment}, seed {}\n\n{table}", filter.seed);
     }
     text
@@ -100,15 +100,15 @@
 /// Measures the tightest bounds that the current code meets, in the format of the committed file.
 pub fn measure_bounds() -> String {
     let suite = Suite::run(&perf::bounded_cases(Policy::Own), perf::BOUNDS_SEED);
-    serde_json::to_string_pretty(&perf::from_suite(&suite)).unwrap_or_default()
+    serde_json::to_string_pretty(&perf::bounds_from_suite(&suite)).unwrap_or_default()
 }
 
 /// Checks the committed bounds. Returns their number if all hold, or a line for each violation.
 /// An empty file of bounds is an error.
 pub fn check_bounds() -> Result<usize, Vec<String>> {
-    let bounds = perf::committed().map_err(|error| vec![error.to_string()])?;
+    let bounds = perf::committed_bounds().map_err(|error| vec![error.to_string()])?;
     let suite = Suite::run(&perf::bounded_cases(Policy::Own), perf::BOUNDS_SEED);
-    let violations = perf::broken(&suite, &bounds, Policy::Own);
+    let violations = perf::broken_bounds(&suite, &bounds, Policy::Own);
     if bounds.is_empty() || !violations.is_empty() {
         return Err(violations);
     }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use load::{Caller, Running, Tally, Tenant};
-use model::{Deployment, Mix, Phase};
+use load::{Caller, LoadRun, Tally, Tenant};
+use model::{Deployment, Phase, TrafficMix};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use serde::Serialize;
@@ -42,7 +42,7 @@
     /// Name of the deployment.
     pub deployment: String,
     /// Outcomes of requests by class.
-    pub classes: BTreeMap<String, load::Row>,
+    pub classes: BTreeMap<String, load::ClassCounts>,
     /// Role orders that engines accepted.
     pub role_changes: usize,
     /// At-most-once calls that ran twice, were answered without running, or ran although the caller
@@ -69,7 +69,7 @@
     progress(&format!(
         "{deployment}: {} engines, {} services, log and instance list are up",
         deployment.engines(),
-        deployment.services()
+        deployment.service_instances()
     ));
     let mut instances = start_instances(&platform, deployment, INSTANCES)?;
     let operator = Operator::new(&instances[0].caller_address);
@@ -81,10 +81,10 @@
     ));
     wait_discovered(&instances).await?;
 
-    let running = Running {
+    let running = LoadRun {
         tally: Rc::new(RefCell::new(Tally::default())),
-        answered: Rc::default(),
-        refused: Rc::default(),
+        completed_calls: Rc::default(),
+        refused_calls: Rc::default(),
     };
     let callers = callers(deployment, &instances);
     let phases = phases(deployment);
@@ -177,14 +177,17 @@
 /// The first phase has mostly short questions, the second mostly long prompts.
 fn phases(deployment: Deployment) -> [Phase; 2] {
     let scale = deployment.engines() as f64 / 9.0;
-    let mix = |long: f64, quick: f64| Mix {
+    let mix = |long: f64, quick: f64| TrafficMix {
         long: long * scale,
         quick: quick * scale,
         urgent: 3.0 * scale,
         once: 6.0 * scale,
     };
     let (questions, long_prompts) = (mix(2.0, 24.0), mix(9.0, 6.0));
-    [questions, long_prompts].map(|mix| Phase { ms: PHASE_MS, mix })
+    [questions, long_prompts].map(|mix| Phase {
+        duration_ms: PHASE_MS,
+        mix,
+    })
 }
 
 /// Runs the operators' actions and the failures of instances beside the load, and returns the time
@@ -224,14 +227,14 @@
 fn report(
     deployment: Deployment,
     platform: &Platform,
-    running: &Running,
+    running: &LoadRun,
     roll_ms: u64,
     instances: Vec<InstanceThread>,
 ) -> Result<Report> {
     let at_most_once_violations = platform.at_most_once_violations(
         deployment.service().1,
-        &running.answered.borrow(),
-        &running.refused.borrow(),
+        &running.completed_calls.borrow(),
+        &running.refused_calls.borrow(),
     );
     for mut instance in instances {
         instance.kill();
--- a/src/demo/live.rs
+++ b/src/demo/live.rs
@@ -176,7 +176,7 @@
                 let body = format!("live {seed} {call}");
                 let (service, path) = deployment.service();
                 let result = caller.call_once(service, path, &body, 2_000).await;
-                times.borrow_mut().push(result.took_ms);
+                times.borrow_mut().push(result.duration_ms);
                 match result.outcome {
                     Outcome::InTime | Outcome::Late => {}
                     Outcome::Unknown => failures.borrow_mut().0 += 1,
--- a/tests/failure/engines.rs
+++ b/tests/failure/engines.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use actix_rt::task::JoinHandle;
-use chicoryrack::standin::{AtPoison, EngineFaults, EngineStandin, POISON, expected_text};
+use chicoryrack::standin::{
+    EngineFaults, EngineStandin, POISON_MARKER, PoisonBehavior, expected_text,
+};
 use serde_json::json;
 
 use crate::common::{MEMBER_KEY, Platform, Reply, admin, bundle, send, start_serving, wait_until};
@@ -72,7 +74,7 @@
     });
     let requests: Vec<_> = requests.collect();
     wait_until("the engine has all of them", || async {
-        engine.held() == ANSWERS
+        engine.unfinished_requests() == ANSWERS
     })
     .await;
     let undrained = admin(address, "POST", &format!("engines/{other}/undrain"), "").await;
@@ -89,11 +91,18 @@
     let address = daemon.caller_address.clone();
     let pending = actix_rt::spawn(async move { complete(&address, "crash", 150).await });
     wait_until("an engine has the request", || async {
-        platform.engines.iter().any(|engine| engine.held() > 0)
+        platform
+            .engines
+            .iter()
+            .any(|engine| engine.unfinished_requests() > 0)
     })
     .await;
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    for engine in platform.engines.iter().filter(|engine| engine.held() > 0) {
+    for engine in platform
+        .engines
+        .iter()
+        .filter(|engine| engine.unfinished_requests() > 0)
+    {
         engine.crash();
     }
     let reply = pending.await.expect("the task ends");
@@ -121,7 +130,7 @@
         let reply = complete(&address, &format!("drain {number}"), 4).await;
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(platform.engines[0].held(), 0);
+    assert_eq!(platform.engines[0].unfinished_requests(), 0);
 }
 
 #[actix_rt::test]
@@ -194,12 +203,12 @@
     let daemon = start_serving(&platform).await;
     for engine in &platform.engines {
         engine.set_faults(EngineFaults {
-            at_poison: AtPoison::Ends,
+            poison_behavior: PoisonBehavior::Crashes,
             ..EngineFaults::default()
         });
     }
     for _ in 0..5 {
-        let reply = complete(&daemon.caller_address, POISON, 8).await;
+        let reply = complete(&daemon.caller_address, POISON_MARKER, 8).await;
         assert_ne!(reply.status, 200, "{}", reply.text());
     }
     let alive = platform.engines.iter().filter(|it| it.is_listening());
--- a/tests/failure/instances.rs
+++ b/tests/failure/instances.rs
@@ -15,7 +15,7 @@
     let address = daemons[0].caller_address.clone();
     let pending = actix_rt::spawn(async move { complete(&address, "stop", 200).await });
     wait_until("the engine has the request", || async {
-        platform.engines[0].held() > 0
+        platform.engines[0].unfinished_requests() > 0
     })
     .await;
     daemons[0].signal(libc::SIGTERM);
@@ -63,7 +63,7 @@
     assert!(line.starts_with("HTTP/1.1 200"), "{line}");
     let pending = actix_rt::spawn(async move { complete(&address, "leave", 400).await });
     wait_until("the engine has the request", || async {
-        platform.engines[0].held() > 0
+        platform.engines[0].unfinished_requests() > 0
     })
     .await;
     daemon.signal(libc::SIGTERM);
--- a/tests/failure/log.rs
+++ b/tests/failure/log.rs
@@ -105,7 +105,7 @@
     .await;
     first.kill();
     platform.log.set_faults(LogFaults {
-        keep: 64,
+        keep_records: 64,
         ..LogFaults::default()
     });
     let new = Daemon::start("entry-9", "howrah", &platform);
