--- a/crates/fault/src/simulation.rs
+++ b/crates/fault/src/simulation.rs
@@ -190,7 +190,7 @@
     fn new(injections: &[Injection], disabled: DisabledSafeguard, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let instances =
-            (0..INSTANCES).map(|index| Instance::new(&format!("entry-{index}"), 0, &mut rng));
+            (0..INSTANCES).map(|place| Instance::new(&format!("entry-{place}"), 0, &mut rng));
         let instances: Vec<Instance> = instances.collect();
         let jitter = rng.random_range(0..200);
         let mut operator_actions = vec![
