--- a/crates/duty/src/ledger.rs
+++ b/crates/duty/src/ledger.rs
@@ -3,7 +3,7 @@
 //! Most instances may be killed at once, and counts that only they had would be in no report. So
 //! each instance sends its counts to its hub several times a second, and hubs send what was
 //! reported to them to the few instances that may report usage. Counts of an incarnation only grow,
-//! and a tally names its incarnation. So a tally that arrives twice, late or by two ways counts
+//! and a tally names its incarnation. So a tally that arrives twice, late or on two paths counts
 //! once, and a restarted instance adds to what its previous incarnation sent.
 
 use std::collections::{BTreeMap, HashMap};
@@ -81,7 +81,7 @@
         self.drop_old_windows(now);
     }
 
-    /// Sends the counts of the last two windows again, for a new receiver.
+    /// Resends the counts of the last two windows, for a new receiver.
     pub fn resend_own(&mut self) {
         let recent = self.windows.values_mut().rev().take(2);
         for counted in recent.filter_map(|incarnations| incarnations.get_mut(&self.own)) {
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Every instance counts the requests of each workspace, and its counts reach a few peers soon
 //! ([`UsageLedger`]). One of those, the fleet leader, reports each time window once
-//! ([`UsageReports`]) and orders engines ([`scale`]). `lease::AppendLease` decides which instance that
-//! is, and ensures that no two are obeyed at a time. Nothing here does I/O. See
+//! ([`UsageReports`]) and orders engines ([`scale`]). `lease::AppendLease` decides which instance
+//! that is, and ensures that at most one is obeyed at a time. Nothing here does I/O. See
 //! docs/design/duties.md.
 
 mod ledger;
--- a/crates/duty/src/reports.rs
+++ b/crates/duty/src/reports.rs
@@ -2,8 +2,8 @@
 //!
 //! An instance may report a window and end before the answer arrives. Its successor has received a
 //! few more tallies and would report other counts. So the counts of a window are fixed in a log
-//! that all reporting instances read, before they are sent, and whoever sends the window again
-//! sends those.
+//! that all reporting instances read, before they are sent, and an instance that resends the window
+//! sends those counts.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// hub, and from there to the reporting instances, in several datagrams each.
 const SETTLE_MS: u64 = 2_000;
 
-/// Pause before a window is sent again, in ms.
+/// Pause before a window is resent, in ms.
 const RETRY_MS: u64 = 1_500;
 
 /// How long after its end a window is still sent, in ms. A late report is better than none, but in
--- a/crates/duty/src/scale.rs
+++ b/crates/duty/src/scale.rs
@@ -11,12 +11,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Pause before the same order is given again, in ms, where the API had no capacity or did not
-/// answer.
+/// Pause before the same order is repeated, in ms, where the API had no capacity or did not answer.
 const RETRY_MS: u64 = 1_500;
 
-/// Pause before a zone that had no capacity, or reclaimed its engines, is asked again, and before a
-/// refused order is given again, in ms.
+/// Pause before a zone that had no capacity, or reclaimed its engines, gets another order, and
+/// before a refused order is repeated, in ms.
 const COOLDOWN_MS: u64 = 8_000;
 
 /// A zone counts as reclaimed if more than this share of its spot engines are leaving. Single
@@ -80,7 +79,7 @@
     pub desired: usize,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It was accepted.
@@ -97,7 +96,7 @@
 struct OrderState {
     /// What the platform last accepted; `None` before the first accepted order.
     desired: Option<usize>,
-    /// The last order, whatever became of it.
+    /// The last order, whatever its outcome.
     last_attempt: Option<Attempt>,
 }
 
@@ -135,7 +134,7 @@
         self.order(target).desired = Some(target.desired);
     }
 
-    /// Records an order and what became of it.
+    /// Records an order and its outcome.
     pub fn record_order(&mut self, now_ms: u64, target: &ZoneTarget, outcome: OrderOutcome) {
         let pause_ms = match outcome {
             OrderOutcome::Taken | OrderOutcome::Dry | OrderOutcome::Unanswered => RETRY_MS,
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -90,7 +90,7 @@
         self.app.condition.get() == Condition::Ready
     }
 
-    /// Shuts down gracefully: the instance is no longer named to callers, goes on serving for the
+    /// Shuts down gracefully: the instance is no longer named to callers, keeps serving for the
     /// grace period, then takes no new requests and waits for those in progress.
     pub async fn stop(&self) {
         log::info!(step = "stop"; "leaving");
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Serialize)]
 pub(crate) struct Lookup {
     instances: Vec<Instance>,
-    /// Time for which the answer may be cached. A leaving instance goes on serving for as long.
+    /// Time for which the answer may be cached. A leaving instance keeps serving for as long.
     keep_ms: u64,
     /// Prefix for idempotency keys; `None` while there is no witness for this instance.
     key_prefix: Option<String>,
--- a/crates/entry/src/runner.rs
+++ b/crates/entry/src/runner.rs
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub(crate) struct CompletionJob {
     pub(crate) id: String,
-    /// Hash that identifies the request; the same each time a caller repeats it.
+    /// Hash that identifies the request; the same for all retries by a caller.
     pub(crate) key: RequestKey,
     pub(crate) member: String,
     pub(crate) share: u32,
--- a/crates/entry/src/upstreams.rs
+++ b/crates/entry/src/upstreams.rs
@@ -191,7 +191,7 @@
         return;
     };
     entry.missed = 0;
-    // An engine goes on serving while it loads a model; only a role change interrupts it.
+    // An engine keeps serving while it loads a model; only a role change interrupts it.
     let role_order = app
         .log_reader
         .borrow()
--- a/crates/feed/src/outbox.rs
+++ b/crates/feed/src/outbox.rs
@@ -79,7 +79,7 @@
         self.in_flight = 0;
     }
 
-    /// Records that the append failed or its outcome is unknown; the batch is sent again.
+    /// Records that the append failed or its outcome is unknown; the batch is resent.
     pub fn requeue_batch(&mut self) {
         self.in_flight = 0;
     }
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -27,7 +27,7 @@
 /// Permission to send orders to a group until a time on the holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Authority {
-    /// Log offset of the claim. Renewals and orders name it to show which claim they rest on.
+    /// Log offset of the claim. Renewals and orders name it to show which claim they are based on.
     pub fence: u64,
     /// Time on the holder's monotonic clock at which the permission ends.
     pub expires_ms: u64,
@@ -161,8 +161,8 @@
             .is_some_and(|sent| now_ms < sent.at_ms + self.times.ttl_ms)
     }
 
-    /// A holder whose lease has expired may still renew: the newest record shows that nobody else
-    /// has claimed it.
+    /// A holder whose lease has expired may still renew: the newest record shows that no other
+    /// instance has claimed it.
     fn poll_holder(&self, now_ms: u64, fence: u64) -> LeaseAction {
         let renew_at_ms = self.held_authority.map_or(0, |held_authority| {
             held_authority.expires_ms - self.times.ttl_ms + self.times.ttl_ms / RENEWAL_DIVISOR
--- a/crates/lease/src/order_scheduler.rs
+++ b/crates/lease/src/order_scheduler.rs
@@ -6,7 +6,7 @@
 
 use crate::Authority;
 
-/// Interval at which an unfinished order is sent again.
+/// Interval at which an unfinished order is resent.
 const RESEND_MS: u64 = 1_000;
 
 /// Time after which an unfinished order is abandoned, so that an engine that was unreachable can
--- a/crates/once/src/epoch.rs
+++ b/crates/once/src/epoch.rs
@@ -4,7 +4,7 @@
 pub const EPOCH_MS: u64 = 60_000;
 
 /// Number of epochs for which a key is accepted and its record kept. The resulting ten minutes are
-/// longer than any caller goes on retrying.
+/// longer than any caller retries.
 pub const RETAINED_EPOCHS: u64 = 10;
 
 /// Epoch counter of one incarnation of an instance.
--- a/crates/plan/src/ejection.rs
+++ b/crates/plan/src/ejection.rs
@@ -70,13 +70,13 @@
     /// Records the actual time between two tokens, or of a call, against the time predicted for a
     /// healthy upstream.
     ///
-    /// Time between tokens tells more of an engine's health than the time to the first token,
-    /// which depends mostly on its queue.
+    /// The time between tokens indicates an engine's health better than the time to the first
+    /// token, which depends mostly on its queue.
     pub fn record_latency(&mut self, now_ms: u64, predicted_ms: f64, actual_ms: f64) {
         let ratio = (actual_ms / predicted_ms.max(1.0)).clamp(0.25, 20.0);
         self.failures = 0;
         if self.is_probing {
-            // Latency from before the ejection says nothing about the upstream now.
+            // Latency from before the ejection does not describe the upstream now.
             self.latency_ratio = ratio;
             self.is_probing = false;
         } else {
@@ -97,9 +97,9 @@
 
     /// Whether the upstream has sent nothing on any request since `sent_ms`.
     ///
-    /// This tells a request on a dead engine from one that waits in the queue of a busy engine.
-    /// Cancelling the latter and starting over at the back of another queue would add work just
-    /// when the engines are overloaded.
+    /// This distinguishes a request on a dead engine from one that waits in the queue of a busy
+    /// engine. Cancelling the latter and starting over at the back of another queue would add work
+    /// just when the engines are overloaded.
     pub fn is_silent_since(&self, sent_ms: u64) -> bool {
         self.last_activity_ms < sent_ms
     }
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -210,7 +210,7 @@
         load
     }
 
-    /// The part of the engine's last report that this instance had not sent itself.
+    /// The load in the engine's last report that does not come from this instance.
     fn peer_load_from_report(&self) -> Outstanding {
         let mut peers = Outstanding::default();
         for (rank, tokens) in peers.prompt.iter_mut().enumerate() {
--- a/crates/plan/src/roles.rs
+++ b/crates/plan/src/roles.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Changes among `engines` that are worth their cost now; `allows` tells whether an engine may
-    /// play a role.
+    /// Changes among `engines` that are worth their cost now; `allows` returns whether an engine
+    /// may have a role.
     pub fn plan(
         &mut self,
         now_ms: u64,
--- a/crates/plan/src/route.rs
+++ b/crates/plan/src/route.rs
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Scored {
     choice: Choice,
-    /// Predicted time with the weighed interference; less is better.
+    /// Predicted time plus the weighted interference; lower is better.
     score: f64,
     status: HealthStatus,
 }
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -52,7 +52,7 @@
     pub list_position: Option<LogPosition>,
     /// Its position in the log of the configuration.
     pub config_position: Option<LogPosition>,
-    /// Poison requests, which no upstream may get any more.
+    /// Poison requests, which must not be sent to any upstream.
     pub poison: Vec<RequestKey>,
 }
 
@@ -166,7 +166,7 @@
             sender.demand = before.demand;
             sender.alive = before.alive;
         }
-        // Not every datagram has these two; the last ones received hold until the next.
+        // Not every datagram has these two; the last values received stay valid until the next.
         if !message.alive.is_empty() {
             sender.alive.clone_from(&message.alive);
             sender.demand.clone_from(&message.demand);
--- a/crates/view/src/gossip/outgoing.rs
+++ b/crates/view/src/gossip/outgoing.rs
@@ -23,14 +23,14 @@
 /// datagrams.
 const HUB_LOST_MS: u64 = 400;
 
-/// How long a hub that fell silent is not chosen again, in ms.
+/// Time for which a hub that fell silent is avoided, in ms.
 const AVOID_HUB_MS: u64 = 3_000;
 
 /// Most prompt parts, and most role changes, in one datagram: twice the prompt parts that two
 /// hundred engines get in a period at peak load.
 const MAX_ITEMS: usize = 400;
 
-/// How long the heartbeat record of an instance is sent again, in ms.
+/// How long the heartbeat record of an instance is resent, in ms.
 const RESEND_MEMBER_MS: u64 = 500;
 
 impl GossipState {
--- a/crates/view/src/hubs.rs
+++ b/crates/view/src/hubs.rs
@@ -1,4 +1,4 @@
-//! Which instances are hubs, i.e. gather the gossip of the others.
+//! Which instances are hubs, i.e. aggregate the gossip of the others.
 //!
 //! Each of three hundred instances must know within some tenths of a second what all have
 //! outstanding. All-to-all gossip would be 90,000 datagrams per period, and gossip with a few
--- a/crates/view/src/list_changes.rs
+++ b/crates/view/src/list_changes.rs
@@ -4,7 +4,7 @@
 //! instances read each change from the store, those calls would cost more than all others. So a
 //! change is gossiped with its offset in the log and that of the change before it. An instance that
 //! has applied the one before applies it and knows as much as the reader; one that missed a change
-//! asks a peer for the whole list.
+//! asks a peer for the full list.
 
 use std::collections::VecDeque;
 
@@ -12,10 +12,10 @@
 
 use crate::ListChange;
 
-/// How long a change is sent again, in ms: several datagrams, so that a lost one does not matter.
+/// How long a change is resent, in ms: several datagrams, so that a lost one does not matter.
 const RESEND_MS: u64 = 400;
 
-/// Most changes in one datagram. An instance that missed more asks for the whole list.
+/// Most changes in one datagram. An instance that missed more asks for the full list.
 const MAX_PER_MESSAGE: usize = 64;
 
 /// A change and its place in the log.
--- a/crates/view/src/log_follower.rs
+++ b/crates/view/src/log_follower.rs
@@ -1,7 +1,7 @@
 //! How far an instance has followed a log of the store, by its own reads or by gossip.
 //!
-//! Hundreds of instances follow one list of upstreams, which is written to all the time but rarely
-//! says something new. If each instance read it within the bound on leaving upstreams, those reads
+//! Hundreds of instances follow one list of upstreams, which is written to constantly but rarely
+//! with a real change. If each instance read it within the bound on leaving upstreams, those reads
 //! would be most of the store's load; if each read it on every change, calls would grow with
 //! instances times changes. So a few instances read, and gossip where the log ended, where its last
 //! change is, how old that read is, and what changed ([`crate::GossipedChange`]). An instance that
@@ -21,19 +21,20 @@
 /// requests with their answers.
 const ASK_PEERS_MS: u64 = 1_200;
 
-/// Time after a full read in which a peer usually tells where the last change is, in ms: several
-/// datagrams. With a longer time, all instances that start together would read twice.
+/// Time after a full read within which a peer usually gossips the offset of the last change, in ms:
+/// several datagrams. With a longer time, all instances that start together would read twice.
 const FULL_READ_SETTLE_MS: u64 = 400;
 
-/// How much older than the latest read of the same reader a read must be to count as one from after
-/// a reboot of that machine, in ms. No datagram is in transit for that long.
+/// Difference in ms by which a read must seem older than the latest one of the same reader to be
+/// taken for a newer read after a reboot, which restarts that machine's clock. No datagram is in
+/// transit for that long.
 const REBOOT_GAP_MS: u64 = 5_000;
 
 /// Identifies a read of the store, however often its result is passed on.
 ///
 /// A log position seems younger by the transit time of each hop. If a position that comes back
-/// counted as a new one, instances would keep each other's knowledge fresh for ever although nobody
-/// reads.
+/// counted as a new one, instances would refresh each other's knowledge for ever although none of
+/// them reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ReadId {
     /// Instance that read.
@@ -96,14 +97,14 @@
     read_id: ReadId,
     /// The latest read received from each other reader.
     peer_reads: Vec<ReadId>,
-    /// The last full read, until a peer has told where the last change before it is.
+    /// The last full read, until a peer has gossiped the offset of the last change before it.
     unplaced_read: Option<FullRead>,
     /// When a change was first gossiped that is not applied yet.
     behind_since_ms: Option<u64>,
 }
 
 impl LogFollower {
-    /// The follower of a log of which instance `own` knows nothing.
+    /// The follower of instance `own` for a log that it has not read yet.
     pub fn new(own: InstanceKey) -> Self {
         Self {
             own,
@@ -135,8 +136,8 @@
             self.last_known_change = self.last_known_change.max(changed);
             self.last_applied = self.last_applied.max(changed);
         }
-        // If gossip has already told of a later change, this read proves less than the peer's read
-        // does.
+        // If gossip has already reported a later change, this read does not cover it and does not
+        // show that there are no further changes.
         if next >= self.last_known_change {
             self.update_freshness(as_of_ms, self.own_read(as_of_ms));
         }
@@ -166,13 +167,13 @@
 
     /// Whether records before offset `next` have not been applied here.
     ///
-    /// Answers may overtake each other; one from before a change must not undo the change.
+    /// Answers may arrive out of order; one from before a change must not undo the change.
     pub fn lacks_records_before(&self, next: u64) -> bool {
         self.held.is_none_or(|held| held < next)
     }
 
-    /// Whether the offset of the last change is known. It is not after a full read, until a peer
-    /// tells it.
+    /// Whether the offset of the last change is known. After a full read it is unknown until a peer
+    /// gossips it.
     pub fn knows_last_change(&self) -> bool {
         self.unplaced_read.is_none()
     }
@@ -183,7 +184,7 @@
         self.last_known_change = self.last_known_change.max(position.last_change);
         self.end = self.end.max(position.end);
         // Only a read that went as far as the full read knows the last change in it. Comparing
-        // times would not do: the age of an older read leaves out its transit time, so it may seem
+        // times is not enough: the age of an older read leaves out its transit time, so it may seem
         // younger. Its `last_change`, passed on, would hide from all peers what changed between the
         // two reads.
         if self
@@ -299,7 +300,7 @@
         }
         let last_change = match self.unplaced_read {
             None => self.last_known_change,
-            // If no peer tells it, a reader takes the end of what it has read as the last change.
+            // If no peer gossips it, a reader takes the end of its read as the last change.
             Some(full_read)
                 if reads_for_others
                     && since_boot_ms >= full_read.as_of_ms + FULL_READ_SETTLE_MS =>
@@ -317,18 +318,18 @@
     }
 }
 
-/// What the list of upstreams last said of each upstream, apart from what this instance has found
-/// out by itself.
+/// The latest entry of each upstream in the list, regardless of what this instance has observed by
+/// itself.
 ///
-/// Whether a record says something new must not depend on its reader: a reader that already knows
-/// that an upstream is gone would otherwise not pass on the record by which its peers learn it.
+/// Whether a record is a change must not depend on its reader: a reader that has already observed
+/// that an upstream is gone would otherwise not pass on the record from which its peers learn it.
 #[derive(Debug, Default)]
 pub struct ListedEntries {
     entries: HashMap<String, UpstreamEntry>,
 }
 
 impl ListedEntries {
-    /// Applies a change. Returns whether it said anything besides that the upstream is alive.
+    /// Applies a change. Returns whether it does more than confirm that the upstream is alive.
     pub fn apply(&mut self, change: &ListChange) -> bool {
         match change {
             ListChange::Gone(id) => {
--- a/crates/view/src/members.rs
+++ b/crates/view/src/members.rs
@@ -1,4 +1,4 @@
-//! The instances of the fleet: which exist, and which were heard from lately.
+//! The instances of the fleet: which exist, and which are alive.
 //!
 //! Each instance writes a small heartbeat record to the store when it starts or its state changes,
 //! and rarely otherwise. By this record its peers learn that it exists and where. Whether it is
@@ -11,12 +11,12 @@
 
 use crate::InstanceKey;
 
-/// How long an instance may be missing from gossip, while peers are heard, before it counts as
+/// How long an instance may be missing from gossip, while gossip arrives, before it counts as
 /// silent, in ms: two lists of live instances, or two datagrams of an idle instance, and one lost
 /// datagram.
 const SILENT_MS: u64 = 800;
 
-/// Time without gossip from anybody after which this instance must itself be cut off, in ms. It has
+/// Time without any gossip after which this instance itself counts as cut off, in ms. It has
 /// switched to another hub by then.
 const ISOLATED_MS: u64 = 1_200;
 
@@ -136,7 +136,8 @@
         self.mark_alive(now_ms, key);
     }
 
-    /// Records that this instance itself is alive, which does not show that it hears its peers.
+    /// Records that this instance itself is alive, which does not show that it receives gossip from
+    /// peers.
     pub fn record_self_alive(&mut self, now_ms: u64, key: InstanceKey) {
         self.mark_alive(now_ms, key);
     }
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Whether gossip has named an unknown instance for a while. Returns true once, then waits
-    /// anew.
+    /// Whether gossip has named an unknown instance for a while. Returns true once and then
+    /// restarts the wait.
     pub fn take_unknown_member(&mut self, now_ms: u64) -> bool {
         let is_missing = self
             .unknown_since_ms
@@ -174,7 +175,7 @@
             / FULL_RATE_INSTANCES
     }
 
-    /// Whether this instance has received no gossip for so long that it must itself be cut off.
+    /// Whether this instance has received no gossip for so long that it itself counts as cut off.
     pub fn is_isolated(&self, now_ms: u64) -> bool {
         self.last_gossip_ms
             .is_none_or(|at_ms| at_ms + ISOLATED_MS < now_ms)
@@ -184,7 +185,7 @@
     ///
     /// A killed or frozen instance stops gossiping at once, while its heartbeat records are missed
     /// only much later; callers sent there in between would lose a second each. Silence is counted
-    /// up to the last gossip from anybody, so an instance that is cut off drops no peer for it.
+    /// up to the last gossip from any peer, so an instance that is cut off drops no peer for it.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         self.reachable_entries().map(|known| &known.member)
     }
@@ -210,7 +211,7 @@
     /// Instances whose record says that they accept callers, whether or not they still gossip.
     ///
     /// Their age is counted up to the last read of the store. While the store cannot be read, no
-    /// instance expires, because the silence is the store's.
+    /// instance expires, since missing records then show nothing about the instances.
     pub fn ready(&self) -> impl Iterator<Item = &Member> {
         self.ready_entries().map(|known| &known.member)
     }
@@ -256,8 +257,8 @@
 }
 
 impl Known {
-    /// Whether it was last heard from too long before `last_gossip_ms`. Its record counts too, so
-    /// that a new instance is not silent before gossip names it.
+    /// Whether it was last known to be alive too long before `last_gossip_ms`. Its record counts
+    /// too, so that a new instance is not silent before gossip names it.
     fn is_silent(&self, last_gossip_ms: u64) -> bool {
         let last_ms = self.alive_ms.unwrap_or_default().max(self.record_ms);
         last_ms + SILENT_MS < last_gossip_ms
--- a/crates/view/src/message.rs
+++ b/crates/view/src/message.rs
@@ -56,7 +56,8 @@
     pub upstream: UpstreamKey,
     /// The stage that it changes to.
     pub stage: Stage,
-    /// How long it still gets no work, in ms, unless the list shows its new stage before.
+    /// Time for which it still gets no work, in ms; it ends earlier if the list shows the new
+    /// stage.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u32,
 }
@@ -68,7 +69,7 @@
     pub upstream: UpstreamKey,
     /// Requests a second; `None` if the upstream no longer names a limit.
     pub per_s: Option<f64>,
-    /// When the upstream said so, in ms since 1970. The latest statement counts.
+    /// When the upstream set or withdrew the limit, in ms since 1970. The latest value counts.
     pub at_ms: u64,
 }
 
@@ -97,7 +98,7 @@
     pub kind: MessageKind,
     /// Whether `loads` has all loads, or only those that changed since the previous datagram.
     pub is_full: bool,
-    /// Outstanding load by upstream; an empty load says that nothing is outstanding any more.
+    /// Outstanding load by upstream; an empty load means that nothing is outstanding any more.
     pub loads: Vec<(UpstreamKey, Load)>,
     /// Prompt parts sent to prefill lately.
     pub prefilled_parts: Vec<PrefilledPart>,
@@ -105,7 +106,7 @@
     pub role_changes: Vec<PendingRoleChange>,
     /// Demand of their callers.
     pub demand: Vec<ServiceDemand>,
-    /// Ready instances that were heard from lately.
+    /// Ready instances that are alive, as far as the sender knows.
     pub alive: Vec<InstanceKey>,
     /// Heartbeat records that may be new to the receiver.
     pub members: Vec<Member>,
@@ -119,7 +120,7 @@
     pub list_changes: Vec<GossipedChange>,
     /// Evidence for failure attribution.
     pub evidence: Vec<FailureEvidence>,
-    /// Poison requests, which no upstream may get any more.
+    /// Poison requests, which must not be sent to any upstream.
     pub poison: Vec<RequestKey>,
     /// Limits that upstreams named or withdrew lately.
     pub limits: Vec<UpstreamLimit>,
--- a/crates/view/src/poison.rs
+++ b/crates/view/src/poison.rs
@@ -1,12 +1,12 @@
 //! Detects poison requests, which crash every upstream that runs them.
 //!
-//! A poison request ends each engine that begins to answer it, together with everything else that
-//! the engine runs. It is retried, its caller sends it again to any instance, and each time the
+//! A poison request crashes each engine that begins to answer it, together with everything else
+//! that the engine runs. Instances retry it, its caller may resend it to any instance, and each
 //! attempt has a new id. If losses counted only against the engine, each would look like the fault
-//! of another engine, and one request would take down all decode engines again and again.
+//! of another engine, and one request would take down all decode engines, one after the other.
 //!
 //! So losses count against the request as well, identified by its content and not by its attempt,
-//! and instances gossip what they see. A request that gets a whole answer is cleared. See
+//! and instances gossip what they see. A request that gets a complete answer is cleared. See
 //! docs/design/retries.md.
 
 use std::collections::HashMap;
@@ -21,8 +21,8 @@
 /// requests meet two upstreams that end for their own reasons.
 const ENDED_THRESHOLD: usize = 2;
 
-/// How long a request is remembered after it last came, in ms: far longer than callers wait before
-/// they try again, and short enough to find out that the upstreams have been fixed.
+/// How long a request is remembered after it last arrived, in ms: far longer than callers wait
+/// before they retry, and short enough to find out that the upstreams have been fixed.
 pub const RETENTION_MS: u64 = 3_600_000;
 
 /// Most requests, and most ended upstreams, that are tracked: the losses of hundreds of engines
@@ -70,10 +70,9 @@
 #[derive(Debug, Default)]
 struct Suspect {
     lost: Vec<UpstreamKey>,
-    /// Losses from before the request was answered. They do not count again when gossip repeats
-    /// them.
+    /// Losses from before the request was answered. They are not counted when gossip repeats them.
     cleared: Vec<UpstreamKey>,
-    /// Whether a peer or the store says that it is poison.
+    /// Whether a peer or the store has reported it as poison.
     is_marked: bool,
     store_record: StoreRecord,
     is_reported: bool,
@@ -168,10 +167,10 @@
         was_suspected
     }
 
-    /// Records that a peer, or the store, says that a request is poison.
+    /// Records that a peer or the store has reported a request as poison.
     pub fn mark_poison(&mut self, now_ms: u64, request: RequestKey) {
         let suspect = self.requests.entry(request).or_default();
-        // An answer to it is known here, which may not have reached the peer yet.
+        // The request was answered; the peer may not have received that evidence yet.
         if !suspect.cleared.is_empty() || (suspect.is_marked && !suspect.is_old(now_ms)) {
             return;
         }
@@ -180,7 +179,7 @@
         self.evict(now_ms);
     }
 
-    /// Whether no upstream may get a request any more.
+    /// Whether a request must not be sent to any upstream.
     pub fn is_poison(&self, now_ms: u64, request: RequestKey) -> bool {
         let suspect = self.requests.get(&request);
         suspect.is_some_and(|suspect| suspect.is_poison(now_ms, &self.ended))
@@ -208,14 +207,14 @@
         self.requests.contains_key(&request)
     }
 
-    /// Records that a request came and was refused, so that it is remembered for longer.
+    /// Records that a request arrived and was refused, so that it is remembered for longer.
     pub fn record_refusal(&mut self, now_ms: u64, request: RequestKey) {
         if let Some(suspect) = self.requests.get_mut(&request) {
             suspect.at_ms = now_ms;
         }
     }
 
-    /// The poison requests that came last.
+    /// The poison requests that arrived last.
     ///
     /// Instances gossip them all the time, so that a peer that was frozen, cut off or just started
     /// knows them from the first datagram and need not lose upstreams of its own.
@@ -243,7 +242,7 @@
         found
     }
 
-    /// Poison requests that were found out here and are not in the store yet.
+    /// Poison requests that were detected here and are not in the store yet.
     pub fn unsaved(&self, now_ms: u64) -> Vec<RequestKey> {
         let is_unsaved = |suspect: &Suspect| suspect.store_record == StoreRecord::Unsaved;
         self.requests
@@ -269,7 +268,7 @@
         }
     }
 
-    /// If too many requests are tracked, drops old ones and then the one that came longest ago,
+    /// If too many requests are tracked, drops old ones and then the one that arrived longest ago,
     /// poison requests last.
     fn evict(&mut self, now_ms: u64) {
         if self.requests.len() <= MAX_TRACKED {
--- a/crates/view/src/polling.rs
+++ b/crates/view/src/polling.rs
@@ -1,12 +1,12 @@
 //! How often the store's logs are polled, by which instances, and how long a read waits there.
 //!
 //! Every call has a price, and all instances share one rate limit. So a few instances read for the
-//! fleet and gossip what a log says ([`crate::log_follower`]). A log that rarely changes is read by
-//! long polls, one that is written to all the time at intervals.
+//! fleet and gossip the result ([`crate::log_follower`]). A log that rarely changes is read by long
+//! polls; a log that is written to constantly is read at intervals.
 //!
-//! A long poll that was sent before an outage of the store would only be given up seconds after the
-//! store's return, while a new version may be published on that return. That limits how long a read
-//! may wait.
+//! A long poll that was sent before an outage of the store is given up only seconds after the store
+//! returns, and a new version may be published as soon as it does. This limits how long a read may
+//! wait.
 
 /// Long-poll wait for the configuration, as a share of the time in which a new version must be in
 /// force. Changes arrive at once, and peers learn in time that there was none.
