--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -332,14 +332,14 @@
         bundle_version: version,
         applied_offset: log_reader.state().next_offset(),
     };
-    let others = peer_table.live(app.now_ms()).map(|beat| InstanceView {
-        instance: &beat.instance,
-        zone: &beat.zone,
-        condition: format!("{:?}", beat.condition).to_lowercase(),
-        bundle_version: beat.bundle_version,
-        applied_offset: beat.applied_offset,
+    let peers = peer_table.live(app.now_ms()).map(|heartbeat| InstanceView {
+        instance: &heartbeat.instance,
+        zone: &heartbeat.zone,
+        condition: format!("{:?}", heartbeat.condition).to_lowercase(),
+        bundle_version: heartbeat.bundle_version,
+        applied_offset: heartbeat.applied_offset,
     });
-    let instances = std::iter::once(me).chain(others).collect();
+    let instances = std::iter::once(me).chain(peers).collect();
     let status = Status {
         version,
         digest: bundle.map_or(String::new(), |bundle| bundle.digest().to_owned()),
--- a/crates/entry/src/control/desired_states.rs
+++ b/crates/entry/src/control/desired_states.rs
@@ -70,7 +70,7 @@
             .peer_table
             .borrow()
             .live(now_ms)
-            .all(|beat| beat.bundle_version >= version);
+            .all(|heartbeat| heartbeat.bundle_version >= version);
         if !all_updated || now_ms < self.last_roll.borrow().1 + OLD_VERSION_RETENTION_MS {
             return Vec::new();
         }
@@ -131,9 +131,9 @@
             return Vec::new();
         };
         let (mut prompt, mut output) = (0.0, 0.0);
-        for beat in self.app.peer_table.borrow().live(now_ms) {
-            prompt += beat.prompt_rate;
-            output += beat.output_rate;
+        for heartbeat in self.app.peer_table.borrow().live(now_ms) {
+            prompt += heartbeat.prompt_rate;
+            output += heartbeat.output_rate;
         }
         let fleet = self.app.fleet.borrow();
         let indices: Vec<usize> = fleet
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -48,9 +48,9 @@
         return;
     };
     let (mut prompt, mut output) = (0.0, 0.0);
-    for beat in app.peer_table.borrow().live(now_ms) {
-        prompt += beat.prompt_rate;
-        output += beat.output_rate;
+    for heartbeat in app.peer_table.borrow().live(now_ms) {
+        prompt += heartbeat.prompt_rate;
+        output += heartbeat.output_rate;
     }
     let forecast = app.forecast.borrow().with_peer_rates(prompt, output);
     let mut fleet = app.fleet.borrow_mut();
@@ -76,7 +76,7 @@
     let own = own_heartbeat(&app);
     let limit_ms = app.settings.membership.suspect_ms;
     match app.peer_client.exchange(&peer, &own, limit_ms).await {
-        Ok(beat) => receive_heartbeat(&app, beat),
+        Ok(heartbeat) => receive_heartbeat(&app, heartbeat),
         Err(error) => log::debug!(step = error.operation, peer = error.peer.as_str(); "{error}"),
     }
 }
@@ -122,22 +122,24 @@
     }
 }
 
-fn receive_heartbeat(app: &App, beat: Heartbeat) {
+fn receive_heartbeat(app: &App, heartbeat: Heartbeat) {
     let now_ms = app.now_ms();
-    if let Some(loads) = &beat.sent_load {
+    if let Some(loads) = &heartbeat.sent_load {
         let mut fleet = app.fleet.borrow_mut();
         // An engine that the heartbeat does not list has no load from that peer any more.
         for engine in fleet.iter_mut() {
-            engine.record_peer_load(now_ms, &beat.instance, Outstanding::default());
+            engine.record_peer_load(now_ms, &heartbeat.instance, Outstanding::default());
         }
         for load in loads {
             if let Some(index) = fleet.index_of(&load.engine) {
                 let engine = fleet.get_mut(index);
-                engine.record_peer_load(now_ms, &beat.instance, outstanding(load));
+                engine.record_peer_load(now_ms, &heartbeat.instance, outstanding(load));
             }
         }
     }
-    app.peer_table.borrow_mut().record_heartbeat(now_ms, beat);
+    app.peer_table
+        .borrow_mut()
+        .record_heartbeat(now_ms, heartbeat);
 }
 
 fn outstanding(load: &EngineLoad) -> Outstanding {
@@ -159,8 +161,8 @@
 pub(crate) struct PeerHandler(pub(crate) Rc<App>);
 
 impl peer::Handler for PeerHandler {
-    fn exchange(&self, beat: Heartbeat) -> Heartbeat {
-        receive_heartbeat(&self.0, beat);
+    fn exchange(&self, heartbeat: Heartbeat) -> Heartbeat {
+        receive_heartbeat(&self.0, heartbeat);
         own_heartbeat(&self.0)
     }
 
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -69,16 +69,16 @@
     let now_ms = app.now_ms();
     let peer_table = app.peer_table.borrow();
     let ready = peer_table.ready(now_ms, &app.settings.zone);
-    let usable = |beat: &&&Heartbeat| {
+    let usable = |heartbeat: &&&Heartbeat| {
         peer_table
-            .address(&beat.instance, beat.incarnation)
+            .address(&heartbeat.instance, heartbeat.incarnation)
             .is_some()
     };
     let usable: Vec<&&Heartbeat> = ready.iter().filter(usable).collect();
     let other_zones: Vec<&&Heartbeat> = usable
         .iter()
         .copied()
-        .filter(|beat| beat.zone != app.settings.zone)
+        .filter(|heartbeat| heartbeat.zone != app.settings.zone)
         .collect();
     let candidates = if other_zones.is_empty() {
         &usable
@@ -101,11 +101,11 @@
 }
 
 impl From<&Heartbeat> for Instance {
-    fn from(beat: &Heartbeat) -> Self {
+    fn from(heartbeat: &Heartbeat) -> Self {
         Self {
-            instance: beat.instance.clone(),
-            address: beat.caller_address.clone(),
-            zone: beat.zone.clone(),
+            instance: heartbeat.instance.clone(),
+            address: heartbeat.caller_address.clone(),
+            zone: heartbeat.zone.clone(),
         }
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -186,7 +186,7 @@
     ready
         .iter()
         .take(MAX_ALTERNATIVES)
-        .map(|beat| beat.caller_address.clone())
+        .map(|heartbeat| heartbeat.caller_address.clone())
         .collect()
 }
 
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -142,10 +142,12 @@
     let bundle = app.bundle().ok_or_else(no_bundle)?;
     tenant(&bundle, request)?;
     let peer_table = app.peer_table.borrow();
-    let others = peer_table.live(app.now_ms()).map(|beat| InstanceVersion {
-        instance: beat.instance.clone(),
-        version: beat.bundle_version,
-    });
+    let peers = peer_table
+        .live(app.now_ms())
+        .map(|heartbeat| InstanceVersion {
+            instance: heartbeat.instance.clone(),
+            version: heartbeat.bundle_version,
+        });
     let me = InstanceVersion {
         instance: app.identity.instance.clone(),
         version: bundle.bundle().version,
@@ -154,7 +156,7 @@
         version: bundle.bundle().version,
         digest: bundle.digest(),
         offset: app.log_reader.borrow().state().in_force_offset(),
-        instances: std::iter::once(me).chain(others).collect(),
+        instances: std::iter::once(me).chain(peers).collect(),
     };
     Ok(web::json(StatusCode::OK, &in_force))
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -36,11 +36,16 @@
 
 impl Client {
     /// Sends a heartbeat and returns the peer's heartbeat.
-    pub async fn exchange(&self, peer: &str, beat: &Heartbeat, limit_ms: u64) -> Result<Heartbeat> {
+    pub async fn exchange(
+        &self,
+        peer: &str,
+        heartbeat: &Heartbeat,
+        limit_ms: u64,
+    ) -> Result<Heartbeat> {
         let operation = "exchange";
         self.call_peer(operation, peer, limit_ms, |connection| {
             let mut request = connection.exchange_request();
-            beat.fill(request.get().init_beat());
+            heartbeat.fill(request.get().init_beat());
             async move {
                 let response = request.send().promise.await?;
                 Heartbeat::try_from(response.get()?.get_beat()?).map_err(Into::into)
--- a/crates/peer/src/peer_table.rs
+++ b/crates/peer/src/peer_table.rs
@@ -82,15 +82,18 @@
     }
 
     /// Records a heartbeat that was received directly from its sender.
-    pub fn record_heartbeat(&mut self, now_ms: u64, beat: Heartbeat) {
-        let peer = self.peers.entry(beat.instance.clone()).or_insert(PeerInfo {
-            instance: beat.instance.clone(),
-            peer_address: String::new(),
-            zone: beat.zone.clone(),
-            last_heartbeat: None,
-            leaving: false,
-        });
-        peer.last_heartbeat = Some((now_ms, beat));
+    pub fn record_heartbeat(&mut self, now_ms: u64, heartbeat: Heartbeat) {
+        let peer = self
+            .peers
+            .entry(heartbeat.instance.clone())
+            .or_insert(PeerInfo {
+                instance: heartbeat.instance.clone(),
+                peer_address: String::new(),
+                zone: heartbeat.zone.clone(),
+                last_heartbeat: None,
+                leaving: false,
+            });
+        peer.last_heartbeat = Some((now_ms, heartbeat));
     }
 
     /// Records that a call to an instance failed: it is not named to callers until its next
@@ -124,9 +127,9 @@
             .values()
             .filter(|peer| !peer.leaving && self.is_fresh(now_ms, peer))
             .filter_map(|peer| peer.last_heartbeat.as_ref().map(|heartbeat| &heartbeat.1))
-            .filter(|beat| beat.condition == Condition::Ready)
+            .filter(|heartbeat| heartbeat.condition == Condition::Ready)
             .collect();
-        ready.sort_by_key(|beat| (beat.zone != zone, beat.instance.clone()));
+        ready.sort_by_key(|heartbeat| (heartbeat.zone != zone, heartbeat.instance.clone()));
         ready
     }
 
@@ -185,7 +188,7 @@
         let own_hash = rendezvous_hash(me, subject);
         let lower = self
             .live(now_ms)
-            .filter(|beat| rendezvous_hash(&beat.instance, subject) < own_hash);
+            .filter(|heartbeat| rendezvous_hash(&heartbeat.instance, subject) < own_hash);
         lower.count() as u64
     }
 
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -16,7 +16,7 @@
 #[allow(async_fn_in_trait, reason = "every caller runs on one thread")]
 pub trait Handler: 'static {
     /// Processes a heartbeat and returns this instance's own.
-    fn exchange(&self, beat: Heartbeat) -> Heartbeat;
+    fn exchange(&self, heartbeat: Heartbeat) -> Heartbeat;
     /// Returns the records from an offset on, the next offset, and a snapshot if records are
     /// missing.
     fn records(&self, from: u64) -> (Vec<RawRecord>, u64, Option<Vec<u8>>);
@@ -111,9 +111,9 @@
         params: peer_capnp::peer::ExchangeParams,
         mut results: peer_capnp::peer::ExchangeResults,
     ) -> capnp::Result<()> {
-        let beat =
+        let heartbeat =
             Heartbeat::try_from(params.get()?.get_beat()?).map_err(|error| rejected(&error))?;
-        let own = self.handler.exchange(beat);
+        let own = self.handler.exchange(heartbeat);
         own.fill(results.get().init_beat());
         Ok(())
     }
--- a/crates/peer/tests/peer_table.rs
+++ b/crates/peer/tests/peer_table.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn beat(number: usize, zone: &str, condition: Condition) -> Heartbeat {
+fn heartbeat(number: usize, zone: &str, condition: Condition) -> Heartbeat {
     Heartbeat {
         instance: format!("entry-{number}"),
         incarnation: 7,
@@ -44,22 +44,25 @@
         .map(|(number, zone)| peer_info(number, zone));
     peers.apply_list(0, listed);
     for (number, zone) in zones.iter().enumerate() {
-        peers.record_heartbeat(0, beat(number, zone, Condition::Ready));
+        peers.record_heartbeat(0, heartbeat(number, zone, Condition::Ready));
     }
     peers
 }
 
 fn ready_names(peers: &PeerTable, now_ms: u64) -> Vec<String> {
     let ready = peers.ready(now_ms, "b");
-    ready.iter().map(|beat| beat.instance.clone()).collect()
+    ready
+        .iter()
+        .map(|heartbeat| heartbeat.instance.clone())
+        .collect()
 }
 
 #[test]
 fn ready_instances_of_the_own_zone_come_first() {
     let mut peers = fleet(&["a", "b", "a", "b"]);
-    peers.record_heartbeat(500, beat(0, "a", Condition::Ready));
-    peers.record_heartbeat(500, beat(1, "b", Condition::Leaving));
-    peers.record_heartbeat(500, beat(3, "b", Condition::Ready));
+    peers.record_heartbeat(500, heartbeat(0, "a", Condition::Ready));
+    peers.record_heartbeat(500, heartbeat(1, "b", Condition::Leaving));
+    peers.record_heartbeat(500, heartbeat(3, "b", Condition::Ready));
     assert_eq!(ready_names(&peers, 1_200), ["entry-3", "entry-0"]);
 }
 
@@ -70,7 +73,7 @@
     let mut peers = fleet(&["a", "b"]);
     peers.record_pause(100);
     assert!(ready_names(&peers, 150).is_empty());
-    peers.record_heartbeat(160, beat(1, "b", Condition::Ready));
+    peers.record_heartbeat(160, heartbeat(1, "b", Condition::Ready));
     assert_eq!(ready_names(&peers, 170), ["entry-1"]);
 }
 
@@ -87,7 +90,7 @@
 #[test]
 fn an_outdated_list_does_not_drop_a_live_instance() {
     let mut peers = fleet(&["a", "b"]);
-    peers.record_heartbeat(900, beat(1, "b", Condition::Ready));
+    peers.record_heartbeat(900, heartbeat(1, "b", Condition::Ready));
     peers.apply_list(1_000, std::iter::once(peer_info(0, "a")));
     assert_eq!(ready_names(&peers, 1_100), ["entry-1"]);
 }
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -250,12 +250,12 @@
 
     /// Drops the digests of former hubs, whose load would be counted twice.
     fn drop_other_digests(&mut self, hub: InstanceKey, changed: &mut Vec<UpstreamKey>) {
-        let others: Vec<InstanceKey> = self
+        let former_hubs: Vec<InstanceKey> = self
             .of_kind(MessageKind::Digest)
             .map(|(key, _)| *key)
             .filter(|key| *key != hub)
             .collect();
-        for key in others {
+        for key in former_hubs {
             self.drop_sender(key, changed);
         }
     }
--- a/crates/view/src/gossip/outgoing.rs
+++ b/crates/view/src/gossip/outgoing.rs
@@ -57,10 +57,10 @@
         let has_receivers = self
             .senders
             .values()
-            .any(|it| it.kind != MessageKind::Digest);
+            .any(|sender| sender.kind != MessageKind::Digest);
         if ranks.is_hub() || has_receivers {
             self.hub = None;
-            self.gather(now_ms, &own, ranks, must_send)
+            self.aggregate(now_ms, &own, ranks, must_send)
         } else {
             self.report(now_ms, own, ranks, must_send)
         }
@@ -108,17 +108,17 @@
     fn choose_hub(&mut self, now_ms: u64, own: &Member, hubs: &[Member]) -> Option<SocketAddr> {
         self.avoided_hubs.retain(|_, until_ms| now_ms < *until_ms);
         if let Some(hub) = self.hub {
-            let last_heard_ms = self.senders.get(&hub.key).map_or(0, |sender| sender.at_ms);
+            let last_received_ms = self.senders.get(&hub.key).map_or(0, |sender| sender.at_ms);
             let hub_member = hubs.iter().find(|it| InstanceKey::of(&it.name) == hub.key);
-            let is_lost = now_ms > last_heard_ms.max(hub.since_ms) + HUB_LOST_MS;
+            let is_lost = now_ms > last_received_ms.max(hub.since_ms) + HUB_LOST_MS;
             match hub_member {
                 Some(member) if !is_lost => return member.gossip_address,
                 _ => self.avoided_hubs.insert(hub.key, now_ms + AVOID_HUB_MS),
             };
         }
         let is_avoided = |hub: &Member| self.avoided_hubs.contains_key(&InstanceKey::of(&hub.name));
-        let others: Vec<&Member> = hubs.iter().filter(|hub| !is_avoided(hub)).collect();
-        let nearest = hubs::nearest(&own.name, &own.zone, &others)?;
+        let candidates: Vec<&Member> = hubs.iter().filter(|hub| !is_avoided(hub)).collect();
+        let nearest = hubs::nearest(&own.name, &own.zone, &candidates)?;
         self.hub = Some(Hub {
             key: InstanceKey::of(&nearest.name),
             since_ms: now_ms,
@@ -126,7 +126,7 @@
         nearest.gossip_address
     }
 
-    fn gather(
+    fn aggregate(
         &mut self,
         now_ms: u64,
         own: &LocalState,
--- a/crates/view/src/log_follower.rs
+++ b/crates/view/src/log_follower.rs
@@ -98,7 +98,7 @@
     /// The latest read received from each other reader.
     peer_reads: Vec<ReadId>,
     /// The last full read, until a peer has gossiped the offset of the last change before it.
-    unplaced_read: Option<FullRead>,
+    pending_full_read: Option<FullRead>,
     /// When a change was first gossiped that is not applied yet.
     behind_since_ms: Option<u64>,
 }
@@ -152,7 +152,7 @@
     pub fn record_snapshot(&mut self, as_of_ms: u64, next: u64) {
         self.record_read(as_of_ms, next, None);
         self.last_applied = self.last_applied.max(next);
-        self.unplaced_read = Some(FullRead { as_of_ms, next });
+        self.pending_full_read = Some(FullRead { as_of_ms, next });
     }
 
     fn advance(&mut self, next: u64) {
@@ -175,7 +175,7 @@
     /// Whether the offset of the last change is known. After a full read it is unknown until a peer
     /// gossips it.
     pub fn knows_last_change(&self) -> bool {
-        self.unplaced_read.is_none()
+        self.pending_full_read.is_none()
     }
 
     /// Takes in the log position of a peer.
@@ -188,10 +188,10 @@
         // younger. Its `last_change`, passed on, would hide from all peers what changed between the
         // two reads.
         if self
-            .unplaced_read
+            .pending_full_read
             .is_some_and(|full_read| full_read.next <= position.end)
         {
-            self.unplaced_read = None;
+            self.pending_full_read = None;
         }
         if self.is_behind() {
             self.behind_since_ms.get_or_insert(since_boot_ms);
@@ -272,12 +272,7 @@
     }
 
     /// What this instance must do now if its knowledge may be at most `most_ms` old.
-    pub fn next_action(
-        &self,
-        since_boot_ms: u64,
-        most_ms: u64,
-        reads_for_others: bool,
-    ) -> FollowAction {
+    pub fn next_action(&self, since_boot_ms: u64, most_ms: u64, is_reader: bool) -> FollowAction {
         if self.next.is_none() || self.age_ms(since_boot_ms) >= most_ms {
             return FollowAction::ReadStore;
         }
@@ -285,7 +280,7 @@
             return FollowAction::UpToDate;
         }
         let behind_ms = since_boot_ms.saturating_sub(self.behind_since_ms.unwrap_or(since_boot_ms));
-        if reads_for_others || behind_ms >= ASK_PEERS_MS {
+        if is_reader || behind_ms >= ASK_PEERS_MS {
             FollowAction::ReadStore
         } else {
             FollowAction::AskPeer
@@ -294,16 +289,15 @@
 
     /// The log position to gossip. `None` while this instance has not applied all changes it knows
     /// of, or does not know where the last change is.
-    pub fn position(&self, since_boot_ms: u64, reads_for_others: bool) -> Option<LogPosition> {
+    pub fn position(&self, since_boot_ms: u64, is_reader: bool) -> Option<LogPosition> {
         if self.is_behind() {
             return None;
         }
-        let last_change = match self.unplaced_read {
+        let last_change = match self.pending_full_read {
             None => self.last_known_change,
             // If no peer gossips it, a reader takes the end of its read as the last change.
             Some(full_read)
-                if reads_for_others
-                    && since_boot_ms >= full_read.as_of_ms + FULL_READ_SETTLE_MS =>
+                if is_reader && since_boot_ms >= full_read.as_of_ms + FULL_READ_SETTLE_MS =>
             {
                 self.last_applied
             }
--- a/crates/view/src/poison.rs
+++ b/crates/view/src/poison.rs
@@ -73,7 +73,7 @@
     /// Losses from before the request was answered. They are not counted when gossip repeats them.
     cleared: Vec<UpstreamKey>,
     /// Whether a peer or the store has reported it as poison.
-    is_marked: bool,
+    is_known_poison: bool,
     store_record: StoreRecord,
     is_reported: bool,
     at_ms: u64,
@@ -87,7 +87,7 @@
     fn is_poison(&self, now_ms: u64, ended: &HashMap<UpstreamKey, u64>) -> bool {
         let ended = |key: &&UpstreamKey| ended.contains_key(key);
         let is_suspected =
-            self.is_marked || self.lost.iter().filter(ended).count() >= ENDED_THRESHOLD;
+            self.is_known_poison || self.lost.iter().filter(ended).count() >= ENDED_THRESHOLD;
         is_suspected && !self.is_old(now_ms)
     }
 }
@@ -160,8 +160,8 @@
         let Some(suspect) = self.requests.get_mut(&request) else {
             return false;
         };
-        let was_suspected = suspect.is_marked || !suspect.lost.is_empty();
-        suspect.is_marked = false;
+        let was_suspected = suspect.is_known_poison || !suspect.lost.is_empty();
+        suspect.is_known_poison = false;
         let lost = std::mem::take(&mut suspect.lost);
         suspect.cleared.extend(lost);
         was_suspected
@@ -171,10 +171,10 @@
     pub fn mark_poison(&mut self, now_ms: u64, request: RequestKey) {
         let suspect = self.requests.entry(request).or_default();
         // The request was answered; the peer may not have received that evidence yet.
-        if !suspect.cleared.is_empty() || (suspect.is_marked && !suspect.is_old(now_ms)) {
+        if !suspect.cleared.is_empty() || (suspect.is_known_poison && !suspect.is_old(now_ms)) {
             return;
         }
-        suspect.is_marked = true;
+        suspect.is_known_poison = true;
         suspect.at_ms = now_ms;
         self.evict(now_ms);
     }
