--- a/crates/duty/tests/ledger.rs
+++ b/crates/duty/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Usage counts that are lost, duplicated, or arrive by two ways.
+//! Usage counts that are lost, duplicated, or arrive on two paths.
 
 use std::collections::BTreeMap;
 
@@ -49,7 +49,7 @@
 
 /// Guards against counts that are lost with a hub: a new hub must get them again.
 #[test]
-fn counts_are_sent_again_to_a_new_hub() {
+fn counts_are_resent_to_a_new_hub() {
     let mut from = UsageLedger::new(7);
     from.record_start(5, ONE);
     from.record_start(6, ONE);
@@ -84,7 +84,7 @@
     assert_eq!(hub.to_send().len(), 1);
 }
 
-/// Guards against an instance whose clock has jumped: its distant windows must not push out the
+/// Guards against an instance whose clock has jumped: its distant windows must not evict the
 /// others.
 #[test]
 fn distant_windows_are_ignored() {
@@ -109,8 +109,8 @@
         ..ProptestConfig::with_cases(1_000)
     })]
 
-    /// Whatever is lost, duplicated or reordered: all counts are right once each instance has sent
-    /// its last tally.
+    /// All counts are right once each instance has sent its last tally, whatever was lost,
+    /// duplicated or reordered before.
     #[test]
     fn every_start_is_counted_in_the_end(
         steps in prop::collection::vec((0_usize..4, 0_u32..3, 0_u8..3), 0..200)
--- a/crates/duty/tests/reports.rs
+++ b/crates/duty/tests/reports.rs
@@ -35,7 +35,7 @@
     );
 }
 
-/// Guards against an empty window that is never reported, so that it looks forgotten.
+/// Guards against an empty window that is never reported, so that the report seems to be missing.
 #[test]
 fn empty_window_is_reported_if_seen_from_its_start() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(9));
@@ -61,8 +61,8 @@
     );
 }
 
-/// Guards against a report that is not sent again after its answer was lost, and against one that
-/// is sent at each check.
+/// Guards against a report that is not resent after its answer was lost, and against one that is
+/// sent at each check.
 #[test]
 fn report_is_resent_until_accepted() {
     let mut reports = UsageReports::new(WINDOWS, WINDOWS.start_ms(9));
--- a/crates/plan/tests/placement.rs
+++ b/crates/plan/tests/placement.rs
@@ -208,7 +208,7 @@
 /// is not preempted, so the new prompt waits for about half of it; an engine without one must be
 /// chosen.
 #[test]
-fn a_running_prefill_of_a_late_prompt_is_waited_for() {
+fn a_running_prefill_of_a_late_prompt_delays_new_prompts() {
     let model = LatencyModel::default();
     let running = EngineView {
         lower_priority_tokens: 20_000.0,
--- a/crates/plan/tests/split.rs
+++ b/crates/plan/tests/split.rs
@@ -13,7 +13,7 @@
 /// Duration of a role change, in ms.
 const CHANGE_MS: u64 = 5_000;
 
-/// A simulated fleet whose engines change their roles as the planner says.
+/// A simulated fleet whose engines change their roles as the planner orders.
 struct Fleet {
     planner: SplitPlanner,
     peak: PeakDemand,
--- a/crates/view/tests/clock.rs
+++ b/crates/view/tests/clock.rs
@@ -29,8 +29,8 @@
     assert_eq!(clock.now_ms(1_000, BOOT_MS + 6_000), BOOT_MS + 1_000);
 }
 
-/// Guards against an instance that counts by its own clock although its hub knows better, also
-/// between two datagrams and after its clock was set.
+/// Guards against an instance that uses its own clock instead of its hub's time, also between two
+/// datagrams and after its clock was set.
 #[test]
 fn reporter_adopts_the_time_of_its_hub() {
     let mut clock = FleetClock::default();
--- a/crates/view/tests/common/log.rs
+++ b/crates/view/tests/common/log.rs
@@ -2,7 +2,7 @@
 
 use view::{InstanceKey, LogFollower};
 
-/// A log that is written to all the time and has a change at some offsets.
+/// A log that is written to constantly and has a change at some offsets.
 #[derive(Default)]
 pub struct Log {
     pub end: u64,
--- a/crates/view/tests/common/mod.rs
+++ b/crates/view/tests/common/mod.rs
@@ -152,7 +152,7 @@
         each.members
             .record_self_alive(now_ms, InstanceKey::of(&each.member.name));
         if each.members.take_unknown_member(now_ms) {
-            // Stands for a query to a peer that knows all members.
+            // Simulates a query to a peer that knows all members.
             for other in (0..instances).map(member) {
                 each.members.receive_heartbeat(now_ms, &other);
             }
@@ -213,14 +213,14 @@
         self.positions.extend(message.list_position);
     }
 
-    /// The instance sees evidence itself.
+    /// Records evidence that the instance itself has observed.
     pub fn observe(&mut self, now_ms: u64, evidence: FailureEvidence) {
         if self.poison.observe(now_ms, evidence) {
             self.gossip.add_evidence(evidence);
         }
     }
 
-    /// An upstream names its limit to the instance.
+    /// Records a limit that an upstream named to the instance.
     pub fn receive_limit(&mut self, limit: UpstreamLimit) {
         if self.accept_limit(limit) {
             self.gossip.add_limit(limit);
@@ -243,7 +243,7 @@
         own + self.gossip.load(upstream).requests
     }
 
-    /// Whether it would send callers to the instance of this name.
+    /// Whether it would name the instance of this name to callers.
     pub fn can_reach(&self, other: &str) -> bool {
         self.members.reachable().any(|each| each.name == other)
     }
--- a/crates/view/tests/gossip.rs
+++ b/crates/view/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances believe about the load and the life of their peers, in fleets of several sizes.
+//! The load and the liveness of peers as each instance sees them, in fleets of several sizes.
 
 mod common;
 
@@ -53,8 +53,9 @@
     Ok(())
 }
 
-/// Guards against instances that choose an engine which others have just filled. At any fleet size,
-/// all must know the exact load, and load that ends must disappear from all views at once.
+/// Guards against instances that choose an engine to which peers have just sent many requests. At
+/// any fleet size, all must know the exact load, and load that ends must disappear from all views
+/// at once.
 #[test]
 fn all_instances_know_all_loads() {
     for instances in SIZES {
--- a/crates/view/tests/limits.rs
+++ b/crates/view/tests/limits.rs
@@ -30,7 +30,7 @@
     fleet.running().filter(knows).count()
 }
 
-/// Guards against a limit that only the instance keeps to which it was named.
+/// Guards against a limit that is kept only by the instance to which the upstream named it.
 #[test]
 fn limit_reaches_all_instances() {
     for instances in SIZES {
--- a/crates/view/tests/log_follower.rs
+++ b/crates/view/tests/log_follower.rs
@@ -175,7 +175,7 @@
                 "{instances}, {now_ms}: {first_missed:?}"
             );
         }
-        // Instances that take each other's rank at the start read a second time.
+        // Instances that disagree on their ranks at the start may read a second time.
         let period_ms = BOUNDS.max_list_age_ms(ReaderRole::FirstReader);
         let max_reads = 2 * instances as u64 + 2 * SECONDS * 1_000 / period_ms;
         assert!(
@@ -258,8 +258,8 @@
     );
 }
 
-/// Guards against old knowledge that passes for new. A reader is suspended for five seconds while
-/// it sends its position; the age of the position must count the suspension.
+/// Guards against old knowledge that counts as new. A reader is suspended for five seconds while it
+/// sends its position; the age of the position must count the suspension.
 #[test]
 fn suspension_counts_in_the_age_of_a_position() {
     let mut log = Log::default();
@@ -314,8 +314,8 @@
     assert_eq!(other.next_action(1_220, 100, true), FollowAction::UpToDate);
 }
 
-/// Guards against two instances that keep each other from reading. They exchange the result of the
-/// same read, which seems 10 ms younger with each transit.
+/// Guards against two instances that prevent each other from reading. They exchange the result of
+/// the same read, which seems 10 ms younger with each transit.
 #[test]
 fn echoed_position_is_not_new() {
     let (mut one, mut other) = (follower_of(1), follower_of(2));
@@ -336,8 +336,8 @@
     assert!(other.age_ms(3_000) >= 1_980, "{}", other.age_ms(3_000));
 }
 
-/// Guards against a rebooted reader whose positions count as old, since its clock since boot starts
-/// again. All others would have to read for as long as the machine had been up before.
+/// Guards against a rebooted reader whose positions count as old, since its clock since boot
+/// restarts. All other instances would have to read for as long as the machine had been up before.
 #[test]
 fn rebooted_reader_is_trusted_again() {
     let mut follower = follower_of(1);
@@ -373,9 +373,9 @@
     assert_eq!(follower.next_offset(), Some(17));
 }
 
-/// Guards against a starting instance that makes all others read. A full read has no history; if
-/// its end were gossiped as a change, all others would seem to have missed one. The instance must
-/// gossip no position until it has learned where the last change is.
+/// Guards against a starting instance that triggers reads of all other instances. A full read has
+/// no history; if its end were gossiped as a change, all others would seem to have missed one. The
+/// instance must gossip no position until it knows the offset of the last change.
 #[test]
 fn starting_instance_triggers_no_reads() {
     let mut started = LogFollower::default();
@@ -407,8 +407,8 @@
 
 /// Guards against a delayed position that hides a change. A reader reads, an upstream leaves, and
 /// an instance starts and reads the full list, all within some ms. The reader's position has waited
-/// in the new instance's socket, so it seems younger than the full read. If it decided where the
-/// last change is, the new instance would tell all that nothing has changed.
+/// in the new instance's socket, so it seems younger than the full read. If its offset of the last
+/// change were accepted, the new instance would gossip that nothing has changed.
 #[test]
 fn delayed_position_does_not_hide_a_change() {
     let mut log = Log::default();
@@ -430,8 +430,8 @@
     assert!(!believes, "{other:?}");
 }
 
-/// Guards against a record that is not passed on. An instance may find out that an upstream is gone
-/// before the list says so; the record is still new to its peers.
+/// Guards against a record that is not passed on. An instance may observe that an upstream is gone
+/// before the list shows it; the record is still new to its peers.
 #[test]
 fn novelty_of_a_record_depends_on_the_list_only() {
     let mut listed = ListedEntries::default();
--- a/crates/view/tests/log_follower_properties.rs
+++ b/crates/view/tests/log_follower_properties.rs
@@ -26,7 +26,7 @@
     ) {
         let mut log = Log::default();
         let mut all = [follower_of(0), follower_of(1), follower_of(2)];
-        // The last one never reads again, like an instance that others read for.
+        // The last instance reads only once, like one that depends on the gossip of the readers.
         for each in &mut all {
             log.read_by(each, 1_000);
         }
@@ -68,8 +68,8 @@
         ..ProptestConfig::with_cases(2_000)
     })]
 
-    /// Whatever instances read, gossip, receive late or lose: one that claims to know all changes
-    /// as of a time has read every change up to then.
+    /// An instance that claims to know all changes as of a time has read every change up to then,
+    /// whatever instances read and gossip and however many positions are late or lost.
     #[test]
     fn believed_knowledge_is_true(
         steps in prop::collection::vec((0_usize..4, 0_usize..4, 0_u8..8, 0_u64..300), 1..300)
--- a/crates/view/tests/message.rs
+++ b/crates/view/tests/message.rs
@@ -94,8 +94,8 @@
     assert_eq!(decode(&encode(message.clone()).unwrap()).unwrap(), message);
 }
 
-/// Guards against taking a datagram of another version, a truncated or an empty one for valid. Each
-/// is rejected with its reason.
+/// Guards against accepting a datagram that is empty, truncated or of another version. Each is
+/// rejected with its reason.
 #[test]
 fn malformed_datagram_is_rejected() {
     let bytes = encode(message()).unwrap();
@@ -117,7 +117,7 @@
         ..proptest::prelude::ProptestConfig::with_cases(1_000)
     })]
 
-    /// Whatever bytes arrive, decoding ends with a datagram or an error.
+    /// Decoding any bytes returns a datagram or an error.
     #[test]
     fn any_bytes_decode_or_fail(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..200)) {
         let mut with_format = encode(message()).unwrap();
--- a/crates/view/tests/poison.rs
+++ b/crates/view/tests/poison.rs
@@ -60,9 +60,9 @@
     }
 }
 
-/// Guards against an end that goes unnoticed, because the upstream restarts so fast that a check of
-/// the connection meets its successor. Its entry is replaced then. The removal of an upstream
-/// without a loss says nothing.
+/// Guards against an end that goes unnoticed because the upstream restarts so fast that a check of
+/// the connection reaches its successor. The replaced entry shows the end. The removal of an
+/// upstream without a loss is no evidence.
 #[test]
 fn unlisted_upstream_counts_as_ended() {
     let mut poison = tracker_after(&[lost(1), ended(1), lost(2)]);
@@ -74,7 +74,7 @@
 
 /// Guards against blocking a request that many callers send alike, such as one without a body, when
 /// its upstreams end for another reason. An answer clears it, even if losses from before the answer
-/// arrive again by a longer way.
+/// arrive again on a longer path.
 #[test]
 fn answered_request_is_cleared() {
     let mut poison = tracker_after(&[lost(1), ended(1), lost(2), ended(2)]);
@@ -93,7 +93,7 @@
 }
 
 /// Guards against blocking a request for ever after the upstreams were fixed. It may run again when
-/// it has not come for a while, and stays refused while it comes.
+/// it has not arrived for a while, and stays refused while it keeps arriving.
 #[test]
 fn request_that_stays_away_is_forgotten() {
     let mut poison = tracker_after(&[lost(1), ended(1), lost(2), ended(2)]);
@@ -119,8 +119,8 @@
     assert!(!poison.is_tracked(RequestKey(100)));
 }
 
-/// Guards against a request that ends one engine at each instance it comes to. No instance has seen
-/// two ends itself; all must know of them before the caller comes back.
+/// Guards against a request that ends one engine at each instance that receives it. No instance has
+/// observed two ends itself; all must know of them before the caller retries.
 #[test]
 fn evidence_of_two_instances_reaches_all() {
     for instances in SIZES {
@@ -143,8 +143,8 @@
     fleet.running().count() - fleet.running().filter(knows).count()
 }
 
-/// Guards against an instance that was cut off or frozen while the fleet found the request out, and
-/// then loses upstreams of its own. It must learn of the request soon, with a tenth of the
+/// Guards against an instance that was cut off or frozen while the fleet detected the request, and
+/// then loses further upstreams to it. It must learn of the request soon, with a tenth of the
 /// datagrams lost.
 #[test]
 fn isolated_instance_learns_poison_requests() {
