--- a/crates/duty/src/ledger.rs
+++ b/crates/duty/src/ledger.rs
@@ -59,7 +59,7 @@
         self.drop_old_windows(window);
     }
 
-    /// Takes in a tally from a peer, where `now` is the present window. `passes_on` says whether
+    /// Processes a tally from a peer, where `now` is the present window. `passes_on` says whether
     /// this instance must pass it on to the instances that may report usage.
     pub fn receive(&mut self, now: u64, tally: &Tally, passes_on: bool) {
         if tally.window > now + MAX_WINDOWS_AHEAD || tally.window + WINDOWS_KEPT < now {
--- a/crates/duty/src/scale.rs
+++ b/crates/duty/src/scale.rs
@@ -165,7 +165,7 @@
         self.ordered.get(&(zone.to_owned(), kind))?.desired
     }
 
-    /// The orders that should be given now.
+    /// The orders that are due now.
     pub fn due_orders(
         &mut self,
         now_ms: u64,
@@ -193,14 +193,14 @@
         if on_demand + spot == 0 {
             return;
         }
-        let is_first_look = self.seen_since_ms.is_none();
+        let is_first_observation = self.seen_since_ms.is_none();
         let since_ms = *self.seen_since_ms.get_or_insert(now_ms);
         if self.is_adopted || now_ms >= since_ms + STARTUP_MS {
             return;
         }
-        // Spot engines that are there at first come from earlier orders, which allowed for the loss
-        // of a zone.
-        let kept = if is_first_look {
+        // Spot engines that the first observation shows come from earlier orders, which allowed for
+        // the loss of a zone.
+        let kept = if is_first_observation {
             spot * zones.len().saturating_sub(1) / zones.len()
         } else {
             0
@@ -215,8 +215,9 @@
 
     fn observe_reclaimed(&mut self, now_ms: u64, zones: &[ZoneCapacity]) {
         for zone in zones {
-            let had = zone.spot + zone.spot_reclaimed;
-            if had > 0 && zone.spot_reclaimed as f64 > had as f64 * RECLAIMED_SHARE {
+            let spot_before = zone.spot + zone.spot_reclaimed;
+            if spot_before > 0 && zone.spot_reclaimed as f64 > spot_before as f64 * RECLAIMED_SHARE
+            {
                 let until_ms = now_ms + COOLDOWN_MS;
                 self.no_capacity_until_ms
                     .insert(zone.name.clone(), until_ms);
@@ -238,10 +239,10 @@
             .is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    /// Spot engines to have in all zones: so many that the target size is left when all of one zone
+    /// Spot engines to have in all zones: enough that the target size remains when all of one zone
     /// are reclaimed at once. New ones take seconds to start, and longer until they hold the
-    /// prompts that the reclaimed ones had cached. None where so many would cost more than engines
-    /// on demand.
+    /// prompts that the reclaimed ones had cached. Zero if that many would not cost less than
+    /// engines on demand.
     fn spot_target(&self, bounds: &ScalingBounds, zones: usize) -> usize {
         let count = match zones {
             0 | 1 => self.target_size,
@@ -308,8 +309,8 @@
         .collect()
     }
 
-    /// Engines on demand for what spot engines do not cover. Those that are there stay until spot
-    /// engines serve, and more come only where no spot capacity is available.
+    /// Engines on demand for what spot engines do not cover. Existing ones stay until spot engines
+    /// serve, and more are ordered only where no spot capacity is available.
     fn on_demand_targets(
         &self,
         now_ms: u64,
--- a/crates/view/src/clock.rs
+++ b/crates/view/src/clock.rs
@@ -35,7 +35,7 @@
 }
 
 impl FleetClock {
-    /// Takes in the clock of a peer's datagram. A digest carries the time of the hub, which is
+    /// Processes the clock of a peer's datagram. A digest carries the time of the hub, which is
     /// adopted.
     pub fn receive(&mut self, since_boot_ms: u64, message: &GossipMessage) {
         let offset_ms = offset_ms(since_boot_ms, message.clock_ms);
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -42,7 +42,7 @@
     pub demand: Vec<ServiceDemand>,
     /// Fencing token of the last order that it gave; `None` if it could not give one now.
     pub last_order_token: Option<u64>,
-    /// Fencing token of its last call for the fleet; `None` if it could not make one now.
+    /// Fencing token of its last call as fleet leader; `None` if it could not make one now.
     pub last_task_token: Option<u64>,
     /// Wall-clock time by its own clock, in ms since 1970.
     pub clock_ms: u64,
@@ -100,11 +100,11 @@
     down_parts: Vec<PrefilledPart>,
     up_role_changes: Vec<PendingRoleChange>,
     down_role_changes: Vec<PendingRoleChange>,
-    /// Evidence seen here or by reporters, for all.
+    /// Evidence observed by this instance or its reporters, for all instances.
     up_evidence: ResendQueue<FailureEvidence>,
     /// Evidence from other hubs, for the reporters.
     down_evidence: ResendQueue<FailureEvidence>,
-    /// Limits that upstreams named to this instance or its reporters, for all.
+    /// Limits that upstreams named to this instance or its reporters, for all instances.
     up_limits: ResendQueue<UpstreamLimit>,
     /// Limits from other hubs, for the reporters.
     down_limits: ResendQueue<UpstreamLimit>,
@@ -117,7 +117,7 @@
 }
 
 impl GossipState {
-    /// Takes in a datagram. The caller must take in its prompt parts, members and list changes as
+    /// Processes a datagram. The caller must process its prompt parts, members and list changes as
     /// well.
     pub fn receive(
         &mut self,
@@ -286,7 +286,8 @@
             .filter_map(|(key, sender)| Some((*key, sender.last_order_token?)))
     }
 
-    /// Peers that could make calls for the fleet now, each with the fencing token of its last call.
+    /// Peers that could act as fleet leader now, each with the fencing token of its last call as
+    /// leader.
     pub fn task_candidates(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
         self.senders
             .iter()
@@ -310,7 +311,7 @@
         self.list_changes.add(now_ms, change);
     }
 
-    /// Adds evidence that was seen here and is new to peers.
+    /// Adds evidence that this instance observed and that is new to peers.
     pub fn add_evidence(&mut self, evidence: FailureEvidence) {
         self.up_evidence.add(evidence);
     }
--- a/crates/view/src/log_follower.rs
+++ b/crates/view/src/log_follower.rs
@@ -178,7 +178,7 @@
         self.pending_full_read.is_none()
     }
 
-    /// Takes in the log position of a peer.
+    /// Processes the log position of a peer.
     pub fn receive_position(&mut self, since_boot_ms: u64, position: &LogPosition) {
         let as_of_ms = since_boot_ms.saturating_sub(position.age_ms.into());
         self.last_known_change = self.last_known_change.max(position.last_change);
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Takes in a change from a peer. Returns whether the caller must apply it now, which is so if
-    /// no change before it was missed.
+    /// Processes a change from a peer. Returns whether the caller must apply it now, which it must
+    /// if no change before it was missed.
     pub fn apply_change(&mut self, change: &GossipedChange) -> bool {
         let Some(next) = self.next else {
             return false;
--- a/crates/view/src/members.rs
+++ b/crates/view/src/members.rs
@@ -66,7 +66,7 @@
     member: Member,
     /// When its heartbeat record was read.
     record_ms: u64,
-    /// When gossip last said that it is alive.
+    /// When gossip last reported it as alive.
     alive_ms: Option<u64>,
 }
 
@@ -86,8 +86,8 @@
         self.store_read_ms = now_ms;
     }
 
-    /// Takes in a heartbeat record. One that is older than the known one changes nothing, since
-    /// records and gossip may overtake each other.
+    /// Processes a heartbeat record. One that is older than the known one changes nothing, since
+    /// records and gossip may arrive in any order.
     pub fn record_heartbeat(&mut self, now_ms: u64, member: Member) {
         let key = InstanceKey::of(&member.name);
         let known = self.known.get(&key);
@@ -105,7 +105,7 @@
         self.known.insert(key, known);
     }
 
-    /// Takes in a heartbeat record from a peer. Returns whether it is new here.
+    /// Processes a heartbeat record from a peer. Returns whether it is new here.
     ///
     /// Only a later heartbeat counts as new. If any difference did, two versions on their way
     /// through the fleet would replace each other for ever.
@@ -119,7 +119,7 @@
         is_new
     }
 
-    /// Grows with each heartbeat record that is taken in.
+    /// Grows with each heartbeat record that is stored.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -196,8 +196,8 @@
             .filter(move |known| !known.is_silent(last_gossip_ms))
     }
 
-    /// Time since the reachable instance that has been silent the longest was last named alive, in
-    /// ms.
+    /// Time since the reachable instance that has been silent the longest was last reported alive,
+    /// in ms.
     pub fn load_age_ms(&self, now_ms: u64) -> Option<u64> {
         let alive_ms = self.reachable_entries().filter_map(|known| known.alive_ms);
         alive_ms.min().map(|at_ms| now_ms.saturating_sub(at_ms))
@@ -208,7 +208,7 @@
         self.ready().cloned().collect()
     }
 
-    /// Instances whose record says that they accept callers, whether or not they still gossip.
+    /// Instances that accept callers according to their record, whether or not they still gossip.
     ///
     /// Their age is counted up to the last read of the store. While the store cannot be read, no
     /// instance expires, since missing records then show nothing about the instances.
--- a/crates/view/src/message.rs
+++ b/crates/view/src/message.rs
@@ -127,7 +127,8 @@
     /// Wall-clock time in ms since 1970: the sender's own, or in a digest the hub's estimate of the
     /// fleet's.
     pub clock_ms: u64,
-    /// Fencing token of the sender's last call for the fleet; `None` if it could not make one now.
+    /// Fencing token of the sender's last call as fleet leader; `None` if it could not make one
+    /// now.
     pub last_task_token: Option<u64>,
     /// Usage counts that changed lately.
     pub tallies: Vec<Tally>,
--- a/crates/view/src/poison.rs
+++ b/crates/view/src/poison.rs
@@ -6,8 +6,8 @@
 //! of another engine, and one request would take down all decode engines, one after the other.
 //!
 //! So losses count against the request as well, identified by its content and not by its attempt,
-//! and instances gossip what they see. A request that gets a complete answer is cleared. See
-//! docs/design/retries.md.
+//! and instances gossip the evidence that they observe. A request that gets a complete answer is
+//! cleared. See docs/design/retries.md.
 
 use std::collections::HashMap;
 
@@ -100,7 +100,7 @@
 }
 
 impl PoisonTracker {
-    /// Takes in evidence that was seen here. Returns whether it is new.
+    /// Processes evidence that this instance observed. Returns whether it is new.
     pub fn observe(&mut self, now_ms: u64, evidence: FailureEvidence) -> bool {
         let is_new = self.receive(now_ms, evidence);
         if let FailureEvidence::Lost { request, .. } = evidence
@@ -112,16 +112,18 @@
         is_new
     }
 
-    /// Takes in evidence from this instance or a peer. Returns whether it is new.
+    /// Processes evidence from this instance or a peer. Returns whether it is new.
     pub fn receive(&mut self, now_ms: u64, evidence: FailureEvidence) -> bool {
         match evidence {
-            FailureEvidence::Lost { request, upstream } => self.lost(now_ms, request, upstream),
-            FailureEvidence::Ended(upstream) => self.ended(now_ms, upstream),
-            FailureEvidence::Answered(request) => self.answered(request),
+            FailureEvidence::Lost { request, upstream } => {
+                self.record_loss(now_ms, request, upstream)
+            }
+            FailureEvidence::Ended(upstream) => self.record_end(now_ms, upstream),
+            FailureEvidence::Answered(request) => self.record_answer(request),
         }
     }
 
-    fn lost(&mut self, now_ms: u64, request: RequestKey, upstream: UpstreamKey) -> bool {
+    fn record_loss(&mut self, now_ms: u64, request: RequestKey, upstream: UpstreamKey) -> bool {
         let suspect = self.requests.entry(request).or_default();
         if suspect.is_old(now_ms) {
             *suspect = Suspect::default();
@@ -136,7 +138,7 @@
         true
     }
 
-    fn ended(&mut self, now_ms: u64, upstream: UpstreamKey) -> bool {
+    fn record_end(&mut self, now_ms: u64, upstream: UpstreamKey) -> bool {
         if self.ended.len() >= MAX_TRACKED {
             self.ended.retain(|_, at_ms| now_ms < *at_ms + RETENTION_MS);
             let oldest = self.ended.iter().min_by_key(|(_, at_ms)| **at_ms);
@@ -152,11 +154,11 @@
     pub fn upstream_unlisted(&mut self, now_ms: u64, upstream: UpstreamKey) {
         let is_lost = |suspect: &Suspect| suspect.lost.contains(&upstream);
         if self.requests.values().any(is_lost) {
-            self.ended(now_ms, upstream);
+            self.record_end(now_ms, upstream);
         }
     }
 
-    fn answered(&mut self, request: RequestKey) -> bool {
+    fn record_answer(&mut self, request: RequestKey) -> bool {
         let Some(suspect) = self.requests.get_mut(&request) else {
             return false;
         };
