--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -265,7 +265,7 @@
         self.totals.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Whether any gossip has been received that still counts.
+    /// Whether gossip has been received that is recent enough to count.
     pub fn has_senders(&self) -> bool {
         !self.senders.is_empty()
     }
--- a/crates/view/src/members.rs
+++ b/crates/view/src/members.rs
@@ -32,7 +32,7 @@
 /// records a second altogether.
 const FULL_RATE_INSTANCES: u64 = 8;
 
-/// Heartbeats that may be missed before an instance no longer counts.
+/// Heartbeats that may be missed before an instance no longer counts as ready.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 
 /// Heartbeats that may be missed before an instance is forgotten.
--- a/crates/view/src/message.rs
+++ b/crates/view/src/message.rs
@@ -67,7 +67,7 @@
 pub struct UpstreamLimit {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Requests a second; `None` if the upstream no longer names a limit.
+    /// Requests a second; `None` if the upstream has withdrawn its limit.
     pub per_s: Option<f64>,
     /// When the upstream set or withdrew the limit, in ms since 1970. The latest value counts.
     pub at_ms: u64,
--- a/crates/view/src/poison.rs
+++ b/crates/view/src/poison.rs
@@ -15,10 +15,10 @@
 
 use crate::{RequestKey, UpstreamKey};
 
-/// Upstreams that must end under a request before it counts as poison. After one, others may still
-/// run it, since upstreams also end for reasons of their own. A third is not risked: an
-/// engine that ends takes its running answers along (9 to 37 in an observed case), while few
-/// requests meet two upstreams that end for their own reasons.
+/// Upstreams that must end under a request before it counts as poison. After one end, other
+/// upstreams may still run it, since upstreams also end for reasons of their own. A third is not
+/// risked: an engine that ends takes its running answers along (9 to 37 in an observed case), while
+/// few requests meet two upstreams that end for their own reasons.
 const ENDED_THRESHOLD: usize = 2;
 
 /// How long a request is remembered after it last arrived, in ms: far longer than callers wait
--- a/crates/view/src/polling.rs
+++ b/crates/view/src/polling.rs
@@ -12,10 +12,11 @@
 /// force. Changes arrive at once, and peers learn in time that there was none.
 const CONFIG_LONG_POLL_SHARE: f64 = 0.3;
 
-/// Age of the known configuration at which another reader, a hub, and any other instance read it
-/// themselves, as shares of the time in which a version must be in force. The first reader always
-/// reads. Its long poll, the gossip through the hubs and one check interval fit into the first
-/// share; after the last one there is time for a call that is given up and for a second call.
+/// Ages of the known configuration at which the other readers, the hubs and the remaining instances
+/// read it themselves, in this order, as shares of the time in which a version must be in force.
+/// The first reader always reads. Its long poll, the gossip through the hubs and one check interval
+/// fit into the first share; after the last one there is time for a call that is given up and for a
+/// second call.
 const CONFIG_AGE_SHARES: [f64; 3] = [0.42, 0.5, 0.7];
 
 /// Pause after a failed call, in ms; short compared with the bounds that hold once the store is
