--- a/crates/entry/src/runner/attempt.rs
+++ b/crates/entry/src/runner/attempt.rs
@@ -41,19 +41,19 @@
         };
         let mut resumes = 0;
         loop {
-            let error = match self.read(attempt, &mut events).await {
+            let reason = match self.read(attempt, &mut events).await {
                 Ok(outcome) => return outcome,
                 Err(EngineError::TooLate) => return AttemptOutcome::TooLate,
                 Err(error) => error,
             };
             log::info!(
                 step = "stream", request_id = attempt.request_id.as_str(),
-                peer = attempt.name.as_str(), number = self.produced; "{error}"
+                peer = attempt.name.as_str(), number = self.produced; "{reason}"
             );
             // Resuming on an engine that has answered no request since this one was sent would
             // spend the time that another engine needs.
             let is_unresponsive =
-                matches!(error, EngineError::Timeout { .. }) && !attempt.load_guard.started;
+                matches!(reason, EngineError::Timeout { .. }) && !attempt.load_guard.started;
             if is_unresponsive || resumes == MAX_RESUMES {
                 return self.fail_attempt(attempt, "stream");
             }
--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -54,12 +54,12 @@
 
 /// Opens a connection; if that fails, reports to the failure attribution that the upstream has ended.
 async fn check_health(relay: &Relay, upstream: &Upstream, max_open: usize) {
-    let Err(error) = upstream.pool.warm_up(max_open).await else {
+    let Err(fault) = upstream.pool.warm_up(max_open).await else {
         return;
     };
-    note_exchange_error(relay, upstream, &error);
-    if let ExchangeError::Connect { .. } = error {
-        log::info!(upstream = upstream.id, fault:% = error; "upstream has ended");
+    note_exchange_error(relay, upstream, &fault);
+    if let ExchangeError::Connect { .. } = fault {
+        log::info!(upstream = upstream.id, fault:%; "upstream has ended");
         relay.record_attribution(FailureEvidence::Ended(upstream.key));
     }
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -104,11 +104,7 @@
         Self {
             answers: counter("answers_total", "Complete answers.", &["route", "in_time"]),
             refusals: counter("refusals_total", "Refused requests.", &["route", "reason"]),
-            prompts_placed: counter(
-                "placed_total",
-                "Placed prompts.",
-                &["service", "read", "held"],
-            ),
+            prompts_placed: counter("placed_total", "Prompts.", &["service", "read", "held"]),
             singleton_calls: counter(
                 "duties_total",
                 "Calls of singleton tasks.",
@@ -145,11 +141,7 @@
             poison_requests: gauge("poisonous", "Known poison requests."),
             in_flight: gauge("in_flight", "Requests in flight."),
             config_version: gauge("config_version", "Configuration version in force."),
-            store_calls: counter(
-                "store_calls_total",
-                "Calls to the store.",
-                &["call", "outcome"],
-            ),
+            store_calls: counter("store_calls_total", "Calls.", &["call", "outcome"]),
             registry,
         }
     }
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -83,7 +83,7 @@
                 connection.release();
             }
         }
-        Err(error) => log::debug!(fault:% = error; "KV cache of a prompt could not be freed"),
+        Err(fault) => log::debug!(fault:%; "KV cache of a prompt could not be freed"),
     }
 }
 
@@ -111,7 +111,7 @@
     let held_tokens = placement.cached_tokens;
     let own_tokens = placement.prefill_tokens;
     let engine = &placement.engine;
-    let queued_tokens = engine.view(relay.now_ms(), 0.0, rank).queued_tokens;
+    let queued_before = engine.view(relay.now_ms(), 0.0, rank).queued_tokens;
     record_cached_parts(relay, call, prompt, engine, PrefillProgress::Begun);
     call.current_upstream.borrow_mut().clone_from(&engine.id);
     let options = SendOptions {
@@ -156,7 +156,7 @@
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = engine.id, rank, prompt_tokens = prompt.input_tokens, held_tokens,
-                queued_tokens, own_ms, read_ms, took_ms,
+                queued_tokens = queued_before, own_ms, read_ms, took_ms,
                 copied_from = copy_from.as_ref().map_or("-", |holder| &holder.id),
                 load = engine.load(relay.now_ms());
                 "prompt read"
@@ -164,7 +164,7 @@
         }
         let sample = PrefillSample {
             own_tokens,
-            queued_tokens: (queued_tokens - own_tokens).max(0.0),
+            queued_tokens: (queued_before - own_tokens).max(0.0),
             elapsed_ms: took_ms,
         };
         relay.learned.observe_prefill(&call.service, &sample);
--- a/crates/relay/src/relay/list.rs
+++ b/crates/relay/src/relay/list.rs
@@ -205,14 +205,14 @@
 
     /// Logs what became of an upstream, and notes for failure attribution that an incarnation ended.
     fn note_effect(&self, id: &str, effect: Effect, origin: Origin) {
-        let message = match effect {
+        let what = match effect {
             Effect::Unchanged => return,
             Effect::Joined => "upstream joined",
             Effect::Changed => "upstream changed",
             Effect::Left => "upstream left",
             Effect::Unconfirmed => "upstream's entry is gone and may have lapsed with the store",
         };
-        self.log_upstream(id, message, origin);
+        self.log_upstream(id, what, origin);
         // An upstream that restarted under its old id shows only as one that joined.
         if matches!(effect, Effect::Joined | Effect::Left) {
             self.note_left(id);
@@ -220,7 +220,7 @@
     }
 
     /// Logs a change of an upstream with its origin, and the log position and age of the list before it.
-    fn log_upstream(&self, id: &str, message: &str, origin: Origin) {
+    fn log_upstream(&self, id: &str, what: &str, origin: Origin) {
         let upstreams = self.upstreams.borrow();
         let entry = upstreams.get(id).map(|upstream| upstream.entry());
         let list = self.list_position.borrow();
@@ -232,7 +232,7 @@
             list_next = list.next_offset().unwrap_or_default(),
             list_taken = list.last_applied_change(),
             list_age_ms = age_ms(&list).unwrap_or(u64::MAX);
-            "{message}"
+            "{what}"
         );
     }
 }
--- a/crates/relay/src/relay/retries.rs
+++ b/crates/relay/src/relay/retries.rs
@@ -83,7 +83,7 @@
         log::info!(
             request = call.id(), service = call.service, outcome = outcome_label(is_taken), first, again,
             instances = self.share().instances;
-            "retry"
+            "repeat"
         );
     }
 }
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -95,12 +95,12 @@
                 upstream.note_failure(relay.now_ms());
             }
         }
-        SendResult::Unsent(error) => {
+        SendResult::Unsent(fault) => {
             call.attempts.set(call.attempts.get() - 1);
             call.possible_runs.set(call.possible_runs.get() - 1);
-            note_exchange_error(relay, upstream, error);
+            note_exchange_error(relay, upstream, fault);
             if relay.failure_log_limit.take(relay.now_ms()) {
-                log::info!(request = call.id(), upstream = upstream.id, fault:% = error; "request not sent");
+                log::info!(request = call.id(), upstream = upstream.id, fault:%; "request not sent");
             }
         }
         SendResult::NotRun(status) => {
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -253,17 +253,17 @@
 /// Whether this instance leads: of the instances that may, the one that made the last call, or else the first by key.
 fn is_leader(relay: &Relay) -> bool {
     let last_fence = leader_fence(relay);
-    let is_leader = last_fence.is_some_and(|fence| {
+    let holds = last_fence.is_some_and(|fence| {
         let own = InstanceKey::of(&relay.settings.borrow().name);
         crate::role_orders::has_precedence((own, fence), relay.gossip.borrow().task_candidates())
     });
-    if relay.singleton_tasks.is_leader.replace(is_leader) != is_leader {
+    if relay.singleton_tasks.is_leader.replace(holds) != holds {
         log::info!(
-            holds = is_leader, fence = relay.singleton_tasks.last_fence.get(), may = last_fence.is_some(),
+            holds, fence = relay.singleton_tasks.last_fence.get(), may = last_fence.is_some(),
             rank = relay.rank(),
             lost_store = relay.singleton_tasks.store_health.is_unavailable(relay.now_ms());
             "fleet leadership gained or lost"
         );
     }
-    is_leader
+    holds
 }
