--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -45,8 +45,8 @@
         Access::Open => None,
         Access::Keyed { ring, .. } => {
             let workspace = match key {
-                PresentedKey::Key(hash) => ring.owner(&hash).cloned(),
-                PresentedKey::Nothing | PresentedKey::Several => None,
+                PresentedKey::Single(hash) => ring.owner(&hash).cloned(),
+                PresentedKey::Missing | PresentedKey::Multiple => None,
             };
             if workspace.is_none() && !route.is_public {
                 return Err(Denied {
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -93,10 +93,10 @@
             .map_or(arrived_ms, |id| xxh3_64(id.as_bytes()));
         let service = route.service(id_hash)?.to_owned();
         let wait_ms = head.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-        let prior_wait_ms = relay.learned.prior_wait_ms(&route.name, head.deadline_ms);
+        let prior_wait_ms = relay.estimates.prior_wait_ms(&route.name, head.deadline_ms);
         let yields_to_longer = head.prompt.as_ref().is_some_and(|prompt| {
             relay
-                .learned
+                .estimates
                 .yields_to_longer(&route.name, f64::from(prompt.input_tokens))
         });
         let target = parts.uri.path_and_query().cloned()?;
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -51,11 +51,11 @@
 pub enum PresentedKey {
     /// No key.
     #[default]
-    Nothing,
+    Missing,
     /// One key.
-    Key(KeyHash),
+    Single(KeyHash),
     /// Several keys, of which none takes precedence.
-    Several,
+    Multiple,
 }
 
 /// Location of the KV cache of a prompt that another engine has prefilled.
--- a/crates/relay/src/learned.rs
+++ b/crates/relay/src/estimates.rs
@@ -11,15 +11,15 @@
 use crate::prior_wait::PriorWaitEstimator;
 use crate::urgency::TypicalLength;
 
-/// Learned estimates, by service or by route.
+/// Estimates estimates, by service or by route.
 #[derive(Debug, Default)]
-pub struct Learned {
+pub struct Estimates {
     latency_models: RefCell<HashMap<String, LatencyModel>>,
     prior_waits: RefCell<HashMap<String, PriorWaitEstimator>>,
     lengths: RefCell<HashMap<String, TypicalLength>>,
 }
 
-impl Learned {
+impl Estimates {
     /// Latency model of a service's engines.
     pub fn latency_model(&self, service: &str) -> LatencyModel {
         let latency_models = self.latency_models.borrow();
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -77,7 +77,7 @@
     call: &Rc<Call>,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
-    let mut unreached = 0;
+    let mut unreachable_upstreams = 0;
     loop {
         ensure_not_poison(relay, call).await?;
         let upstream = placement::choose_upstream(relay, call, &tried)?;
@@ -109,7 +109,7 @@
             }
             failed => failed.failure(),
         };
-        retry_or_refuse(relay, call, failure, &mut unreached)?;
+        retry_or_refuse(relay, call, failure, &mut unreachable_upstreams)?;
     }
 }
 
@@ -118,13 +118,13 @@
     relay: &Relay,
     call: &Call,
     failure: SendFailure,
-    unreached: &mut u32,
+    unreachable_upstreams: &mut u32,
 ) -> Result<(), Refusal> {
-    *unreached += u32::from(failure == SendFailure::Unsent);
+    *unreachable_upstreams += u32::from(failure == SendFailure::Unsent);
     let context = RetryContext {
         is_repeatable: call.route.is_retryable(),
         may_have_run: call.possible_runs.get() > 0,
-        unreached: *unreached,
+        unreachable_upstreams: *unreachable_upstreams,
     };
     match decide(failure, &context, || may_retry(relay, call)) {
         RetryDecision::Retry => Ok(()),
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -26,7 +26,7 @@
     prompt: &Prompt,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
-    let mut unreached = 0;
+    let mut unreachable_upstreams = 0;
     let mut transferred = None;
     loop {
         ensure_not_poison(relay, call).await?;
@@ -74,7 +74,7 @@
         };
         let reusable = kv.filter(|kv| is_transferred && kv.is_available());
         transferred = reusable.map(|kv| (kv, decode.urgency));
-        retry_or_refuse(relay, call, failure, &mut unreached)?;
+        retry_or_refuse(relay, call, failure, &mut unreachable_upstreams)?;
     }
 }
 
@@ -87,7 +87,7 @@
 ) -> Result<(DecodePlacement, Option<PrefilledKv>), Refusal> {
     match placement::place_generation(relay, call, prompt, tried)? {
         Placement::Colocated(decode) => Ok((decode, None)),
-        Placement::Disaggregated(prefill) if !relay.may_prefill_apart(call) => {
+        Placement::Disaggregated(prefill) if !relay.may_prefill_separately(call) => {
             let decode = choose_decode_engine(relay, call, prompt, tried, None, prefill.urgency)?;
             Ok((decode, None))
         }
@@ -177,7 +177,7 @@
             );
         }
         relay
-            .learned
+            .estimates
             .observe_first_event(&call.service, &first, is_transferred, took_ms);
         let predicted_ms = predicted_ms.max(call.route.goal_ms as f64 / 2.0);
         engine.note_answer(relay.now_ms(), predicted_ms, took_ms);
@@ -204,7 +204,7 @@
         let tokens = f64::from(part.tokens);
         engine.note_cached_part(part.id, tokens, progress, kv_tokens as f64);
         if is_gossiped {
-            relay.prefix_news.borrow_mut().push(PrefilledPart {
+            relay.unannounced_parts.borrow_mut().push(PrefilledPart {
                 upstream: engine.key,
                 part: part.id,
                 tokens: part.tokens,
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -116,7 +116,7 @@
         .collect();
     // A probe may hit an upstream that still fails, so only repeatable requests are used as probes.
     let may_probe = call.route.is_retryable();
-    let is_healthy = |each: &&Rc<Upstream>| match each.verdict(now_ms) {
+    let is_healthy = |each: &&Rc<Upstream>| match each.health_status(now_ms) {
         HealthStatus::Healthy => true,
         HealthStatus::Probe => may_probe,
         HealthStatus::Ejected => false,
@@ -145,7 +145,7 @@
         let queue = (load - 1.0).max(0.0) + FULL_LOAD_SLOWDOWN * load;
         Prediction {
             wait_ms: answer_ms * queue,
-            processing_ms: 2.0 * each.distance_ms + answer_ms,
+            processing_ms: 2.0 * each.one_way_delay_ms + answer_ms,
             interference_ms: 0.0,
         }
     };
@@ -196,7 +196,7 @@
         if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), wait_ms = first.wait_ms, own_ms = first.processing_ms, latest_ms,
-                prompt_tokens = prompt.input_tokens, token_ms = relay.learned.latency_model(&call.service).token_ms();
+                prompt_tokens = prompt.input_tokens, token_ms = relay.estimates.latency_model(&call.service).token_ms();
                 "would start too late"
             );
         }
@@ -217,7 +217,7 @@
         .last()
         .map_or(tokens, |own| f64::from(own.tokens));
     let prefill_ms = work_tokens(tokens, tokens - unshared_tokens)
-        * relay.learned.latency_model(&call.service).token_ms();
+        * relay.estimates.latency_model(&call.service).token_ms();
     relay
         .role_orders
         .record_demand(&call.service, relay.now_ms(), prefill_ms);
@@ -296,7 +296,7 @@
 ) -> Result<DecodePlacement, Refusal> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
-    let model = relay.learned.latency_model(&call.service);
+    let model = relay.estimates.latency_model(&call.service);
     let engines = own_subset(
         relay,
         &candidates(relay, call, tried, &[Stage::Decode, Stage::Whole]),
@@ -361,7 +361,7 @@
 ) -> Option<PrefillPlacement> {
     let now_ms = relay.now_ms();
     let tokens = f64::from(prompt.input_tokens);
-    let model = relay.learned.latency_model(&call.service);
+    let model = relay.estimates.latency_model(&call.service);
     let all = candidates(relay, call, tried, &[Stage::Prefill]);
     let affinity_target = affinity_target(&all, prompt).map(|each| each.id.clone());
     let holders = PrefixHolders::of(relay, call, prompt);
--- a/crates/relay/src/prefix.rs
+++ b/crates/relay/src/prefix.rs
@@ -73,7 +73,7 @@
         let upstreams = relay.upstreams.borrow();
         let all = upstreams
             .ready(&call.service, now_ms)
-            .filter(|each| each.verdict(now_ms) == HealthStatus::Healthy)
+            .filter(|each| each.health_status(now_ms) == HealthStatus::Healthy)
             .map(|each| {
                 (
                     Rc::clone(each),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -22,7 +22,7 @@
 
 use crate::config::{Config, EngineLimits};
 use crate::dialect::Dialect;
-use crate::learned::Learned;
+use crate::estimates::Estimates;
 use crate::logging::{LogRateLimit, lines_dropped};
 use crate::metrics::Metrics;
 use crate::role_orders::RoleOrders;
@@ -90,7 +90,7 @@
     /// Requests whose answers are not complete yet.
     pub in_flight: Rc<Cell<usize>>,
     /// Cached prompt parts to announce in the next gossip datagrams.
-    pub(crate) prefix_news: RefCell<Vec<PrefilledPart>>,
+    pub(crate) unannounced_parts: RefCell<Vec<PrefilledPart>>,
     /// Gossip received from peers and waiting to be sent to them.
     pub(crate) gossip: RefCell<GossipState>,
     /// When a peer was last asked for a snapshot.
@@ -106,7 +106,7 @@
     config: RefCell<Option<Rc<Config>>>,
     retries: RefCell<HashMap<String, FleetRetryBudget>>,
     /// Estimates learned from requests and answers.
-    pub learned: Learned,
+    pub estimates: Estimates,
     poison_tracker: RefCell<PoisonTracker>,
     /// Role orders to engines.
     pub role_orders: RoleOrders,
@@ -135,7 +135,7 @@
             metrics,
             upstreams: RefCell::new(upstreams),
             members: RefCell::default(),
-            prefix_news: RefCell::default(),
+            unannounced_parts: RefCell::default(),
             gossip: RefCell::default(),
             last_query: LastQuery::default(),
             success_log_limit: LogRateLimit::new("served", SUCCESS_LINES_PER_S),
@@ -147,7 +147,7 @@
             heartbeat_seq: Cell::default(),
             config: RefCell::default(),
             retries: RefCell::default(),
-            learned: Learned::default(),
+            estimates: Estimates::default(),
             poison_tracker: RefCell::default(),
             role_orders,
             singleton_tasks,
@@ -227,7 +227,7 @@
         metrics.upstreams.set(upstreams.cast_signed() as i64);
         metrics
             .limited_upstreams
-            .set(self.limited().cast_signed() as i64);
+            .set(self.limited_upstreams().cast_signed() as i64);
         metrics
             .instances
             .set(self.instance_count().cast_signed() as i64);
@@ -237,10 +237,10 @@
         metrics
             .poison_requests
             .set(self.poison_requests().len().cast_signed() as i64);
-        let terms = self.settings.borrow().retry_budget;
+        let settings = self.settings.borrow().retry_budget;
         let share = self.share();
         for (service, retries) in self.retries.borrow_mut().iter_mut() {
-            let left = retries.remaining(now_ms, &terms, &share);
+            let left = retries.remaining(now_ms, &settings, &share);
             metrics
                 .retries_left
                 .with_label_values(&[service])
--- a/crates/relay/src/relay/limits.rs
+++ b/crates/relay/src/relay/limits.rs
@@ -8,7 +8,7 @@
 
 impl Relay {
     /// Number of upstreams that announce a rate limit.
-    pub(super) fn limited(&self) -> usize {
+    pub(super) fn limited_upstreams(&self) -> usize {
         let now_ms = self.now_ms();
         let upstreams = self.upstreams.borrow();
         let limited = upstreams
@@ -20,11 +20,11 @@
     /// Records the rate limit that an answer announces, or that it announces none, and gossips a change.
     pub fn record_rate_limit(&self, upstream: &Upstream, per_s: Option<f64>) {
         let day_ms = self.singleton_tasks.fleet_ms();
-        let learned = upstream.limit().observe(self.now_ms(), day_ms, per_s);
-        if learned.is_changed {
+        let update = upstream.limit().observe(self.now_ms(), day_ms, per_s);
+        if update.is_changed {
             log_limit_changed(upstream, per_s, "answer");
         }
-        if let Some(at_ms) = learned.gossip_as_of_ms {
+        if let Some(at_ms) = update.gossip_as_of_ms {
             self.gossip.borrow_mut().add_limit(UpstreamLimit {
                 upstream: upstream.key,
                 per_s,
--- a/crates/relay/src/relay/list.rs
+++ b/crates/relay/src/relay/list.rs
@@ -199,7 +199,7 @@
     /// Removes an upstream at whose address another incarnation answered.
     pub fn remove_replaced(&self, upstream: &Upstream) {
         self.upstreams.borrow_mut().remove_replaced(&upstream.id);
-        self.note_left(&upstream.id);
+        self.record_upstream_ended(&upstream.id);
         log::info!(upstream = upstream.id; "upstream replaced by another incarnation");
     }
 
@@ -215,7 +215,7 @@
         self.log_upstream(id, what, origin);
         // An upstream that restarted under its old id shows only as one that joined.
         if matches!(effect, Effect::Joined | Effect::Left) {
-            self.note_left(id);
+            self.record_upstream_ended(id);
         }
     }
 
--- a/crates/relay/src/relay/peers.rs
+++ b/crates/relay/src/relay/peers.rs
@@ -125,7 +125,7 @@
         LocalState {
             member: self.own_member(),
             loads: upstreams.iter().filter_map(|it| it.outstanding()).collect(),
-            prefilled_parts: self.prefix_news.take(),
+            prefilled_parts: self.unannounced_parts.take(),
             role_changes: upstreams
                 .iter()
                 .filter_map(|each| each.own_role_change(now_ms))
--- a/crates/relay/src/relay/poison.rs
+++ b/crates/relay/src/relay/poison.rs
@@ -52,7 +52,7 @@
     }
 
     /// Notes that the last removed incarnation of an upstream ended: evidence against requests it had lost.
-    pub(super) fn note_left(&self, id: &str) {
+    pub(super) fn record_upstream_ended(&self, id: &str) {
         let removed = self.upstreams.borrow().last_removed(id);
         if let Some(upstream) = removed {
             self.poison_tracker
@@ -89,7 +89,7 @@
     }
 
     /// Whether there are other instances but no gossip arrives from any of them.
-    pub fn hears_no_peer(&self) -> bool {
+    pub fn receives_no_gossip(&self) -> bool {
         !self.gossip.borrow().has_senders() && self.instance_count() > 1
     }
 
--- a/crates/relay/src/relay/retries.rs
+++ b/crates/relay/src/relay/retries.rs
@@ -8,10 +8,10 @@
 impl Relay {
     /// Counts the first send of a request to a service, which adds to the retry budget.
     pub fn count_first_send(&self, service: &str) {
-        let terms = self.settings.borrow().retry_budget;
+        let settings = self.settings.borrow().retry_budget;
         let mut all = self.retries.borrow_mut();
         let retries = all.entry(service.to_owned()).or_default();
-        retries.record_first_send(self.now_ms(), &terms);
+        retries.record_first_send(self.now_ms(), &settings);
     }
 
     /// Takes one retry from a service's budget; false if none is left.
@@ -21,11 +21,11 @@
         if !self.members.borrow().has_members() {
             return false;
         }
-        let terms = self.settings.borrow().retry_budget;
+        let settings = self.settings.borrow().retry_budget;
         let share = self.share();
         let mut all = self.retries.borrow_mut();
         let retries = all.entry(service.to_owned()).or_default();
-        let is_taken = retries.try_retry(self.now_ms(), &terms, &share);
+        let is_taken = retries.try_retry(self.now_ms(), &settings, &share);
         let labels = [outcome_label(is_taken)];
         self.metrics.retries.with_label_values(&labels).inc();
         is_taken
@@ -50,7 +50,7 @@
     /// Whether a request may be sent to a separate prefill engine and then to a decode engine.
     ///
     /// Only the first accepted prefill is free; a later one takes a retry in addition to that of the decode.
-    pub fn may_prefill_apart(&self, call: &Call) -> bool {
+    pub fn may_prefill_separately(&self, call: &Call) -> bool {
         !call.prefill_accepted.get() || self.may_send_times(call, 2)
     }
 
@@ -76,10 +76,10 @@
         if !self.failure_log_limit.take(now_ms) {
             return;
         }
-        let terms = self.settings.borrow().retry_budget;
+        let settings = self.settings.borrow().retry_budget;
         let mut all = self.retries.borrow_mut();
         let retries = all.entry(call.service.clone()).or_default();
-        let (first, again) = retries.counts(now_ms, &terms);
+        let (first, again) = retries.counts(now_ms, &settings);
         log::info!(
             request = call.id(), service = call.service, outcome = outcome_label(is_taken), first, again,
             instances = self.share().instances;
--- a/crates/relay/src/retry.rs
+++ b/crates/relay/src/retry.rs
@@ -33,7 +33,7 @@
     /// Whether one of its sends may have run.
     pub may_have_run: bool,
     /// Number of upstreams that could not be reached, including the last one.
-    pub unreached: u32,
+    pub unreachable_upstreams: u32,
 }
 
 /// What to do after a failed send.
@@ -66,7 +66,9 @@
     may_retry: impl Fn() -> bool,
 ) -> RetryDecision {
     match failure {
-        SendFailure::Unsent if context.unreached < MAX_UNREACHABLE => RetryDecision::Retry,
+        SendFailure::Unsent if context.unreachable_upstreams < MAX_UNREACHABLE => {
+            RetryDecision::Retry
+        }
         SendFailure::NotRun if may_retry() => RetryDecision::Retry,
         SendFailure::Lost if context.is_repeatable && may_retry() => RetryDecision::Retry,
         SendFailure::Lost => RetryDecision::Refuse(Refusal::new(Reason::Lost)),
--- a/crates/relay/src/role_orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -310,7 +310,7 @@
         .iter()
         .filter(|each| each.stage() != stage && !each.is_changing_role(now_ms) && !is_paused(each))
         .filter(|each| {
-            each.verdict(now_ms) == HealthStatus::Healthy
+            each.health_status(now_ms) == HealthStatus::Healthy
                 && each.age_ms(now_ms) >= MIN_ENGINE_AGE_MS
         })
         .collect();
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -146,8 +146,8 @@
     }
 
     /// Counts a request that an upstream began to run; each request counts once.
-    pub fn count_started(&self, terms: TaskSettings, call: &Call) {
-        let (Some(windows), Some(workspace)) = (terms.usage, &call.workspace) else {
+    pub fn count_started(&self, settings: TaskSettings, call: &Call) {
+        let (Some(windows), Some(workspace)) = (settings.usage, &call.workspace) else {
             return;
         };
         if call.has_started.replace(true) {
@@ -160,21 +160,21 @@
 
     /// Counts a request that ended without an answer, if an upstream may have begun it. A plain service begins as
     /// soon as a request reaches it; an engine begins with the first token, which would have arrived here.
-    pub fn count_unanswered(&self, terms: TaskSettings, call: &Call) {
+    pub fn count_unanswered(&self, settings: TaskSettings, call: &Call) {
         if call.route.kind != RouteKind::Stream && call.possible_runs.get() > 0 {
-            self.count_started(terms, call);
+            self.count_started(settings, call);
         }
     }
 
     /// Applies the clock, the last token and the tallies of a gossip message.
-    pub fn receive_gossip(&self, terms: TaskSettings, message: &GossipMessage) {
+    pub fn receive_gossip(&self, settings: TaskSettings, message: &GossipMessage) {
         self.clock.borrow_mut().receive(since_boot_ms(), message);
         if let Some(fence) = message.last_task_token {
             self.append_lease
                 .borrow_mut()
                 .observe_fence(since_boot_ms(), fence);
         }
-        let Some(windows) = terms.usage.filter(|_| !message.tallies.is_empty()) else {
+        let Some(windows) = settings.usage.filter(|_| !message.tallies.is_empty()) else {
             return;
         };
         let now = windows.at(self.fleet_ms());
--- a/crates/relay/src/singleton_tasks/due.rs
+++ b/crates/relay/src/singleton_tasks/due.rs
@@ -10,11 +10,11 @@
 
 /// The tasks that this instance should perform now, the most urgent first; empty if it does not lead.
 pub fn due_tasks(relay: &Relay) -> Vec<Task> {
-    let terms = relay.settings.borrow().singleton_tasks;
+    let settings = relay.settings.borrow().singleton_tasks;
     let is_leader = is_leader(relay);
     // Planned by all instances, so that a new leader knows what happened before.
-    let usage = terms.usage.and_then(|windows| usage_due(relay, windows));
-    let scale = if terms.scales {
+    let usage = settings.usage.and_then(|windows| usage_due(relay, windows));
+    let scale = if settings.scales {
         scale_due(relay)
     } else {
         Vec::new()
@@ -70,15 +70,15 @@
     };
     let now_ms = relay.now_ms();
     let mut tasks = Vec::new();
-    for (service, terms) in config
+    for (service, bounds) in config
         .services()
         .iter()
         .filter_map(|(name, it)| Some((name, it.scale.as_ref()?)))
     {
-        let zones = zones(relay, service, terms);
+        let zones = zones(relay, service, bounds);
         let mut all = relay.singleton_tasks.scaling.borrow_mut();
         let scaling = all.entry(service.clone()).or_default();
-        let targets = scaling.due_orders(now_ms, terms, &zones);
+        let targets = scaling.due_orders(now_ms, bounds, &zones);
         let wanted = scaling.target_size().unwrap_or_default();
         tasks.extend(targets.into_iter().map(|target| {
             Task::Scale(ScaleOrder {
@@ -92,8 +92,8 @@
 }
 
 /// Number of a service's engines in each zone that has a price for them.
-fn zones(relay: &Relay, service: &str, terms: &scale::ScalingBounds) -> Vec<ZoneCapacity> {
-    let mut names: Vec<&String> = terms.zone_prices.keys().collect();
+fn zones(relay: &Relay, service: &str, bounds: &scale::ScalingBounds) -> Vec<ZoneCapacity> {
+    let mut names: Vec<&String> = bounds.zone_prices.keys().collect();
     names.sort_unstable();
     let mut zones: HashMap<&str, ZoneCapacity> = HashMap::new();
     let upstreams = relay.upstreams.borrow();
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -65,7 +65,7 @@
     /// Its id. A restarted upstream may come back under the same one.
     pub id: String,
     /// Start of the incarnation, on the upstream's clock, in ms.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Short key that identifies the incarnation in gossip.
     pub key: UpstreamKey,
     /// Service that it belongs to.
@@ -75,7 +75,7 @@
     /// Availability zone.
     pub zone: String,
     /// One-way network latency, in ms.
-    pub distance_ms: f64,
+    pub one_way_delay_ms: f64,
     /// Requests that it runs concurrently; at least 1.
     pub slots: u32,
     /// Whether its machine may be reclaimed at short notice.
@@ -105,15 +105,15 @@
 
 impl Upstream {
     /// Creates the state of an upstream that has just appeared in the list.
-    pub fn new(entry: &UpstreamEntry, distance_ms: f64, clock: Clock) -> Self {
+    pub fn new(entry: &UpstreamEntry, one_way_delay_ms: f64, clock: Clock) -> Self {
         Self {
             id: entry.id.clone(),
-            born_ms: entry.started_ms,
+            started_ms: entry.started_ms,
             key: UpstreamKey::of(&entry.id, entry.started_ms),
             service: entry.service.clone(),
             address: entry.address,
             zone: entry.zone.clone(),
-            distance_ms,
+            one_way_delay_ms,
             slots: entry.slots.max(1),
             is_spot: entry.is_spot,
             pool: Pool::new(entry.address, clock),
@@ -252,7 +252,7 @@
     pub fn entry(&self) -> UpstreamEntry {
         UpstreamEntry {
             id: self.id.clone(),
-            started_ms: self.born_ms,
+            started_ms: self.started_ms,
             service: self.service.clone(),
             address: self.address,
             zone: self.zone.clone(),
@@ -334,7 +334,7 @@
     }
 
     /// Whether requests may be sent to it, by its health.
-    pub fn verdict(&self, now_ms: u64) -> HealthStatus {
+    pub fn health_status(&self, now_ms: u64) -> HealthStatus {
         if self.is_silent(now_ms) || now_ms < self.no_capacity_until_ms.get() {
             return HealthStatus::Ejected;
         }
@@ -437,7 +437,7 @@
             new_tokens: 0.0,
             requests: self.load(now_ms),
             slots: f64::from(self.slots),
-            one_way_delay_ms: self.distance_ms,
+            one_way_delay_ms: self.one_way_delay_ms,
             slowness: self.slowness(),
         }
     }
--- a/crates/relay/src/upstream/in_flight.rs
+++ b/crates/relay/src/upstream/in_flight.rs
@@ -32,7 +32,7 @@
 impl InFlight {
     /// Counts a request that is about to be sent.
     pub fn begin(upstream: &Rc<Upstream>, now_ms: u64, work: Work) -> Self {
-        if upstream.verdict(now_ms) == HealthStatus::Probe {
+        if upstream.health_status(now_ms) == HealthStatus::Probe {
             upstream.health.borrow_mut().start_probe();
         }
         upstream.in_flight.set(upstream.in_flight.get() + 1);
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -47,18 +47,18 @@
 
 /// One-way network latencies, in ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Distances {
+pub struct ZoneDelays {
     /// Within an availability zone.
-    pub in_zone_ms: f64,
+    pub within_zone_ms: f64,
     /// Between two zones.
-    pub across_ms: f64,
+    pub between_zones_ms: f64,
 }
 
-impl Default for Distances {
+impl Default for ZoneDelays {
     fn default() -> Self {
         Self {
-            in_zone_ms: 0.2,
-            across_ms: 1.4,
+            within_zone_ms: 0.2,
+            between_zones_ms: 1.4,
         }
     }
 }
@@ -76,7 +76,7 @@
 pub struct Upstreams {
     clock: Clock,
     zone: String,
-    distances: Distances,
+    zone_delays: ZoneDelays,
     by_id: HashMap<String, Rc<Upstream>>,
     by_key: HashMap<UpstreamKey, Rc<Upstream>>,
     by_service: HashMap<String, Vec<Rc<Upstream>>>,
@@ -105,7 +105,7 @@
     pub fn apply(&mut self, now_ms: u64, change: ListChange) -> Effect {
         match change {
             ListChange::Put(entry) => self.put(&entry),
-            ListChange::Gone(id) => self.gone(now_ms, &id, self.may_have_lapsed_until_ms),
+            ListChange::Gone(id) => self.entry_removed(now_ms, &id, self.may_have_lapsed_until_ms),
         }
     }
 
@@ -124,7 +124,7 @@
             effects.push((id, self.put(&entry)));
         }
         for id in missing {
-            let effect = self.gone(now_ms, &id, self.may_have_lapsed_until_ms);
+            let effect = self.entry_removed(now_ms, &id, self.may_have_lapsed_until_ms);
             effects.push((id, effect));
         }
         effects
@@ -204,7 +204,7 @@
                 let until_ms = self
                     .may_have_lapsed_until_ms
                     .min(now_ms + may_have_lapsed_ms);
-                self.gone(now_ms, &id, until_ms)
+                self.entry_removed(now_ms, &id, until_ms)
             }
         }
     }
@@ -237,7 +237,7 @@
     /// Marks the entries that a peer's snapshot names as unconfirmed.
     pub fn mark_unconfirmed(&mut self, now_ms: u64, unconfirmed: &[Unconfirmed]) {
         for entry in unconfirmed {
-            self.gone(now_ms, &entry.id, now_ms + entry.left_ms);
+            self.entry_removed(now_ms, &entry.id, now_ms + entry.left_ms);
         }
     }
 
@@ -267,12 +267,12 @@
         }
         self.unconfirmed.remove(&entry.id);
         if let Some(known) = self.by_id.get(&entry.id) {
-            if entry.started_ms < known.born_ms {
+            if entry.started_ms < known.started_ms {
                 return Effect::Unchanged;
             }
             // An upstream that restarted under its id numbers its entries anew and has an empty cache. Treated
             // as the same one, its entries would seem outdated for as long as the first incarnation had run.
-            let is_same = entry.started_ms == known.born_ms
+            let is_same = entry.started_ms == known.started_ms
                 && known.address == entry.address
                 && known.service == entry.service;
             if is_same {
@@ -284,12 +284,12 @@
             }
             self.remove(&entry.id);
         }
-        let distance_ms = if entry.zone == self.zone {
-            self.distances.in_zone_ms
+        let one_way_delay_ms = if entry.zone == self.zone {
+            self.zone_delays.within_zone_ms
         } else {
-            self.distances.across_ms
+            self.zone_delays.between_zones_ms
         };
-        let upstream = Rc::new(Upstream::new(entry, distance_ms, self.clock));
+        let upstream = Rc::new(Upstream::new(entry, one_way_delay_ms, self.clock));
         self.by_id.insert(entry.id.clone(), Rc::clone(&upstream));
         self.by_key.insert(upstream.key, Rc::clone(&upstream));
         self.by_service
@@ -299,7 +299,7 @@
         Effect::Joined
     }
 
-    fn gone(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Effect {
+    fn entry_removed(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Effect {
         let Some(known) = self.by_id.get(id) else {
             return Effect::Unchanged;
         };
@@ -322,7 +322,7 @@
         }
         self.removed.push_back(Removed {
             id: id.to_owned(),
-            started_ms: known.born_ms,
+            started_ms: known.started_ms,
             seq: known.seq(),
         });
         if self.removed.len() > MAX_REMOVED {
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -43,9 +43,9 @@
 fn presented_key(headers: &HeaderMap) -> PresentedKey {
     let keys: Vec<_> = headers.get_all("x-key").iter().collect();
     match keys[..] {
-        [] => PresentedKey::Nothing,
-        [key] => PresentedKey::Key(KeyHash::of(key.as_bytes())),
-        _ => PresentedKey::Several,
+        [] => PresentedKey::Missing,
+        [key] => PresentedKey::Single(KeyHash::of(key.as_bytes())),
+        _ => PresentedKey::Multiple,
     }
 }
 
--- a/crates/relay/tests/retry.rs
+++ b/crates/relay/tests/retry.rs
@@ -12,19 +12,19 @@
         for case in 0..40_u32 {
             let (is_repeatable, may_have_run_before, retry_allowed) =
                 (case & 1 > 0, case & 2 > 0, case & 4 > 0);
-            let unreached = case / 8;
+            let unreachable_upstreams = case / 8;
             let may_have_run = may_have_run_before || failure == SendFailure::Lost;
             let context = RetryContext {
                 is_repeatable,
                 may_have_run,
-                unreached,
+                unreachable_upstreams,
             };
             match decide(failure, &context, || retry_allowed) {
                 RetryDecision::Retry if failure == SendFailure::Lost => {
                     assert!(is_repeatable && retry_allowed);
                 }
                 RetryDecision::Retry if failure == SendFailure::NotRun => assert!(retry_allowed),
-                RetryDecision::Retry => assert!(unreached < 3),
+                RetryDecision::Retry => assert!(unreachable_upstreams < 3),
                 RetryDecision::Refuse(refusal) if refusal.reason.status() == 503 => {
                     assert!(!may_have_run, "{failure:?} {context:?}");
                     assert!(refusal.retry_after_ms.is_some());
