--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -59,7 +59,7 @@
     };
     note_exchange_error(relay, upstream, &fault);
     if let ExchangeError::Connect { .. } = fault {
-        log::info!(upstream = upstream.id, fault:%; "upstream has ended");
+        log::info!(upstream = upstream.id, fault:%; "health check failed: upstream has terminated");
         relay.record_attribution(FailureEvidence::Ended(upstream.key));
     }
 }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -218,7 +218,7 @@
                 request = self.id(), route = self.route.name, workspace = self.workspace_name(),
                 upstream = self.current_upstream.borrow().as_str(),
                 took_ms = now_ms - self.arrived_ms, sends = self.possible_runs.get();
-                "caller left"
+                "caller disconnected"
             );
         }
     }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -190,7 +190,7 @@
             if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), key:% = call.key, upstream = upstream.id;
-                    "answer broke off"
+                    "answer ended early"
                 );
             }
             return Err(Refusal::new(Reason::Lost));
@@ -215,7 +215,7 @@
             request = call.id(), route = call.route.name, workspace = call.workspace_name(),
             upstream = upstream.id, status = head.status.as_u16(), took_ms = now_ms - call.arrived_ms,
             load = upstream.load(now_ms), sends = call.possible_runs.get();
-            "answer passed on"
+            "answer forwarded"
         );
     }
     Ok(Response::from_parts(head, body))
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -173,7 +173,7 @@
             log::info!(
                 request = call.id(), upstream = engine.id, predicted_ms, took_ms, apart = is_transferred,
                 prompt_tokens = prompt.input_tokens, held_tokens,
-                load = engine.load(relay.now_ms()); "output begun"
+                load = engine.load(relay.now_ms()); "generation started"
             );
         }
         relay
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -197,7 +197,7 @@
             log::info!(
                 request = call.id(), wait_ms = first.wait_ms, own_ms = first.processing_ms, latest_ms,
                 prompt_tokens = prompt.input_tokens, token_ms = relay.estimates.latency_model(&call.service).token_ms();
-                "would start too late"
+                "request refused: it would start too late"
             );
         }
         return Err(refuse(call, Reason::TooLate, first.total_ms() - latest_ms));
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -159,7 +159,7 @@
                 queued_tokens = queued_before, own_ms, read_ms, took_ms,
                 copied_from = copy_from.as_ref().map_or("-", |holder| &holder.id),
                 load = engine.load(relay.now_ms());
-                "prompt read"
+                "separate prefill finished"
             );
         }
         let sample = PrefillSample {
@@ -194,7 +194,7 @@
     if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, upstream = engine.id, why;
-            "prompt not read"
+            "separate prefill failed"
         );
     }
 }
@@ -234,7 +234,7 @@
         if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = engine.id, status = status.as_u16();
-                "prompt rejected"
+                "separate prefill rejected"
             );
         }
         return None;
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -113,7 +113,7 @@
             if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), upstream = upstream.id, status = status.as_u16();
-                    "request rejected unrun"
+                    "request rejected without being run"
                 );
             }
         }
@@ -217,7 +217,7 @@
         Some(id) if id != upstream.id => relay.remove_replaced(upstream),
         Some(_) if is_stale => {
             upstream.assume_other_stage();
-            log::info!(upstream = upstream.id, stage:? = upstream.stage(); "upstream does another step");
+            log::info!(upstream = upstream.id, stage:? = upstream.stage(); "upstream has changed its role: it rejected a request for the former one");
         }
         Some(_) | None => {}
     }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -216,7 +216,7 @@
                 log::info!(
                     request = self.call.id(), key:% = self.call.key,
                     upstream = source.guard.upstream().id, why, last_event = self.last_event.unwrap_or(0);
-                    "stream broke off"
+                    "stream interrupted"
                 );
             }
         }
@@ -268,7 +268,7 @@
                 guard.note_prefilled();
                 guard.note_head(self.relay.now_ms());
                 if self.relay.failure_log_limit.take(self.relay.now_ms()) {
-                    log::info!(request = call.id(), upstream = engine.id; "stream goes on");
+                    log::info!(request = call.id(), upstream = engine.id; "stream resumed at another engine");
                 }
                 self.source = Some(EngineStream {
                     body: checked.response.into_body(),
@@ -311,7 +311,7 @@
             log::info!(
                 request = self.call.id(), key:% = self.call.key, route = self.call.route.name,
                 workspace = self.call.workspace_name(), why, took_ms = self.relay.now_ms() - self.call.arrived_ms;
-                "stream not finished"
+                "stream ended incomplete"
             );
         }
         let labels = [self.call.route.name.as_str(), "broken"];
@@ -366,7 +366,7 @@
             let upstream = state.guard.upstream();
             log::info!(
                 request = state.call.id(), key:% = state.call.key, upstream = upstream.id, why;
-                "answer broke off"
+                "answer ended early"
             );
         }
         Some((Err(TruncatedAnswer { why }), None))
