--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -141,7 +141,7 @@
     /// Upstreams rejected the request without running it.
     #[display("an upstream rejected it unrun")]
     Rejected,
-    /// The request ends the upstreams that run it.
+    /// Poison request: it terminates the upstreams that run it.
     #[display("upstreams end under this request")]
     PoisonRequest,
     /// The request was sent, and no complete answer came.
--- a/crates/relay/src/attribution.rs
+++ b/crates/relay/src/attribution.rs
@@ -1,10 +1,9 @@
-//! Failure attribution: what a connection that ended under a request says about request and upstream.
+//! Failure attribution: whether a lost connection was caused by the request or by its upstream.
 //!
-//! A lost answer alone proves little, since the upstream may have closed just that connection. If the
-//! whole upstream ended, and it happens again to the same request, the request may be what ends
-//! upstreams (`view::poison`). A health check therefore opens another connection at once. If that
-//! succeeds, the connection serves the next request; if not, the upstream counts as unreachable
-//! before the next request tries it.
+//! A lost answer alone proves little, since the upstream may have closed just that connection. If the whole
+//! upstream ended, and it happens again to the same request, the request may be the cause (`view::poison`). A
+//! health check therefore opens another connection at once. If that succeeds, the connection serves the next
+//! request; if not, the upstream counts as unreachable before the next request tries it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,11 +20,11 @@
 /// Poll interval while a health check is running, in ms. A check takes about one round trip.
 const HEALTH_CHECK_POLL_MS: u64 = 2;
 
-/// Refuses a poison request, that is one that ends the upstreams which run it.
+/// Refuses a poison request, which terminates the upstreams that run it.
 ///
-/// Called before each send: a prompt may wait for seconds between two sends, and other instances may
-/// have identified it meanwhile. If the connection to a second upstream was lost just now, this waits
-/// until the health check of that upstream is complete; otherwise the request could end a third one.
+/// Called before each send: a prompt may wait for seconds between two sends, and other instances may have
+/// identified it meanwhile. If the connection to a second upstream was lost just now, this waits until the
+/// health check of that upstream is complete; otherwise the request could terminate a third one.
 pub async fn ensure_not_poison(relay: &Relay, call: &Call) -> Result<(), Refusal> {
     while relay.is_attribution_pending(call) {
         actix_rt::time::sleep(Duration::from_millis(HEALTH_CHECK_POLL_MS)).await;
@@ -40,7 +39,7 @@
         request: call.key,
         upstream: upstream.key,
     });
-    // An engine that ends loses dozens of answers at once; one check is enough for all of them.
+    // An engine that terminates loses dozens of answers at once; one check is enough for all of them.
     if !upstream.begin_health_check() {
         return;
     }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: what was read from it, and how far it has been served.
+//! State of one request of a caller, from its arrival to the end of its answer.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -226,8 +226,8 @@
 
 /// Removes hop-by-hop headers, including those named in `Connection`.
 ///
-/// Headers for which `keeps` holds stay even if they are named there; otherwise a caller could remove
-/// the headers that identify its request.
+/// Headers for which `keeps` returns true are kept even if they are named there; otherwise a caller could
+/// remove the headers that identify its request.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap, keeps: impl Fn(&HeaderName) -> bool) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -91,7 +91,7 @@
     pub max_connections: usize,
     /// Limits of each engine, for services of model engines.
     pub engine: Option<EngineLimits>,
-    /// Scaling terms, for services whose engines the fleet leader orders from the platform.
+    /// Scaling bounds, for services whose engines the fleet leader orders from the platform.
     #[serde(default)]
     pub scale: Option<scale::ScalingBounds>,
 }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -1,4 +1,4 @@
-//! Serves one request: places it, sends it, retries where that is allowed, and passes the answer on.
+//! Serves one request: places it, sends it, retries it if that is allowed, and forwards the answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 use crate::send::{CheckedAnswer, SendResult, note_response, send};
 use crate::upstream::{InFlight, Upstream, Work};
 
-/// Longest answer that is buffered before it is passed on, in bytes, so that the request can be
-/// retried if the answer breaks off. Longer ones are streamed to save memory.
+/// Longest answer that is buffered before it is forwarded, in bytes, so that the request can be
+/// retried if the answer ends early. Longer ones are streamed to save memory.
 const MAX_BUFFERED_BYTES: u64 = 256 * 1024;
 
 /// Serves one request and returns the head of its answer; the body may still be streamed.
@@ -94,8 +94,8 @@
             SendResult::Answer(checked) => {
                 let is_failure = checked.response.status().is_server_error();
                 let is_repeatable = is_failure && call.route.kind == RouteKind::Safe;
-                // If no other upstream can answer, the caller gets this error: it says more than a
-                // refusal.
+                // If no other upstream can answer, the caller gets this error, which is more
+                // specific than a refusal.
                 let has_other =
                     is_repeatable && placement::choose_upstream(relay, call, &tried).is_ok();
                 if has_other && may_retry(relay, call) {
@@ -103,7 +103,7 @@
                 }
                 match buffer_or_stream(relay, call, *checked, guard).await {
                     Ok(response) => return Ok(response),
-                    // Nothing of the broken answer was passed on.
+                    // No part of the truncated answer was forwarded.
                     Err(_) => SendFailure::Lost,
                 }
             }
@@ -167,9 +167,9 @@
     relay.metrics.answers.with_label_values(&labels).inc();
 }
 
-/// Passes an answer on: buffered if it is short, streamed otherwise.
+/// Forwards an answer to the caller: buffered if it is short, streamed otherwise.
 ///
-/// Fails if a buffered answer breaks off; the caller has received nothing of it then.
+/// Fails if a buffered answer ends early; the caller has then received no part of it.
 pub async fn buffer_or_stream(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -53,8 +53,8 @@
                 return Ok(StreamForwarder::start(relay, call, *checked, guard, tried));
             }
             SendResult::Answer(checked) => {
-                // If no other engine can answer, the caller gets this error: it says more than a
-                // refusal.
+                // If no other engine can answer, the caller gets this error, which is more specific
+                // than a refusal.
                 let has_other = call.route.is_retryable()
                     && placement::choose_decode_engine(
                         relay,
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -101,8 +101,8 @@
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Bounds the idle time of a connection, which callers are told, and the time to receive a
-        // request's head.
+        // Bounds the idle time of a connection, which is announced to callers, and the time to
+        // receive a request's head.
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
         .max_buf_size(limits.head_bytes.max(16_384))
         .serve_connection(TokioIo::new(stream), service);
--- a/crates/relay/src/logging.rs
+++ b/crates/relay/src/logging.rs
@@ -186,7 +186,8 @@
 impl PendingLines {
     /// Waits until all lines are written, for at most 100 ms.
     ///
-    /// To be called before the process exits: the last lines say why it ends, and would be lost.
+    /// To be called before the process exits: otherwise the last lines, which give the reason for the exit,
+    /// would be lost.
     pub fn flush(&self) {
         let began = Instant::now();
         while self.0.load(Ordering::Acquire) > 0 && began.elapsed() < FLUSH_TIMEOUT {
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -244,9 +244,9 @@
 
 /// Makes the kernel reset the connection on close and discard undelivered data.
 ///
-/// While a peer is unreachable, the kernel would keep sending the data of a closed connection: a
-/// request whose caller disconnected could reach the peer seconds later, when it may be leaving. A
-/// connection with undelivered data is dropped only when nobody waits for the answer.
+/// While a peer is unreachable, the kernel would keep sending the data of a closed connection: a request
+/// whose caller disconnected could reach the peer seconds later, when it may be leaving. A connection with
+/// undelivered data is dropped only when no caller waits for the answer.
 fn reset_on_drop(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
@@ -314,7 +314,7 @@
 
 /// Sends a request on a new connection, which is closed afterwards, and reads the whole answer.
 ///
-/// If the call is given up, its undelivered data is discarded with the connection.
+/// If the call times out, its undelivered data is discarded with the connection.
 pub async fn call_on_new_connection(
     peer: SocketAddr,
     clock: Clock,
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefill of a prompt on another engine than the one that decodes.
+//! Separate prefill: a prompt is prefilled on another engine than the one that decodes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,7 +24,8 @@
 /// Multiple of the predicted time after which the answer to a prefill may have been lost.
 const OVERDUE_FACTOR: f64 = 3.0;
 
-/// Time added to that, in ms, for fixed costs and queued work that this instance does not know of.
+/// Time added to that multiple, in ms, for fixed costs and queued work that this instance does not
+/// know of.
 const OVERDUE_BASE_MS: u64 = 500;
 
 /// Queued prefill work of other requests up to which an engine counts as idle, in tokens.
@@ -178,9 +179,9 @@
 
 /// Completes once the answer to a prefill is presumed lost.
 ///
-/// A lost answer would block the request until its deadline. It is therefore given up if it is long
-/// overdue and the engine has no other prefill work. With a long queue, the queue explains the wait,
-/// and starting over elsewhere would cost more than waiting.
+/// A lost answer would block the request until its deadline. It is therefore abandoned if it is
+/// long overdue and the engine has no other prefill work. With a long queue, the queue explains the
+/// wait, and starting over elsewhere would cost more than waiting.
 async fn overdue(engine: &Upstream, guard: &InFlight, read_ms: f64) {
     let overdue_ms = (read_ms * OVERDUE_FACTOR) as u64 + OVERDUE_BASE_MS;
     actix_rt::time::sleep(Duration::from_millis(overdue_ms)).await;
--- a/crates/relay/src/prefix.rs
+++ b/crates/relay/src/prefix.rs
@@ -85,7 +85,7 @@
         Self { link, now_ms, all }
     }
 
-    /// The prefix that an engine caches itself, or a longer one if copying it is worth while.
+    /// The prefix that an engine caches itself, or a longer one if copying it saves time.
     pub fn best_at(&self, engine: &Rc<Upstream>, prompt: &Prompt) -> CachedPrefix {
         let own_tokens = prefix_tokens(prompt, |id| engine.cached_tokens(id));
         let holders = self.all.iter().map(|(holder, tokens)| PrefixHolder {
@@ -109,8 +109,7 @@
     }
 }
 
-/// Affinity target: the engine at which requests with the same first prompt part meet, by rendezvous
-/// hashing.
+/// Affinity target: the engine preferred for all prompts with the same first part, by rendezvous hashing.
 pub fn affinity_target<'a>(
     engines: &'a [Rc<Upstream>],
     prompt: &Prompt,
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -114,7 +114,7 @@
     pub singleton_tasks: SingletonTasks,
     /// Log position up to which the list of upstreams was applied.
     pub list_position: RefCell<LogFollower>,
-    /// Entries of the list as last read, to tell new ones from rewritten ones.
+    /// Entries of the list as last read, to distinguish real changes from heartbeats.
     pub(crate) last_listed: RefCell<ListedEntries>,
     /// Log position up to which the configuration was applied.
     pub config_position: RefCell<LogFollower>,
--- a/crates/relay/src/relay/list.rs
+++ b/crates/relay/src/relay/list.rs
@@ -66,7 +66,8 @@
             .mark_unconfirmed(self.now_ms(), unconfirmed);
     }
 
-    /// Applies a change that a peer gossiped, unless it is known already or one before it is missing here.
+    /// Applies a change that a peer gossiped, unless it is already known or an earlier change is missing
+    /// here.
     pub(super) fn apply_gossiped_change(&self, now_ms: u64, gossiped: &GossipedChange) {
         if !self.list_position.borrow_mut().apply_change(gossiped) {
             return;
@@ -102,7 +103,7 @@
     /// Handles a failed read of the list of upstreams.
     ///
     /// While peers confirm a recent list, the store is available and rejects only this instance. Nothing can
-    /// have lapsed then, and treating entries that go as unconfirmed would keep leaving upstreams in use.
+    /// have lapsed then, and treating removed entries as unconfirmed would keep leaving upstreams in use.
     pub fn list_read_failed(&self, bounds: &FreshnessBounds) {
         let max_age_ms = bounds.max_list_age_ms(ReaderRole::Other);
         if self.list_age_ms().is_none_or(|age_ms| age_ms >= max_age_ms) {
@@ -118,10 +119,11 @@
         self.upstreams.borrow_mut().store_unreachable(self.now_ms());
     }
 
-    /// Applies the whole list as it stood at `as_of_ms`, up to the offset `next`.
+    /// Applies the whole list as of `as_of_ms`, up to the offset `next`.
     ///
     /// Gossip may have brought later changes while the response was on its way. The response is dropped then:
-    /// it could bring back an upstream whose entry went, and the record of that would not be read again.
+    /// it could restore an upstream whose entry was removed, and the record of the removal would not be read
+    /// again.
     pub fn take_whole_list(&self, as_of_ms: u64, next: u64, entries: Vec<UpstreamEntry>) {
         let is_older = self
             .list_position
@@ -138,7 +140,7 @@
             .record_snapshot(as_of_ms, next);
     }
 
-    /// Applies records of the list as it stood at `as_of_ms`. Records that gossip has brought meanwhile are
+    /// Applies records of the list read as of `as_of_ms`. Records that gossip has brought meanwhile are
     /// skipped, for the same reason as in [`Relay::take_whole_list`].
     pub fn take_changes(&self, as_of_ms: u64, read: ChangesRead) {
         let (from, mut before) = {
@@ -203,7 +205,8 @@
         log::info!(upstream = upstream.id; "upstream replaced by another incarnation");
     }
 
-    /// Logs what became of an upstream, and notes for failure attribution that an incarnation ended.
+    /// Logs the effect of a change on an upstream, and reports an ended incarnation to the failure
+    /// attribution.
     fn note_effect(&self, id: &str, effect: Effect, origin: Origin) {
         let what = match effect {
             Effect::Unchanged => return,
@@ -213,7 +216,7 @@
             Effect::Unconfirmed => "upstream's entry is gone and may have lapsed with the store",
         };
         self.log_upstream(id, what, origin);
-        // An upstream that restarted under its old id shows only as one that joined.
+        // The restart of an upstream under the same id appears only as `Joined`.
         if matches!(effect, Effect::Joined | Effect::Left) {
             self.record_upstream_ended(id);
         }
--- a/crates/relay/src/relay/peers.rs
+++ b/crates/relay/src/relay/peers.rs
@@ -60,8 +60,8 @@
 
     /// Records that a heartbeat of this instance is in the store.
     ///
-    /// It is ignored while no member is known: an instance that has not read the others' heartbeats yet
-    /// would take itself for the only one.
+    /// It is ignored while no member is known: an instance that has not read the others' heartbeats yet would
+    /// consider itself the only one.
     pub fn heartbeat_stored(&self, member: Member) {
         let mut members = self.members.borrow_mut();
         if members.has_members() {
@@ -85,7 +85,7 @@
 
     /// The gossip datagrams to send now, each with the address of its receiver.
     ///
-    /// Also drops gossip from silent peers and removes unconfirmed upstreams whose time is up.
+    /// Also drops gossip from silent peers and removes unconfirmed upstreams whose time has expired.
     pub fn due_gossip(&self) -> Vec<(SocketAddr, GossipMessage)> {
         let now_ms = self.now_ms();
         let expired = self.gossip.borrow_mut().expire(now_ms);
--- a/crates/relay/src/relay/poison.rs
+++ b/crates/relay/src/relay/poison.rs
@@ -20,7 +20,8 @@
 }
 
 impl Relay {
-    /// Whether the health check that decides if one more upstream ended under a suspected request is running.
+    /// Whether a health check is running that will show if another upstream terminated under a suspected
+    /// request.
     pub fn is_attribution_pending(&self, call: &Call) -> bool {
         let undecided = self.poison_tracker.borrow().undecided_upstreams(call.key);
         let upstreams = self.upstreams.borrow();
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Notes that the last removed incarnation of an upstream ended: evidence against requests it had lost.
+    /// Records the end of the last removed incarnation of an upstream as evidence against the requests whose
+    /// answers it lost.
     pub(super) fn record_upstream_ended(&self, id: &str) {
         let removed = self.upstreams.borrow().last_removed(id);
         if let Some(upstream) = removed {
--- a/crates/relay/src/role_orders.rs
+++ b/crates/relay/src/role_orders.rs
@@ -1,9 +1,9 @@
 //! Role changes of engines between prefill and decode: which are needed, and the orders for them.
 //!
-//! Every instance measures its own demand and learns the fleet's by gossip. Of the hubs that reach the store, the
-//! one that gave the last order leads. That only keeps instances from ordering the same change at once; orders
-//! are made safe by `lease::AppendLease`, even if several instances take themselves for the leader. Without any
-//! leader, requests are served with the roles as they are. See docs/design/orders.md.
+//! Every instance measures its own demand and learns the fleet's by gossip. Of the hubs that reach the store,
+//! the sender of the last order is the leader. This only avoids duplicate orders for one change;
+//! `lease::AppendLease` keeps orders safe even if several instances consider themselves the leader. Without
+//! any leader, requests are served with the roles as they are. See docs/design/orders.md.
 
 mod sending;
 
@@ -33,8 +33,8 @@
 /// per instance at the usual load.
 const MIN_OBSERVED_MS: u64 = 1_500;
 
-/// Minimum request rate of the fleet for role changes, per second. With fewer requests nobody waits, and an instance
-/// without gossip and callers would conclude that there is no demand.
+/// Minimum request rate of the fleet for role changes, per second. With fewer requests none waits, and an
+/// instance without gossip and callers would conclude that there is no demand.
 const MIN_REQUESTS_PER_S: f64 = 3.0;
 
 /// Number of a service's engines for each order that one check may give. With four checks per second, a fleet of
@@ -144,7 +144,7 @@
         demand.collect()
     }
 
-    /// What this instance knows of the log of orders.
+    /// Append lease on the log of orders, with the last known end of the log.
     pub fn append_lease(&self) -> &RefCell<AppendLease> {
         &self.append_lease
     }
@@ -172,8 +172,8 @@
     may_lead.then(|| relay.role_orders.last_fence.get())
 }
 
-/// Whether this instance leads: the one that gave the last order, so that the pause between orders of two
-/// instances is not needed, or else the first by key.
+/// Whether this instance is the leader. The sender of the last order has precedence, since it need not wait
+/// for the pause between orders of two instances; without one, the lowest key has.
 fn is_leader(relay: &Relay) -> bool {
     let Some(fence) = leader_fence(relay, relay.reader_role()) else {
         return false;
--- a/crates/relay/src/role_orders/sending.rs
+++ b/crates/relay/src/role_orders/sending.rs
@@ -21,9 +21,10 @@
 /// datagram to spare.
 const GOSSIP_MS: u64 = 400;
 
-/// Time for which an engine gets no requests after an order, in ms, unless its entry in the list changes before. The
-/// engine first finishes its requests, which takes up to the longest deadline, and then changes for some seconds.
-/// With half of that time, one engine rejected 143 requests in the third of a second in which it still got them.
+/// Time for which an engine gets no requests after an order, in ms, unless its entry in the list changes
+/// before. The engine first finishes its requests, which takes up to the longest deadline, and then changes
+/// for some seconds. With half of that time, one engine was sent requests for a third of a second and
+/// rejected 143 of them.
 const ROLE_CHANGE_MS: u64 = 12_000;
 
 /// Records an order that this instance appended to the log, before it is sent.
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -47,8 +47,8 @@
 }
 
 impl SendResult {
-    /// The result as a failure for the retry decision. An answer counts as lost: it is only asked for
-    /// one that cannot be used.
+    /// The result as a failure for the retry decision. An answer counts as lost, since this is called only
+    /// for an answer that cannot be used.
     pub fn failure(&self) -> SendFailure {
         match self {
             Self::Unsent(_) => SendFailure::Unsent,
@@ -223,8 +223,8 @@
     }
 }
 
-/// Records the load and rate limit that an upstream reports in an answer, whichever request it
-/// answers.
+/// Records the load and rate limit that an upstream reports in an answer, even if the answer belongs to
+/// another request.
 pub fn note_response_head(relay: &Relay, upstream: &Upstream, head: &ResponseHead) {
     let is_another = |id: &String| *id != upstream.id;
     if head.instance.as_ref().is_some_and(is_another) {
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -1,8 +1,9 @@
 //! Singleton tasks: usage reports and engine orders that one instance, the fleet leader, makes for the fleet.
 //!
-//! Every instance counts the requests of each workspace and gossips the tallies. The leader candidates collect
-//! them, and one of these leads. The choice of the leader only avoids needless conflicts; that the platform never
-//! gets calls of two leaders at a time is ensured by `lease::AppendLease`. See docs/design/duties.md.
+//! Every instance counts the requests of each workspace and gossips the tallies. The leader candidates
+//! collect them, and one candidate is the leader. Its choice only avoids needless conflicts;
+//! `lease::AppendLease` ensures that the platform never gets calls of two leaders at a time. See
+//! docs/design/duties.md.
 
 mod due;
 mod store_health;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// What this instance knows of the log of singleton tasks.
+    /// Append lease on the log of singleton tasks, with the last known end of the log.
     pub fn append_lease(&self) -> &RefCell<AppendLease> {
         &self.append_lease
     }
@@ -250,7 +251,8 @@
     may_lead.then(|| tasks.last_fence.get())
 }
 
-/// Whether this instance leads: of the instances that may, the one that made the last call, or else the first by key.
+/// Whether this instance is the fleet leader: of the candidates, the one that made the last call or, without
+/// one, the one with the lowest key.
 fn is_leader(relay: &Relay) -> bool {
     let last_fence = leader_fence(relay);
     let holds = last_fence.is_some_and(|fence| {
--- a/crates/relay/src/singleton_tasks/due.rs
+++ b/crates/relay/src/singleton_tasks/due.rs
@@ -12,7 +12,7 @@
 pub fn due_tasks(relay: &Relay) -> Vec<Task> {
     let settings = relay.settings.borrow().singleton_tasks;
     let is_leader = is_leader(relay);
-    // Planned by all instances, so that a new leader knows what happened before.
+    // All instances plan, so that a new leader has the state of earlier windows and orders.
     let usage = settings.usage.and_then(|windows| usage_due(relay, windows));
     let scale = if settings.scales {
         scale_due(relay)
--- a/crates/relay/src/singleton_tasks/tasks.rs
+++ b/crates/relay/src/singleton_tasks/tasks.rs
@@ -8,7 +8,7 @@
 use super::{MAX_FAILED_CALLS, YIELD_MS};
 use crate::relay::Relay;
 
-/// Windows whose records the log keeps; a new record replaces that of the window as many before.
+/// Windows whose records the log keeps; a new record replaces that of the window which is this many earlier.
 const WINDOWS_KEPT: u64 = 16;
 
 /// A task's record in the log, appended before its call is made.
@@ -188,7 +188,8 @@
     }
 }
 
-/// Handles a store that may have lost the latest records: windows that ended before are not fixed anew.
+/// Handles a store that may have lost the latest records: the counts of windows that have ended are not fixed
+/// a second time.
 pub fn log_was_lost(relay: &Relay) {
     let now_ms = relay.singleton_tasks.fleet_ms();
     if let Some(reports) = relay.singleton_tasks.reports.borrow_mut().as_mut() {
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -144,7 +144,8 @@
     serde_json::from_slice(&body).map_err(|error| error.to_string())
 }
 
-/// Merges a peer's snapshot: of the configuration and the list only what is newer than the own state.
+/// Merges a peer's snapshot; its configuration and list are applied only if they are newer than those of this
+/// instance.
 pub fn merge(relay: &Relay, snapshot: &Snapshot, peer: SocketAddr) {
     let version = snapshot.config.as_ref().map_or(0, |config| config.version);
     log::info!(
@@ -175,14 +176,15 @@
     }
 }
 
-/// Takes over the peer's list if its log position is ahead of the own one.
+/// Replaces the list by the peer's if the peer's log position is ahead.
 ///
-/// The snapshot may be older than the own list: it may have been delayed, or the peer may have missed a change.
-/// It would then bring back an upstream whose entry went, and no later record would remove that one again.
+/// The snapshot may be older than the list of this instance: it may have been delayed, or the peer may have
+/// missed a change. It would then restore an upstream whose entry was removed, and no later record would
+/// remove it.
 ///
-/// Unconfirmed entries stay unconfirmed. Taken over as confirmed ones, they would never go again, since the
-/// record that removed them is already applied, and a leaving upstream would get requests for as long as it
-/// responds.
+/// Unconfirmed entries stay unconfirmed. If they were applied as confirmed, they would never be removed,
+/// since the record that removed them is already applied, and a leaving upstream would get requests for as
+/// long as it responds.
 fn merge_list(relay: &Relay, snapshot: &Snapshot) {
     let is_unconfirmed = |entry: &&UpstreamEntry| {
         let mut unconfirmed = snapshot.unconfirmed.iter();
--- a/crates/relay/src/sse.rs
+++ b/crates/relay/src/sse.rs
@@ -13,8 +13,8 @@
 
 /// Buffers bytes and returns complete events.
 ///
-/// An upstream may break off in the middle of an event. Only complete events are passed on, so that another
-/// upstream can continue the stream after the last one.
+/// A stream may end in the middle of an event. Only complete events are forwarded, so that another upstream
+/// can continue the stream after the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Forwards streams event by event, and resumes them at another engine when one breaks off.
+//! Forwards streams event by event, and resumes them at another engine when an engine fails.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -175,7 +175,7 @@
         }));
     }
 
-    /// Forgets a role change that was not ordered after all.
+    /// Clears the pending role change because the engine did not get or accept the order.
     pub fn cancel_role_change(&self) {
         self.role_change.set(None);
     }
@@ -215,7 +215,7 @@
             .set(now_ms + NO_CAPACITY_BACKOFF_MS);
     }
 
-    /// Switches between prefill and decode after the engine rejected a request as not for its stage.
+    /// Switches between prefill and decode after the engine rejected a request that is not for its stage.
     ///
     /// While the store is unavailable the list does not show the role change. Without this, each
     /// request sent there would be rejected and count against the retry budget.
@@ -248,7 +248,7 @@
         is_leaving || self.stage.replace(entry.stage) != entry.stage
     }
 
-    /// Its list entry, as far as it has been applied.
+    /// Its list entry after the latest applied update.
     pub fn entry(&self) -> UpstreamEntry {
         UpstreamEntry {
             id: self.id.clone(),
@@ -295,7 +295,7 @@
         (self.in_flight.get() > 0).then(|| (self.key, load()))
     }
 
-    /// Sets the load of all peers on it, as gossip tells; empty if no peer is heard.
+    /// Sets the load of all peers on it according to gossip; none if no gossip arrives.
     pub fn set_peer_load(&self, load: Option<Load>) {
         self.peer_load.set(load);
     }
@@ -328,7 +328,7 @@
         });
     }
 
-    /// Its rate limit, as far as it has named one.
+    /// Its rate limit; without a limit until one of its answers names one.
     pub(crate) fn limit(&self) -> RefMut<'_, RateLimit> {
         self.limit.borrow_mut()
     }
@@ -341,7 +341,7 @@
         self.health.borrow().status(now_ms)
     }
 
-    /// Whether it has unanswered requests and has not answered any for too long.
+    /// Whether it has unanswered requests and sent no answer within the allowed silence.
     ///
     /// A machine that is cut off does not refuse connections: requests on open ones just wait, and
     /// each new one would wait until its deadline. An upstream that is merely busy answers some
@@ -384,7 +384,7 @@
         self.answer_ms.set(next);
     }
 
-    /// Records a request that failed through the upstream's own fault.
+    /// Records a request whose failure is attributed to the upstream.
     pub fn note_failure(&self, now_ms: u64) {
         self.health.borrow_mut().record_failure(now_ms);
     }
--- a/crates/relay/src/upstream/prompt_cache.rs
+++ b/crates/relay/src/upstream/prompt_cache.rs
@@ -2,9 +2,9 @@
 
 use view::PrefillProgress;
 
-/// Fraction of an engine's free memory that is assumed to hold cached parts. The rest goes to short
-/// prompts and output, which are not tracked. With 1.1 placement did no better; with 1.4 half as much
-/// again was prefilled twice, because copies were requested of parts that had been evicted.
+/// Fraction of an engine's free memory that is assumed to hold cached parts. The rest goes to short prompts
+/// and output, which are not tracked. With 1.1 placement did no better; with 1.4, 50 % more tokens were
+/// prefilled twice, because copies were requested of parts that had been evicted.
 const USABLE_MEMORY_FRACTION: f64 = 0.85;
 
 /// Shortest part that is tracked, in tokens. Shorter ones are cheaper to prefill again.
--- a/crates/relay/src/upstream/rate_limit.rs
+++ b/crates/relay/src/upstream/rate_limit.rs
@@ -6,8 +6,9 @@
 /// limit within this time may have been started before the limit was set.
 const MIN_HOLD_MS: u64 = 1_500;
 
-/// Time after which a limit that no answer names again is dropped, in ms. By then no instance is
-/// sending requests to the upstream, and the first answer to a new one names the limit again.
+/// Time from the last answer that named a limit until the limit is dropped, in ms. By then no
+/// instance is sending requests to the upstream, and the first answer to a later request names the
+/// limit.
 const EXPIRY_MS: u64 = 30_000;
 
 /// Interval between gossip messages about a limit that stays the same, in ms; shorter than
@@ -59,7 +60,8 @@
         let is_due = is_changed || now_ms >= self.gossiped_ms + GOSSIP_INTERVAL_MS;
         if is_due {
             self.gossiped_ms = now_ms;
-            // An own observation supersedes one of a peer, even if the peer's clock is ahead.
+            // An observation of this instance supersedes one of a peer, even if the peer's clock is
+            // ahead.
             self.as_of_ms = fleet_ms.max(self.as_of_ms + 1);
         }
         LimitUpdate {
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -9,13 +9,13 @@
 
 use crate::upstream::{Upstream, UpstreamEntry, UpstreamKey};
 
-/// Time after the last failed read of the list for which an entry that goes counts as unconfirmed, in ms.
+/// Time after the last failed read of the list in which a removed entry counts as unconfirmed, in ms.
 ///
 /// Entries expire while the store is unavailable, although their upstreams run, and are back about 2 s after
-/// it returns. Dropping them at once would leave no upstream for that time. Upstreams that are really gone
-/// refuse the connection or the incarnation. The time counts from the failed read and not from the moment at
-/// which the entry goes: an entry that goes well after the store's return belongs to an upstream that left,
-/// which may get new requests only for a short time.
+/// it returns. Dropping them at once would leave no upstream for that time. An upstream that has really ended
+/// refuses connections, and another one at its address rejects requests for the old incarnation. The time
+/// counts from the failed read and not from the removal of the entry: an entry removed well after the store's
+/// return belongs to an upstream that left, which may get new requests only for a short time.
 const LAPSE_MS: u64 = 2_600;
 
 /// Removed incarnations that are remembered, so that their late entries are ignored.
@@ -32,7 +32,7 @@
     Left,
     /// An entry is gone but may have lapsed with the store; its upstream stays in use for a short time.
     Unconfirmed,
-    /// The change brought nothing new.
+    /// The change was already known or outdated.
     Unchanged,
 }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Notes that the list could not be read at `now_ms`: entries that go soon after are unconfirmed.
+    /// Records that the list could not be read at `now_ms`: entries removed soon after are unconfirmed.
     pub fn store_unreachable(&mut self, now_ms: u64) {
         self.may_have_lapsed_until_ms = now_ms + LAPSE_MS;
     }
@@ -147,7 +147,8 @@
 
     /// The upstreams of a service that accept new requests.
     ///
-    /// Leaves out unconfirmed ones whose time is up, also before [`Upstreams::remove_lapsed`] removes them.
+    /// Leaves out unconfirmed ones whose time has expired, even before [`Upstreams::remove_lapsed`] removes
+    /// them.
     pub fn ready<'a>(
         &'a self,
         service: &str,
@@ -160,7 +161,7 @@
         })
     }
 
-    /// Removes an upstream that proved to be gone before the list shows it.
+    /// Removes an upstream whose incarnation was replaced, before the list shows it.
     pub fn remove_replaced(&mut self, id: &str) {
         self.remove(id);
     }
@@ -181,17 +182,18 @@
         self.by_key.get(&key)
     }
 
-    /// Time left in which an entry that goes may have lapsed with the store, in ms.
+    /// Remaining time in which a removed entry may have lapsed with the store, in ms.
     pub fn may_have_lapsed_ms(&self, now_ms: u64) -> u64 {
         self.may_have_lapsed_until_ms.saturating_sub(now_ms)
     }
 
-    /// Applies a change that a peer read; for the peer, an entry that goes may have lapsed with the store
-    /// for `may_have_lapsed_ms` more.
+    /// Applies a change that a peer read; at the peer, a removed entry may have lapsed with the store for
+    /// another `may_have_lapsed_ms`.
     ///
-    /// An entry lapses with the store only when no instance reaches it, so an entry that goes is unconfirmed
-    /// only if both instances failed to read the list. If the store rejected one of them alone, the other
-    /// knows that the upstream left; to keep it in use would send requests to a leaving upstream.
+    /// An entry lapses with the store only when no instance reaches the store, so a removed entry is
+    /// unconfirmed only if both instances failed to read the list. If the store rejected only one of them,
+    /// the other one knows that the upstream left; keeping it in use would send requests to a leaving
+    /// upstream.
     pub fn apply_from_peer(
         &mut self,
         now_ms: u64,
@@ -270,8 +272,9 @@
             if entry.started_ms < known.started_ms {
                 return Effect::Unchanged;
             }
-            // An upstream that restarted under its id numbers its entries anew and has an empty cache. Treated
-            // as the same one, its entries would seem outdated for as long as the first incarnation had run.
+            // An upstream that restarted under the same id restarts its sequence numbers and has an empty
+            // cache. If it were treated as the same incarnation, its entries would seem outdated for as long
+            // as the first one had run.
             let is_same = entry.started_ms == known.started_ms
                 && known.address == entry.address
                 && known.service == entry.service;
