--- a/crates/relay/tests/access.rs
+++ b/crates/relay/tests/access.rs
@@ -1,5 +1,4 @@
-//! Which keys are accepted, what upstreams learn of the caller, and what happens when keys are
-//! removed.
+//! Accepted keys, the caller data that upstreams receive, and the removal of keys.
 
 mod common;
 
@@ -133,8 +132,8 @@
     }
 }
 
-/// Guards against a request path on which the key is passed on: prefill at a separate engine, its
-/// decode, a retried read and a resumed stream.
+/// Guards against a request path on which the key is forwarded to an upstream: prefill at a
+/// separate engine, its decode, a retried read and a resumed stream.
 #[actix_rt::test]
 async fn no_request_path_passes_the_key_on() {
     let prefill = StubUpstream::start(|received| received.response("200 OK", "", "kv-1"));
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -211,7 +211,7 @@
     false
 }
 
-/// A ready peer to which gossip is addressed; nobody receives it.
+/// A ready peer to which gossip is addressed; no process receives it.
 pub fn peer_member() -> Member {
     let address: SocketAddr = "127.0.0.1:2".parse().expect("an address");
     Member {
--- a/crates/relay/tests/estimates.rs
+++ b/crates/relay/tests/estimates.rs
@@ -1,5 +1,5 @@
-//! State that an instance learns of engines and routes: prefill queues by rank, cached prompt
-//! parts, typical prompt lengths and prior waits.
+//! Estimates of an instance for engines and routes: prefill queues by rank, cached prompt parts,
+//! typical prompt lengths and prior waits.
 
 mod common;
 
--- a/crates/relay/tests/generation.rs
+++ b/crates/relay/tests/generation.rs
@@ -152,8 +152,8 @@
     assert_eq!(other.count(), 0);
 }
 
-/// Guards against an engine that goes on decoding for a caller that has disconnected: the engine
-/// must see its own connection closed.
+/// Guards against an engine that keeps decoding for a caller that has disconnected: the engine must
+/// see its own connection closed.
 #[actix_rt::test]
 async fn a_caller_that_disconnects_stops_the_engine() {
     let engine = StubUpstream::start(|received| {
@@ -248,7 +248,8 @@
     assert_eq!(instance.fetch(req).await, (500, Some("oops".to_owned())));
 }
 
-/// Notes that an engine holds the shared part of the long prompts, and how far its prefill is.
+/// Records at the instance that an engine caches the shared part of the long prompts, with its
+/// prefill progress.
 fn note_shared_part(instance: &TestInstance, id: &str, progress: PrefillProgress) {
     let upstreams = instance.relay.upstreams.borrow();
     let engine = upstreams.get(id).unwrap();
@@ -289,7 +290,7 @@
 }
 
 /// Guards against copying a prompt part before its prefill is done, when there is nothing to copy.
-/// The request waits for that engine or is prefilled elsewhere without a copy.
+/// The request waits for that engine or is prefilled at another one without a copy.
 #[actix_rt::test]
 async fn a_prompt_part_still_in_prefill_is_not_copied() {
     let (busy, idle, engine) = (prefill_engine(), prefill_engine(), decode_engine());
@@ -329,9 +330,9 @@
     assert!(known.copyable_tokens(9) < 1.0);
 }
 
-/// Guards against refusing a caller again that waited as it was told to. An engine has work for
-/// more than three times the route's goal, so a new request is refused with a retry-after. A
-/// request whose shorter deadline shows that its caller has waited before is served.
+/// Guards against refusing a caller a second time after it waited for the announced retry delay. An
+/// engine has work for more than three times the route's goal, so a new request is refused with a
+/// retry-after. A request whose shorter deadline shows that its caller has waited before is served.
 #[actix_rt::test]
 async fn a_returning_caller_is_admitted_before_a_new_one() {
     let engine = decode_engine();
@@ -357,7 +358,7 @@
 }
 
 /// Guards against further requests to an engine that changed its role while the list couldn't be
-/// read. It rejects the first decode as not its step; the caller is served all the same, by another
+/// read. It rejects the first decode as not for its stage; the caller is still served, by another
 /// engine that gets the same KV cache, without a second prefill and without more requests to the
 /// first.
 #[actix_rt::test]
@@ -400,8 +401,8 @@
 }
 
 /// Guards against requests to an engine that a peer has ordered to change its role, which would all
-/// be rejected until it is done. The engine is avoided from the gossip message on, until the list
-/// shows its new role.
+/// be rejected until it is done. The engine is avoided from the receipt of the gossip message until
+/// the list shows its new role.
 #[actix_rt::test]
 async fn an_engine_changing_its_role_gets_no_new_requests() {
     let (changing, other) = (decode_engine(), decode_engine());
@@ -445,9 +446,10 @@
     );
 }
 
-/// Guards against sending request after request to an engine that rejects them. It finishes what it
-/// has before a role change, and the list still shows it as a decode engine. The first request is
-/// retried elsewhere; the next ones go elsewhere at once, since each rejection would cost a retry.
+/// Guards against sending many requests to an engine that rejects them. It finishes its running
+/// requests before a role change, and the list still shows it as a decode engine. The first request
+/// is retried at another engine; the next ones are sent there directly, since each rejection would
+/// cost a retry.
 #[actix_rt::test]
 async fn an_engine_that_rejects_new_requests_is_avoided_for_a_moment() {
     for status in ["503 Service Unavailable", "429 Too Many Requests"] {
--- a/crates/relay/tests/instance_view.rs
+++ b/crates/relay/tests/instance_view.rs
@@ -1,4 +1,4 @@
-//! What an instance takes over from the store and from peers, and how long it relies on it.
+//! State that an instance applies from the store and from peers, and how long it relies on it.
 
 mod common;
 
@@ -37,7 +37,7 @@
 }
 
 /// Guards against serving callers by an older configuration after a newer one, such as from a store
-/// that returns its history again. An older version is ignored, wherever it comes from.
+/// that returns its history again. An older version is ignored, whatever its source.
 #[test]
 fn a_configuration_never_goes_back() {
     let relay = Relay::new(settings(), Rc::new(TestDialect), Clock::default());
@@ -49,8 +49,8 @@
     assert!(relay.is_ready());
 }
 
-/// Guards against sending requests to an upstream that is about to end, because an entry that it
-/// wrote before it announced its leaving arrives later.
+/// Guards against sending requests to an upstream that is leaving, because an entry that it wrote
+/// before announcing this arrives later.
 #[test]
 fn a_late_entry_does_not_bring_a_leaving_upstream_back() {
     let mut upstreams = Upstreams::new("here", Clock::default());
@@ -89,7 +89,7 @@
 }
 
 /// Guards against refusing callers after a store outage in which all entries lapsed while the
-/// upstreams went on. They stay in use, unconfirmed; one whose entry isn't back after 2.6 s is
+/// upstreams kept running. They stay in use, unconfirmed; one whose entry isn't back after 2.6 s is
 /// removed.
 #[test]
 fn entries_that_lapse_in_an_outage_are_used_for_a_while() {
@@ -149,7 +149,8 @@
 }
 
 /// Guards against sending callers to an instance without heartbeats, also one that gets no gossip.
-/// While no heartbeats can be read at all, silence means nothing and all stay.
+/// While no heartbeats can be read at all, silence is no sign of failure and all instances stay
+/// listed.
 #[test]
 fn instances_without_heartbeats_are_not_named_to_callers() {
     let mut members = Members::default();
@@ -232,8 +233,8 @@
     assert_eq!(names, ["a", "b"]);
 }
 
-/// Guards against an instance that is cut off from gossip and takes all peers for gone. Callers
-/// still reach it, and it goes on to name all that were alive when it last got a message.
+/// Guards against an instance that is cut off from gossip and considers all peers gone. Callers
+/// still reach it, and it keeps listing all peers that were alive when it last received a message.
 #[test]
 fn an_isolated_instance_leaves_no_peer_out() {
     let mut members = Members::default();
@@ -263,8 +264,8 @@
     assert_eq!(names, ["a"]);
 }
 
-/// Guards against naming a leaving instance again because an older heartbeat of it arrives late
-/// through a peer or from the store.
+/// Guards against listing a leaving instance a second time because an older heartbeat of it arrives
+/// late through a peer or from the store.
 #[test]
 fn an_older_heartbeat_changes_nothing() {
     let mut members = Members::default();
@@ -295,9 +296,9 @@
     assert!(relay.take_retry("desk"));
 }
 
-/// Guards against ignoring an upstream that restarts under its id and counts its entries from one,
-/// until it has written as many as before. The new incarnation is used at once, without the prompt
-/// parts that the old one held, and a late entry of the old one changes nothing.
+/// Guards against ignoring an upstream that restarts under the same id and with sequence number
+/// one, until it reaches the number of the old incarnation. The new incarnation is used at once,
+/// without the prompt parts that the old one held, and a late entry of the old one changes nothing.
 #[test]
 fn a_restart_under_the_same_id_is_another_incarnation() {
     let entry_of = |started_ms, seq, state| UpstreamEntry {
--- a/crates/relay/tests/list_consistency.rs
+++ b/crates/relay/tests/list_consistency.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// A response of the store that is still under way.
+/// A response of the store that has not arrived yet.
 enum PendingRead {
     Whole(u64, Vec<UpstreamEntry>),
     Changes(ChangesRead),
@@ -146,7 +146,7 @@
     relay
 }
 
-/// Instances, and the messages that are still under way to them.
+/// Instances, and the messages that have not reached them yet.
 struct Simulation {
     list: List,
     instances: Vec<Rc<Relay>>,
@@ -311,7 +311,7 @@
 
     /// Reads and queries are answered at one moment and applied at a later one, datagrams are
     /// delayed or lost, and instances lose the store, need a full read or restart. An older answer
-    /// must not bring back an upstream that left, and no change may be skipped: either would send
+    /// must not restore an upstream that left, and no change may be skipped: either would send
     /// requests to that upstream for as long as it responds.
     #[test]
     fn an_instance_holds_the_list_at_its_offset(steps in steps()) {
@@ -324,8 +324,8 @@
     }
 }
 
-/// Guards against going back in the list: an instance that needs a full read queries a peer that is
-/// further behind than itself.
+/// Guards against reverting to an older list: an instance that needs a full read queries a peer
+/// that is further behind than itself.
 #[test]
 fn an_instance_that_needs_a_full_read_does_not_go_back() {
     let mut simulation = Simulation::new();
@@ -350,7 +350,7 @@
 }
 
 /// Guards against an answer without an offset, which would be taken for the list at another offset.
-/// An instance that has read an empty list, and one whose first read is under way, query a peer
+/// An instance that has read an empty list, and one whose first read is not complete, query a peer
 /// that needs a full read; the entries that the peer holds still belong to an offset.
 #[test]
 fn an_instance_that_needs_a_full_read_still_reports_its_offset() {
--- a/crates/relay/tests/metrics.rs
+++ b/crates/relay/tests/metrics.rs
@@ -74,8 +74,8 @@
     );
 }
 
-/// The ages of the configuration, the list and the load are exported; what was never received
-/// doesn't look fresh.
+/// The ages of the configuration, the list and the load are exported; data that was never received
+/// has no small age.
 #[actix_rt::test]
 async fn the_age_of_received_state_is_exported() {
     let instance = TestInstance::start(Vec::new());
@@ -121,8 +121,8 @@
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
-/// Dropped log lines are counted, so that a missing line isn't taken for something that didn't
-/// happen.
+/// Dropped log lines are counted, so that a missing line is not mistaken for an event that did not
+/// occur.
 #[actix_rt::test]
 async fn dropped_log_lines_are_counted() {
     let instance = TestInstance::start(Vec::new());
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -18,7 +18,7 @@
 use view::{GossipMessage, GossipedChange, InstanceKey, ListChange, MessageKind};
 
 /// Guards against an instance that starts during a store outage and refuses all callers until the
-/// store is back: it queries a peer and takes over its configuration and upstreams.
+/// store is back: it queries a peer and applies its configuration and upstreams.
 #[actix_rt::test]
 async fn an_instance_that_starts_without_the_store_queries_a_peer() {
     let desk = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
@@ -55,7 +55,7 @@
 }
 
 /// Two instances send to one engine. What one of them has outstanding there counts in the other's
-/// view until gossip says that it is done.
+/// view until gossip reports its completion.
 #[actix_rt::test]
 async fn the_load_from_peers_is_counted() {
     let engine = StubUpstream::start(|received| received.response("200 OK", "", "ok"));
--- a/crates/relay/tests/poison_requests.rs
+++ b/crates/relay/tests/poison_requests.rs
@@ -1,7 +1,7 @@
-//! Poison requests: requests under which every upstream crashes that begins to run them.
+//! Poison requests: requests that crash every upstream that starts to run them.
 //!
-//! The caller sends such a request again and again, under a new attempt id each time and to any
-//! instance; what the request asks for stays the same.
+//! The caller keeps retrying such a request, with a new attempt id each time and at any instance; the content
+//! of the request stays the same.
 
 mod common;
 
@@ -80,10 +80,10 @@
     fleet.iter().filter(|stub| stub.has_crashed()).count()
 }
 
-/// Guards against a request that takes down the whole fleet. An engine crashes as it begins to
-/// respond; the request is retried at another one, which crashes too, and the caller sends the same
-/// request under new attempt ids. Held against the engine each time and never against the request,
-/// it would reach them all. Other requests must still be served.
+/// Guards against a request that takes down the whole fleet. An engine crashes as it begins to respond; the
+/// request is retried at another one, which crashes too, and the caller sends the same request under new
+/// attempt ids. If each crash were attributed to the engine and none to the request, the request would reach
+/// all engines. Other requests must still be served.
 #[actix_rt::test]
 async fn a_poison_generation_does_not_take_down_the_fleet() {
     let fleet = fleet(8);
@@ -118,8 +118,8 @@
     );
 }
 
-/// The same where the caller reaches another instance each time. Unless gossip carries what became
-/// of a request, each instance would begin to count anew.
+/// The same where the caller reaches another instance each time. Without gossip about crashes under a
+/// request, each instance would start counting at zero.
 #[actix_rt::test]
 async fn crashes_under_a_request_are_gossiped() {
     let fleet = fleet(12);
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -10,10 +10,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Guards against a request that reaches an upstream seconds after its caller left. The caller
-/// leaves while the network to the upstream is cut; a connection that is closed would go on sending
-/// the request until the network is back, when the upstream may be leaving. A reset drops what was
-/// not delivered.
+/// Guards against a request that reaches an upstream seconds after its caller disconnected. The
+/// caller disconnects while the network to the upstream is cut; a connection that is closed would
+/// keep sending the request until the network is back, when the upstream may be leaving. A reset
+/// drops what was not delivered.
 #[actix_rt::test]
 async fn an_abandoned_connection_is_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/relay/tests/rate_limits.rs
+++ b/crates/relay/tests/rate_limits.rs
@@ -102,7 +102,7 @@
     assert!(free.count() > 0, "prefill still goes to a separate engine");
 }
 
-/// Guards against a limit that only the instance respects to which it was announced.
+/// Guards against a limit that is respected only by the instance to which it was announced.
 #[actix_rt::test]
 async fn a_limit_announced_to_one_instance_binds_its_peers() {
     let (limited, _free, entries) = limited_and_free("llm", Stage::Decode);
--- a/crates/relay/tests/retry_budget.rs
+++ b/crates/relay/tests/retry_budget.rs
@@ -1,5 +1,5 @@
 //! Retries as upstreams count them: each arrival beyond the first of its request, whether it was
-//! rejected, broken off or run. A request's first accepted prefill doesn't count as an arrival.
+//! rejected, interrupted or run. A request's first accepted prefill doesn't count as an arrival.
 
 mod common;
 
@@ -157,7 +157,7 @@
     );
 }
 
-/// Guards against a share that grows as peers fall silent: they may only be cut off and go on with
+/// Guards against a share that grows as peers fall silent: they may only be cut off and still use
 /// their own shares.
 #[test]
 fn shares_do_not_grow_when_peers_fall_silent() {
@@ -215,7 +215,8 @@
     (RETRY_BUDGET.ratio * REQUESTS as f64 + RETRY_BUDGET.slack) as usize
 }
 
-/// Sends requests where all prefill fails in this way, and checks the number of retries.
+/// Sends requests whose separate prefills all fail in the given way, and checks the number of
+/// retries.
 async fn assert_failed_prefill_within_budget(prefill: fn(&ReceivedRequest) -> Vec<Action>) {
     let prefill_engines = [engine(prefill, decode), engine(prefill, decode)];
     let decode_engines = [engine(prefill, decode)];
@@ -242,8 +243,8 @@
     assert_failed_prefill_within_budget(close).await;
 }
 
-/// Guards against a retry that is counted once and arrives twice, because its prompt is prefilled
-/// again.
+/// Guards against a retry that is counted once and arrives twice, because its prompt is prefilled a
+/// second time.
 #[actix_rt::test]
 async fn repeated_prefills_are_within_the_budget() {
     let prefill: fn(&ReceivedRequest) -> Vec<Action> =
--- a/crates/relay/tests/services.rs
+++ b/crates/relay/tests/services.rs
@@ -1,5 +1,5 @@
-//! Plain services: what runs once, what is retried, what is refused and which headers are passed
-//! on.
+//! Plain services: what runs once, what is retried, what is refused and which headers are
+//! forwarded.
 
 mod common;
 
@@ -153,7 +153,7 @@
     );
 }
 
-/// Guards against an upstream that goes on working past the deadline: the caller gets 504, and the
+/// Guards against an upstream that keeps working past the deadline: the caller gets 504, and the
 /// upstream's connection is closed.
 #[actix_rt::test]
 async fn a_request_past_its_deadline_is_ended() {
--- a/crates/relay/tests/unconfirmed_entries.rs
+++ b/crates/relay/tests/unconfirmed_entries.rs
@@ -75,7 +75,7 @@
     relay.receive_gossip(&message, peer());
 }
 
-/// `querying` takes over the answer of `queried`, uses the engine while its entry is unconfirmed
+/// `querying` applies the answer of `queried`, uses the engine while its entry is unconfirmed
 /// there, and no longer.
 async fn assert_used_while_unconfirmed(querying: &Relay, queried: &Relay) {
     relay::snapshot::merge(querying, &queried.snapshot(), peer());
@@ -95,8 +95,8 @@
 
 /// Guards against an answer that confirms an entry which its sender holds as unconfirmed. Two
 /// instances lose the store together, and an engine's entry is removed meanwhile. One queries the
-/// other, which still names the engine; taken for an entry that is back, it would stay in use for
-/// good, and callers' requests would reach an engine that left seconds ago.
+/// other, which still lists the engine; if that confirmed the entry, the engine would stay in use
+/// forever, and callers' requests would reach an engine that left seconds ago.
 #[actix_rt::test]
 async fn an_unconfirmed_entry_in_an_answer_confirms_nothing() {
     let (querying, queried) = (relay_with_engine("a"), relay_with_engine("b"));
@@ -106,8 +106,8 @@
 }
 
 /// Guards against losing the unconfirmed state with a whole list. An instance that starts, or
-/// missed a change, takes over the list of a peer; it has no removal left to read, so the entry
-/// must end when the peer's does.
+/// missed a change, applies the list of a peer. No later record will remove the entry, so it must
+/// expire when the peer's does.
 #[actix_rt::test]
 async fn an_unconfirmed_entry_stays_so_in_a_list_of_a_peer() {
     let (querying, queried) = (relay("a"), relay_with_engine("b"));
@@ -128,9 +128,9 @@
     assert_eq!(ready(&querying), 0);
 }
 
-/// Guards against an older answer that brings a removed engine back. The peer hasn't applied the
+/// Guards against an older answer that restores a removed engine. The peer hasn't applied the
 /// removal yet, and its answer arrives after this instance has, with a later entry than this one
-/// ever got. Taken for an engine that is back, it would get requests for as long as it responds.
+/// ever got. If that restored the engine, it would get requests for as long as it responds.
 #[actix_rt::test]
 async fn an_older_answer_does_not_bring_back_a_removed_entry() {
     let (querying, queried) = (relay_with_engine("a"), relay_with_engine("b"));
