--- a/crates/relay/src/generation.rs
+++ b/crates/relay/src/generation.rs
@@ -26,7 +26,7 @@
     prompt: &Prompt,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tried = Vec::new();
-    let mut unreached = 0;
+    let mut unreachable_upstreams = 0;
     let mut transferred = None;
     loop {
         ensure_not_poison(relay, call).await?;
@@ -53,8 +53,8 @@
                 return Ok(StreamForwarder::start(relay, call, *checked, guard, tried));
             }
             SendResult::Answer(checked) => {
-                // If no other engine can answer, the caller gets this error: it says more than a
-                // refusal.
+                // If no other engine can answer, the caller gets this error, which is more specific
+                // than a refusal.
                 let has_other = call.route.is_retryable()
                     && placement::choose_decode_engine(
                         relay,
@@ -74,7 +74,7 @@
         };
         let reusable = kv.filter(|kv| is_transferred && kv.is_available());
         transferred = reusable.map(|kv| (kv, decode.urgency));
-        retry_or_refuse(relay, call, failure, &mut unreached)?;
+        retry_or_refuse(relay, call, failure, &mut unreachable_upstreams)?;
     }
 }
 
@@ -87,7 +87,7 @@
 ) -> Result<(DecodePlacement, Option<PrefilledKv>), Refusal> {
     match placement::place_generation(relay, call, prompt, tried)? {
         Placement::Colocated(decode) => Ok((decode, None)),
-        Placement::Disaggregated(prefill) if !relay.may_prefill_apart(call) => {
+        Placement::Disaggregated(prefill) if !relay.may_prefill_separately(call) => {
             let decode = choose_decode_engine(relay, call, prompt, tried, None, prefill.urgency)?;
             Ok((decode, None))
         }
@@ -173,11 +173,11 @@
             log::info!(
                 request = call.id(), upstream = engine.id, predicted_ms, took_ms, apart = is_transferred,
                 prompt_tokens = prompt.input_tokens, held_tokens,
-                load = engine.load(relay.now_ms()); "output begun"
+                load = engine.load(relay.now_ms()); "generation started"
             );
         }
         relay
-            .learned
+            .estimates
             .observe_first_event(&call.service, &first, is_transferred, took_ms);
         let predicted_ms = predicted_ms.max(call.route.goal_ms as f64 / 2.0);
         engine.note_answer(relay.now_ms(), predicted_ms, took_ms);
@@ -204,7 +204,7 @@
         let tokens = f64::from(part.tokens);
         engine.note_cached_part(part.id, tokens, progress, kv_tokens as f64);
         if is_gossiped {
-            relay.prefix_news.borrow_mut().push(PrefilledPart {
+            relay.unannounced_parts.borrow_mut().push(PrefilledPart {
                 upstream: engine.key,
                 part: part.id,
                 tokens: part.tokens,
--- a/crates/relay/src/prefill.rs
+++ b/crates/relay/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefill of a prompt on another engine than the one that decodes.
+//! Separate prefill: a prompt is prefilled on another engine than the one that decodes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,7 +24,8 @@
 /// Multiple of the predicted time after which the answer to a prefill may have been lost.
 const OVERDUE_FACTOR: f64 = 3.0;
 
-/// Time added to that, in ms, for fixed costs and queued work that this instance does not know of.
+/// Time added to that multiple, in ms, for fixed costs and queued work that this instance does not
+/// know of.
 const OVERDUE_BASE_MS: u64 = 500;
 
 /// Queued prefill work of other requests up to which an engine counts as idle, in tokens.
@@ -83,7 +84,7 @@
                 connection.release();
             }
         }
-        Err(error) => log::debug!(fault:% = error; "KV cache of a prompt could not be freed"),
+        Err(fault) => log::debug!(fault:%; "KV cache of a prompt could not be freed"),
     }
 }
 
@@ -111,7 +112,7 @@
     let held_tokens = placement.cached_tokens;
     let own_tokens = placement.prefill_tokens;
     let engine = &placement.engine;
-    let queued_tokens = engine.view(relay.now_ms(), 0.0, rank).queued_tokens;
+    let queued_before = engine.view(relay.now_ms(), 0.0, rank).queued_tokens;
     record_cached_parts(relay, call, prompt, engine, PrefillProgress::Begun);
     call.current_upstream.borrow_mut().clone_from(&engine.id);
     let options = SendOptions {
@@ -156,18 +157,18 @@
         if relay.success_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = engine.id, rank, prompt_tokens = prompt.input_tokens, held_tokens,
-                queued_tokens, own_ms, read_ms, took_ms,
+                queued_tokens = queued_before, own_ms, read_ms, took_ms,
                 copied_from = copy_from.as_ref().map_or("-", |holder| &holder.id),
                 load = engine.load(relay.now_ms());
-                "prompt read"
+                "separate prefill finished"
             );
         }
         let sample = PrefillSample {
             own_tokens,
-            queued_tokens: (queued_tokens - own_tokens).max(0.0),
+            queued_tokens: (queued_before - own_tokens).max(0.0),
             elapsed_ms: took_ms,
         };
-        relay.learned.observe_prefill(&call.service, &sample);
+        relay.estimates.observe_prefill(&call.service, &sample);
         engine.note_answer(relay.now_ms(), read_ms, took_ms);
         let labels = [call.service.as_str()];
         let histogram = relay.metrics.prefill_s.with_label_values(&labels);
@@ -178,9 +179,9 @@
 
 /// Completes once the answer to a prefill is presumed lost.
 ///
-/// A lost answer would block the request until its deadline. It is therefore given up if it is long
-/// overdue and the engine has no other prefill work. With a long queue, the queue explains the wait,
-/// and starting over elsewhere would cost more than waiting.
+/// A lost answer would block the request until its deadline. It is therefore abandoned if it is
+/// long overdue and the engine has no other prefill work. With a long queue, the queue explains the
+/// wait, and starting over elsewhere would cost more than waiting.
 async fn overdue(engine: &Upstream, guard: &InFlight, read_ms: f64) {
     let overdue_ms = (read_ms * OVERDUE_FACTOR) as u64 + OVERDUE_BASE_MS;
     actix_rt::time::sleep(Duration::from_millis(overdue_ms)).await;
@@ -194,7 +195,7 @@
     if relay.failure_log_limit.take(relay.now_ms()) {
         log::info!(
             request = call.id(), key:% = call.key, upstream = engine.id, why;
-            "prompt not read"
+            "separate prefill failed"
         );
     }
 }
@@ -234,7 +235,7 @@
         if relay.failure_log_limit.take(relay.now_ms()) {
             log::info!(
                 request = call.id(), upstream = engine.id, status = status.as_u16();
-                "prompt rejected"
+                "separate prefill rejected"
             );
         }
         return None;
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -47,8 +47,8 @@
 }
 
 impl SendResult {
-    /// The result as a failure for the retry decision. An answer counts as lost: it is only asked for
-    /// one that cannot be used.
+    /// The result as a failure for the retry decision. An answer counts as lost, since this is called only
+    /// for an answer that cannot be used.
     pub fn failure(&self) -> SendFailure {
         match self {
             Self::Unsent(_) => SendFailure::Unsent,
@@ -95,12 +95,12 @@
                 upstream.note_failure(relay.now_ms());
             }
         }
-        SendResult::Unsent(error) => {
+        SendResult::Unsent(fault) => {
             call.attempts.set(call.attempts.get() - 1);
             call.possible_runs.set(call.possible_runs.get() - 1);
-            note_exchange_error(relay, upstream, error);
+            note_exchange_error(relay, upstream, fault);
             if relay.failure_log_limit.take(relay.now_ms()) {
-                log::info!(request = call.id(), upstream = upstream.id, fault:% = error; "request not sent");
+                log::info!(request = call.id(), upstream = upstream.id, fault:%; "request not sent");
             }
         }
         SendResult::NotRun(status) => {
@@ -113,7 +113,7 @@
             if relay.failure_log_limit.take(relay.now_ms()) {
                 log::info!(
                     request = call.id(), upstream = upstream.id, status = status.as_u16();
-                    "request rejected unrun"
+                    "request rejected without being run"
                 );
             }
         }
@@ -217,14 +217,14 @@
         Some(id) if id != upstream.id => relay.remove_replaced(upstream),
         Some(_) if is_stale => {
             upstream.assume_other_stage();
-            log::info!(upstream = upstream.id, stage:? = upstream.stage(); "upstream does another step");
+            log::info!(upstream = upstream.id, stage:? = upstream.stage(); "upstream has changed its role: it rejected a request for the former one");
         }
         Some(_) | None => {}
     }
 }
 
-/// Records the load and rate limit that an upstream reports in an answer, whichever request it
-/// answers.
+/// Records the load and rate limit that an upstream reports in an answer, even if the answer belongs to
+/// another request.
 pub fn note_response_head(relay: &Relay, upstream: &Upstream, head: &ResponseHead) {
     let is_another = |id: &String| *id != upstream.id;
     if head.instance.as_ref().is_some_and(is_another) {
--- a/crates/relay/src/singleton_tasks.rs
+++ b/crates/relay/src/singleton_tasks.rs
@@ -1,8 +1,9 @@
 //! Singleton tasks: usage reports and engine orders that one instance, the fleet leader, makes for the fleet.
 //!
-//! Every instance counts the requests of each workspace and gossips the tallies. The leader candidates collect
-//! them, and one of these leads. The choice of the leader only avoids needless conflicts; that the platform never
-//! gets calls of two leaders at a time is ensured by `lease::AppendLease`. See docs/design/duties.md.
+//! Every instance counts the requests of each workspace and gossips the tallies. The leader candidates
+//! collect them, and one candidate is the leader. Its choice only avoids needless conflicts;
+//! `lease::AppendLease` ensures that the platform never gets calls of two leaders at a time. See
+//! docs/design/duties.md.
 
 mod due;
 mod store_health;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// What this instance knows of the log of singleton tasks.
+    /// Append lease on the log of singleton tasks, with the last known end of the log.
     pub fn append_lease(&self) -> &RefCell<AppendLease> {
         &self.append_lease
     }
@@ -146,8 +147,8 @@
     }
 
     /// Counts a request that an upstream began to run; each request counts once.
-    pub fn count_started(&self, terms: TaskSettings, call: &Call) {
-        let (Some(windows), Some(workspace)) = (terms.usage, &call.workspace) else {
+    pub fn count_started(&self, settings: TaskSettings, call: &Call) {
+        let (Some(windows), Some(workspace)) = (settings.usage, &call.workspace) else {
             return;
         };
         if call.has_started.replace(true) {
@@ -160,21 +161,21 @@
 
     /// Counts a request that ended without an answer, if an upstream may have begun it. A plain service begins as
     /// soon as a request reaches it; an engine begins with the first token, which would have arrived here.
-    pub fn count_unanswered(&self, terms: TaskSettings, call: &Call) {
+    pub fn count_unanswered(&self, settings: TaskSettings, call: &Call) {
         if call.route.kind != RouteKind::Stream && call.possible_runs.get() > 0 {
-            self.count_started(terms, call);
+            self.count_started(settings, call);
         }
     }
 
     /// Applies the clock, the last token and the tallies of a gossip message.
-    pub fn receive_gossip(&self, terms: TaskSettings, message: &GossipMessage) {
+    pub fn receive_gossip(&self, settings: TaskSettings, message: &GossipMessage) {
         self.clock.borrow_mut().receive(since_boot_ms(), message);
         if let Some(fence) = message.last_task_token {
             self.append_lease
                 .borrow_mut()
                 .observe_fence(since_boot_ms(), fence);
         }
-        let Some(windows) = terms.usage.filter(|_| !message.tallies.is_empty()) else {
+        let Some(windows) = settings.usage.filter(|_| !message.tallies.is_empty()) else {
             return;
         };
         let now = windows.at(self.fleet_ms());
@@ -250,20 +251,21 @@
     may_lead.then(|| tasks.last_fence.get())
 }
 
-/// Whether this instance leads: of the instances that may, the one that made the last call, or else the first by key.
+/// Whether this instance is the fleet leader: of the candidates, the one that made the last call or, without
+/// one, the one with the lowest key.
 fn is_leader(relay: &Relay) -> bool {
     let last_fence = leader_fence(relay);
-    let is_leader = last_fence.is_some_and(|fence| {
+    let holds = last_fence.is_some_and(|fence| {
         let own = InstanceKey::of(&relay.settings.borrow().name);
         crate::role_orders::has_precedence((own, fence), relay.gossip.borrow().task_candidates())
     });
-    if relay.singleton_tasks.is_leader.replace(is_leader) != is_leader {
+    if relay.singleton_tasks.is_leader.replace(holds) != holds {
         log::info!(
-            holds = is_leader, fence = relay.singleton_tasks.last_fence.get(), may = last_fence.is_some(),
+            holds, fence = relay.singleton_tasks.last_fence.get(), may = last_fence.is_some(),
             rank = relay.rank(),
             lost_store = relay.singleton_tasks.store_health.is_unavailable(relay.now_ms());
             "fleet leadership gained or lost"
         );
     }
-    is_leader
+    holds
 }
--- a/crates/relay/src/upstreams.rs
+++ b/crates/relay/src/upstreams.rs
@@ -9,13 +9,13 @@
 
 use crate::upstream::{Upstream, UpstreamEntry, UpstreamKey};
 
-/// Time after the last failed read of the list for which an entry that goes counts as unconfirmed, in ms.
+/// Time after the last failed read of the list in which a removed entry counts as unconfirmed, in ms.
 ///
 /// Entries expire while the store is unavailable, although their upstreams run, and are back about 2 s after
-/// it returns. Dropping them at once would leave no upstream for that time. Upstreams that are really gone
-/// refuse the connection or the incarnation. The time counts from the failed read and not from the moment at
-/// which the entry goes: an entry that goes well after the store's return belongs to an upstream that left,
-/// which may get new requests only for a short time.
+/// it returns. Dropping them at once would leave no upstream for that time. An upstream that has really ended
+/// refuses connections, and another one at its address rejects requests for the old incarnation. The time
+/// counts from the failed read and not from the removal of the entry: an entry removed well after the store's
+/// return belongs to an upstream that left, which may get new requests only for a short time.
 const LAPSE_MS: u64 = 2_600;
 
 /// Removed incarnations that are remembered, so that their late entries are ignored.
@@ -32,7 +32,7 @@
     Left,
     /// An entry is gone but may have lapsed with the store; its upstream stays in use for a short time.
     Unconfirmed,
-    /// The change brought nothing new.
+    /// The change was already known or outdated.
     Unchanged,
 }
 
@@ -47,18 +47,18 @@
 
 /// One-way network latencies, in ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Distances {
+pub struct ZoneDelays {
     /// Within an availability zone.
-    pub in_zone_ms: f64,
+    pub within_zone_ms: f64,
     /// Between two zones.
-    pub across_ms: f64,
+    pub between_zones_ms: f64,
 }
 
-impl Default for Distances {
+impl Default for ZoneDelays {
     fn default() -> Self {
         Self {
-            in_zone_ms: 0.2,
-            across_ms: 1.4,
+            within_zone_ms: 0.2,
+            between_zones_ms: 1.4,
         }
     }
 }
@@ -76,7 +76,7 @@
 pub struct Upstreams {
     clock: Clock,
     zone: String,
-    distances: Distances,
+    zone_delays: ZoneDelays,
     by_id: HashMap<String, Rc<Upstream>>,
     by_key: HashMap<UpstreamKey, Rc<Upstream>>,
     by_service: HashMap<String, Vec<Rc<Upstream>>>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Notes that the list could not be read at `now_ms`: entries that go soon after are unconfirmed.
+    /// Records that the list could not be read at `now_ms`: entries removed soon after are unconfirmed.
     pub fn store_unreachable(&mut self, now_ms: u64) {
         self.may_have_lapsed_until_ms = now_ms + LAPSE_MS;
     }
@@ -105,7 +105,7 @@
     pub fn apply(&mut self, now_ms: u64, change: ListChange) -> Effect {
         match change {
             ListChange::Put(entry) => self.put(&entry),
-            ListChange::Gone(id) => self.gone(now_ms, &id, self.may_have_lapsed_until_ms),
+            ListChange::Gone(id) => self.entry_removed(now_ms, &id, self.may_have_lapsed_until_ms),
         }
     }
 
@@ -124,7 +124,7 @@
             effects.push((id, self.put(&entry)));
         }
         for id in missing {
-            let effect = self.gone(now_ms, &id, self.may_have_lapsed_until_ms);
+            let effect = self.entry_removed(now_ms, &id, self.may_have_lapsed_until_ms);
             effects.push((id, effect));
         }
         effects
@@ -147,7 +147,8 @@
 
     /// The upstreams of a service that accept new requests.
     ///
-    /// Leaves out unconfirmed ones whose time is up, also before [`Upstreams::remove_lapsed`] removes them.
+    /// Leaves out unconfirmed ones whose time has expired, even before [`Upstreams::remove_lapsed`] removes
+    /// them.
     pub fn ready<'a>(
         &'a self,
         service: &str,
@@ -160,7 +161,7 @@
         })
     }
 
-    /// Removes an upstream that proved to be gone before the list shows it.
+    /// Removes an upstream whose incarnation was replaced, before the list shows it.
     pub fn remove_replaced(&mut self, id: &str) {
         self.remove(id);
     }
@@ -181,17 +182,18 @@
         self.by_key.get(&key)
     }
 
-    /// Time left in which an entry that goes may have lapsed with the store, in ms.
+    /// Remaining time in which a removed entry may have lapsed with the store, in ms.
     pub fn may_have_lapsed_ms(&self, now_ms: u64) -> u64 {
         self.may_have_lapsed_until_ms.saturating_sub(now_ms)
     }
 
-    /// Applies a change that a peer read; for the peer, an entry that goes may have lapsed with the store
-    /// for `may_have_lapsed_ms` more.
+    /// Applies a change that a peer read; at the peer, a removed entry may have lapsed with the store for
+    /// another `may_have_lapsed_ms`.
     ///
-    /// An entry lapses with the store only when no instance reaches it, so an entry that goes is unconfirmed
-    /// only if both instances failed to read the list. If the store rejected one of them alone, the other
-    /// knows that the upstream left; to keep it in use would send requests to a leaving upstream.
+    /// An entry lapses with the store only when no instance reaches the store, so a removed entry is
+    /// unconfirmed only if both instances failed to read the list. If the store rejected only one of them,
+    /// the other one knows that the upstream left; keeping it in use would send requests to a leaving
+    /// upstream.
     pub fn apply_from_peer(
         &mut self,
         now_ms: u64,
@@ -204,7 +206,7 @@
                 let until_ms = self
                     .may_have_lapsed_until_ms
                     .min(now_ms + may_have_lapsed_ms);
-                self.gone(now_ms, &id, until_ms)
+                self.entry_removed(now_ms, &id, until_ms)
             }
         }
     }
@@ -237,7 +239,7 @@
     /// Marks the entries that a peer's snapshot names as unconfirmed.
     pub fn mark_unconfirmed(&mut self, now_ms: u64, unconfirmed: &[Unconfirmed]) {
         for entry in unconfirmed {
-            self.gone(now_ms, &entry.id, now_ms + entry.left_ms);
+            self.entry_removed(now_ms, &entry.id, now_ms + entry.left_ms);
         }
     }
 
@@ -267,12 +269,13 @@
         }
         self.unconfirmed.remove(&entry.id);
         if let Some(known) = self.by_id.get(&entry.id) {
-            if entry.started_ms < known.born_ms {
+            if entry.started_ms < known.started_ms {
                 return Effect::Unchanged;
             }
-            // An upstream that restarted under its id numbers its entries anew and has an empty cache. Treated
-            // as the same one, its entries would seem outdated for as long as the first incarnation had run.
-            let is_same = entry.started_ms == known.born_ms
+            // An upstream that restarted under the same id restarts its sequence numbers and has an empty
+            // cache. If it were treated as the same incarnation, its entries would seem outdated for as long
+            // as the first one had run.
+            let is_same = entry.started_ms == known.started_ms
                 && known.address == entry.address
                 && known.service == entry.service;
             if is_same {
@@ -284,12 +287,12 @@
             }
             self.remove(&entry.id);
         }
-        let distance_ms = if entry.zone == self.zone {
-            self.distances.in_zone_ms
+        let one_way_delay_ms = if entry.zone == self.zone {
+            self.zone_delays.within_zone_ms
         } else {
-            self.distances.across_ms
+            self.zone_delays.between_zones_ms
         };
-        let upstream = Rc::new(Upstream::new(entry, distance_ms, self.clock));
+        let upstream = Rc::new(Upstream::new(entry, one_way_delay_ms, self.clock));
         self.by_id.insert(entry.id.clone(), Rc::clone(&upstream));
         self.by_key.insert(upstream.key, Rc::clone(&upstream));
         self.by_service
@@ -299,7 +302,7 @@
         Effect::Joined
     }
 
-    fn gone(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Effect {
+    fn entry_removed(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Effect {
         let Some(known) = self.by_id.get(id) else {
             return Effect::Unchanged;
         };
@@ -322,7 +325,7 @@
         }
         self.removed.push_back(Removed {
             id: id.to_owned(),
-            started_ms: known.born_ms,
+            started_ms: known.started_ms,
             seq: known.seq(),
         });
         if self.removed.len() > MAX_REMOVED {
