--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/generator.rs
@@ -1,4 +1,4 @@
-//! Many callers whose requests come at random times, whatever becomes of earlier ones.
+//! Open-loop load generator: requests arrive at random times, independent of earlier ones.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,32 +7,32 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use model::{Deployment, Kind, Phase, Traffic};
+use model::{Deployment, Phase, RequestKind, RequestSizes};
 
-use crate::{Caller, Question, Tally};
+use crate::{Caller, CompletionRequest, Tally};
 
-/// Deadlines by kind, in ms.
-fn deadline_ms(kind: Kind) -> u64 {
+/// Deadline of a kind of request, in ms.
+fn deadline_ms(kind: RequestKind) -> u64 {
     match kind {
-        Kind::Long => 10_000,
-        Kind::Quick => 5_000,
-        Kind::Urgent | Kind::Once => 2_000,
+        RequestKind::Long => 10_000,
+        RequestKind::Quick => 5_000,
+        RequestKind::Urgent | RequestKind::Once => 2_000,
     }
 }
 
-/// A load that is being made.
-pub struct Running {
-    /// What became of requests so far.
+/// Results of a load run, filled while it is under way.
+pub struct LoadRun {
+    /// Outcome counts so far.
     pub tally: Rc<RefCell<Tally>>,
-    /// Bodies of calls that were answered, each of which must have run exactly once.
-    pub answered: Rc<RefCell<Vec<String>>>,
-    /// Bodies of calls that were refused as not run.
-    pub refused: Rc<RefCell<Vec<String>>>,
+    /// Bodies of answered calls, each of which must have run exactly once.
+    pub completed_calls: Rc<RefCell<Vec<String>>>,
+    /// Bodies of calls that were refused as not run; none of them may have run.
+    pub refused_calls: Rc<RefCell<Vec<String>>>,
 }
 
-/// Makes requests through the phases and waits for the last of them.
+/// Sends requests through all phases and waits until the last one has ended.
 pub async fn run(
-    running: &Running,
+    running: &LoadRun,
     callers: Vec<Caller>,
     deployment: Deployment,
     phases: &[Phase],
@@ -42,24 +42,24 @@
     let mut tasks = Vec::new();
     let mut number = 0_u64;
     for phase in phases {
-        let end = Instant::now() + Duration::from_millis(phase.ms);
+        let end = Instant::now() + Duration::from_millis(phase.duration_ms);
         while Instant::now() < end {
-            // Exponential gaps: the requests of many callers who do not know of each other.
+            // Exponential gaps give the Poisson arrivals of many independent callers.
             let gap = -rng.random_range(f64::EPSILON..1.0_f64).ln() / phase.mix.total();
             actix_rt::time::sleep(Duration::from_secs_f64(gap)).await;
             number += 1;
             let kind = phase.mix.draw(&mut rng);
             let caller = callers[rng.random_range(0..callers.len())].clone();
-            let one = One {
+            let request = GeneratedRequest {
                 caller,
                 deployment,
                 kind,
                 number,
                 tally: running.tally.clone(),
-                answered: running.answered.clone(),
-                refused: running.refused.clone(),
+                completed_calls: running.completed_calls.clone(),
+                refused_calls: running.refused_calls.clone(),
             };
-            tasks.push(actix_rt::spawn(one.make()));
+            tasks.push(actix_rt::spawn(request.send()));
         }
     }
     for task in tasks {
@@ -67,60 +67,62 @@
     }
 }
 
-struct One {
+struct GeneratedRequest {
     caller: Caller,
     deployment: Deployment,
-    kind: Kind,
+    kind: RequestKind,
     number: u64,
     tally: Rc<RefCell<Tally>>,
-    answered: Rc<RefCell<Vec<String>>>,
-    refused: Rc<RefCell<Vec<String>>>,
+    completed_calls: Rc<RefCell<Vec<String>>>,
+    refused_calls: Rc<RefCell<Vec<String>>>,
 }
 
-impl One {
-    async fn make(self) {
+impl GeneratedRequest {
+    async fn send(self) {
         let deadline_ms = deadline_ms(self.kind);
         let class = self.kind.to_string();
-        let seen = if self.kind == Kind::Once {
+        let result = if self.kind == RequestKind::Once {
             self.call(deadline_ms).await
         } else {
-            let (prompt_tokens, tokens) = Traffic::of(self.deployment).tokens(self.kind);
-            let question = Question {
+            let (prompt_tokens, tokens) = RequestSizes::of(self.deployment).tokens(self.kind);
+            let question = CompletionRequest {
                 class: class.clone(),
                 model: self.deployment.model().to_owned(),
                 prompt: prompt(self.number, prompt_tokens),
                 tokens,
                 deadline_ms,
             };
-            self.caller.ask(&question).await
+            self.caller.complete(&question).await
         };
         let mut tally = self.tally.borrow_mut();
         tally.add(
             &class,
-            seen.outcome,
-            seen.took_ms,
-            seen.first_ms,
-            seen.resumed,
+            result.outcome,
+            result.duration_ms,
+            result.first_token_ms,
+            result.resumed,
         );
     }
 
-    async fn call(&self, deadline_ms: u64) -> crate::completion::Seen {
+    async fn call(&self, deadline_ms: u64) -> crate::completion::RequestResult {
         let (service, path) = self.deployment.service();
         let body = format!("lot {}", self.number);
-        let seen = self
+        let result = self
             .caller
             .call_once(service, path, &body, deadline_ms)
             .await;
-        match seen.outcome {
-            crate::Outcome::InTime | crate::Outcome::Late => self.answered.borrow_mut().push(body),
-            crate::Outcome::Refused => self.refused.borrow_mut().push(body),
+        match result.outcome {
+            crate::Outcome::InTime | crate::Outcome::Late => {
+                self.completed_calls.borrow_mut().push(body);
+            }
+            crate::Outcome::Refused => self.refused_calls.borrow_mut().push(body),
             crate::Outcome::Unknown | crate::Outcome::Wrong => {}
         }
-        seen
+        result
     }
 }
 
-/// A prompt unlike any other, of about the given number of tokens.
+/// Builds a unique prompt of about the given number of tokens.
 fn prompt(number: u64, tokens: u32) -> String {
     let line = format!("item {number}: ");
     let mut text = String::with_capacity(tokens as usize * 4 + line.len());
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: what was read from it, and how far it has been served.
+//! State of one request of a caller, from its arrival to the end of its answer.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -93,10 +93,10 @@
             .map_or(arrived_ms, |id| xxh3_64(id.as_bytes()));
         let service = route.service(id_hash)?.to_owned();
         let wait_ms = head.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-        let prior_wait_ms = relay.learned.prior_wait_ms(&route.name, head.deadline_ms);
+        let prior_wait_ms = relay.estimates.prior_wait_ms(&route.name, head.deadline_ms);
         let yields_to_longer = head.prompt.as_ref().is_some_and(|prompt| {
             relay
-                .learned
+                .estimates
                 .yields_to_longer(&route.name, f64::from(prompt.input_tokens))
         });
         let target = parts.uri.path_and_query().cloned()?;
@@ -218,7 +218,7 @@
                 request = self.id(), route = self.route.name, workspace = self.workspace_name(),
                 upstream = self.current_upstream.borrow().as_str(),
                 took_ms = now_ms - self.arrived_ms, sends = self.possible_runs.get();
-                "caller left"
+                "caller disconnected"
             );
         }
     }
@@ -226,8 +226,8 @@
 
 /// Removes hop-by-hop headers, including those named in `Connection`.
 ///
-/// Headers for which `keeps` holds stay even if they are named there; otherwise a caller could remove
-/// the headers that identify its request.
+/// Headers for which `keeps` returns true are kept even if they are named there; otherwise a caller could
+/// remove the headers that identify its request.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap, keeps: impl Fn(&HeaderName) -> bool) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -65,7 +65,7 @@
     /// Its id. A restarted upstream may come back under the same one.
     pub id: String,
     /// Start of the incarnation, on the upstream's clock, in ms.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Short key that identifies the incarnation in gossip.
     pub key: UpstreamKey,
     /// Service that it belongs to.
@@ -75,7 +75,7 @@
     /// Availability zone.
     pub zone: String,
     /// One-way network latency, in ms.
-    pub distance_ms: f64,
+    pub one_way_delay_ms: f64,
     /// Requests that it runs concurrently; at least 1.
     pub slots: u32,
     /// Whether its machine may be reclaimed at short notice.
@@ -105,15 +105,15 @@
 
 impl Upstream {
     /// Creates the state of an upstream that has just appeared in the list.
-    pub fn new(entry: &UpstreamEntry, distance_ms: f64, clock: Clock) -> Self {
+    pub fn new(entry: &UpstreamEntry, one_way_delay_ms: f64, clock: Clock) -> Self {
         Self {
             id: entry.id.clone(),
-            born_ms: entry.started_ms,
+            started_ms: entry.started_ms,
             key: UpstreamKey::of(&entry.id, entry.started_ms),
             service: entry.service.clone(),
             address: entry.address,
             zone: entry.zone.clone(),
-            distance_ms,
+            one_way_delay_ms,
             slots: entry.slots.max(1),
             is_spot: entry.is_spot,
             pool: Pool::new(entry.address, clock),
@@ -175,7 +175,7 @@
         }));
     }
 
-    /// Forgets a role change that was not ordered after all.
+    /// Clears the pending role change because the engine did not get or accept the order.
     pub fn cancel_role_change(&self) {
         self.role_change.set(None);
     }
@@ -215,7 +215,7 @@
             .set(now_ms + NO_CAPACITY_BACKOFF_MS);
     }
 
-    /// Switches between prefill and decode after the engine rejected a request as not for its stage.
+    /// Switches between prefill and decode after the engine rejected a request that is not for its stage.
     ///
     /// While the store is unavailable the list does not show the role change. Without this, each
     /// request sent there would be rejected and count against the retry budget.
@@ -248,11 +248,11 @@
         is_leaving || self.stage.replace(entry.stage) != entry.stage
     }
 
-    /// Its list entry, as far as it has been applied.
+    /// Its list entry after the latest applied update.
     pub fn entry(&self) -> UpstreamEntry {
         UpstreamEntry {
             id: self.id.clone(),
-            started_ms: self.born_ms,
+            started_ms: self.started_ms,
             service: self.service.clone(),
             address: self.address,
             zone: self.zone.clone(),
@@ -295,7 +295,7 @@
         (self.in_flight.get() > 0).then(|| (self.key, load()))
     }
 
-    /// Sets the load of all peers on it, as gossip tells; empty if no peer is heard.
+    /// Sets the load of all peers on it according to gossip; none if no gossip arrives.
     pub fn set_peer_load(&self, load: Option<Load>) {
         self.peer_load.set(load);
     }
@@ -328,20 +328,20 @@
         });
     }
 
-    /// Its rate limit, as far as it has named one.
+    /// Its rate limit; without a limit until one of its answers names one.
     pub(crate) fn limit(&self) -> RefMut<'_, RateLimit> {
         self.limit.borrow_mut()
     }
 
     /// Whether requests may be sent to it, by its health.
-    pub fn verdict(&self, now_ms: u64) -> HealthStatus {
+    pub fn health_status(&self, now_ms: u64) -> HealthStatus {
         if self.is_silent(now_ms) || now_ms < self.no_capacity_until_ms.get() {
             return HealthStatus::Ejected;
         }
         self.health.borrow().status(now_ms)
     }
 
-    /// Whether it has unanswered requests and has not answered any for too long.
+    /// Whether it has unanswered requests and sent no answer within the allowed silence.
     ///
     /// A machine that is cut off does not refuse connections: requests on open ones just wait, and
     /// each new one would wait until its deadline. An upstream that is merely busy answers some
@@ -384,7 +384,7 @@
         self.answer_ms.set(next);
     }
 
-    /// Records a request that failed through the upstream's own fault.
+    /// Records a request whose failure is attributed to the upstream.
     pub fn note_failure(&self, now_ms: u64) {
         self.health.borrow_mut().record_failure(now_ms);
     }
@@ -437,7 +437,7 @@
             new_tokens: 0.0,
             requests: self.load(now_ms),
             slots: f64::from(self.slots),
-            one_way_delay_ms: self.distance_ms,
+            one_way_delay_ms: self.one_way_delay_ms,
             slowness: self.slowness(),
         }
     }
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -42,7 +42,7 @@
     pub demand: Vec<ServiceDemand>,
     /// Fencing token of the last order that it gave; `None` if it could not give one now.
     pub last_order_token: Option<u64>,
-    /// Fencing token of its last call for the fleet; `None` if it could not make one now.
+    /// Fencing token of its last call as fleet leader; `None` if it could not make one now.
     pub last_task_token: Option<u64>,
     /// Wall-clock time by its own clock, in ms since 1970.
     pub clock_ms: u64,
@@ -52,7 +52,7 @@
     pub list_position: Option<LogPosition>,
     /// Its position in the log of the configuration.
     pub config_position: Option<LogPosition>,
-    /// Poison requests, which no upstream may get any more.
+    /// Poison requests, which must not be sent to any upstream.
     pub poison: Vec<RequestKey>,
 }
 
@@ -100,11 +100,11 @@
     down_parts: Vec<PrefilledPart>,
     up_role_changes: Vec<PendingRoleChange>,
     down_role_changes: Vec<PendingRoleChange>,
-    /// Evidence seen here or by reporters, for all.
+    /// Evidence observed by this instance or its reporters, for all instances.
     up_evidence: ResendQueue<FailureEvidence>,
     /// Evidence from other hubs, for the reporters.
     down_evidence: ResendQueue<FailureEvidence>,
-    /// Limits that upstreams named to this instance or its reporters, for all.
+    /// Limits that upstreams named to this instance or its reporters, for all instances.
     up_limits: ResendQueue<UpstreamLimit>,
     /// Limits from other hubs, for the reporters.
     down_limits: ResendQueue<UpstreamLimit>,
@@ -117,7 +117,7 @@
 }
 
 impl GossipState {
-    /// Takes in a datagram. The caller must take in its prompt parts, members and list changes as
+    /// Processes a datagram. The caller must process its prompt parts, members and list changes as
     /// well.
     pub fn receive(
         &mut self,
@@ -166,7 +166,7 @@
             sender.demand = before.demand;
             sender.alive = before.alive;
         }
-        // Not every datagram has these two; the last ones received hold until the next.
+        // Not every datagram has these two; the last values received stay valid until the next.
         if !message.alive.is_empty() {
             sender.alive.clone_from(&message.alive);
             sender.demand.clone_from(&message.demand);
@@ -250,12 +250,12 @@
 
     /// Drops the digests of former hubs, whose load would be counted twice.
     fn drop_other_digests(&mut self, hub: InstanceKey, changed: &mut Vec<UpstreamKey>) {
-        let others: Vec<InstanceKey> = self
+        let former_hubs: Vec<InstanceKey> = self
             .of_kind(MessageKind::Digest)
             .map(|(key, _)| *key)
             .filter(|key| *key != hub)
             .collect();
-        for key in others {
+        for key in former_hubs {
             self.drop_sender(key, changed);
         }
     }
@@ -265,7 +265,7 @@
         self.totals.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Whether any gossip has been received that still counts.
+    /// Whether gossip has been received that is recent enough to count.
     pub fn has_senders(&self) -> bool {
         !self.senders.is_empty()
     }
@@ -286,7 +286,8 @@
             .filter_map(|(key, sender)| Some((*key, sender.last_order_token?)))
     }
 
-    /// Peers that could make calls for the fleet now, each with the fencing token of its last call.
+    /// Peers that could act as fleet leader now, each with the fencing token of its last call as
+    /// leader.
     pub fn task_candidates(&self) -> impl Iterator<Item = (InstanceKey, u64)> {
         self.senders
             .iter()
@@ -310,7 +311,7 @@
         self.list_changes.add(now_ms, change);
     }
 
-    /// Adds evidence that was seen here and is new to peers.
+    /// Adds evidence that this instance observed and that is new to peers.
     pub fn add_evidence(&mut self, evidence: FailureEvidence) {
         self.up_evidence.add(evidence);
     }
--- a/crates/view/src/poison.rs
+++ b/crates/view/src/poison.rs
@@ -1,13 +1,13 @@
 //! Detects poison requests, which crash every upstream that runs them.
 //!
-//! A poison request ends each engine that begins to answer it, together with everything else that
-//! the engine runs. It is retried, its caller sends it again to any instance, and each time the
+//! A poison request crashes each engine that begins to answer it, together with everything else
+//! that the engine runs. Instances retry it, its caller may resend it to any instance, and each
 //! attempt has a new id. If losses counted only against the engine, each would look like the fault
-//! of another engine, and one request would take down all decode engines again and again.
+//! of another engine, and one request would take down all decode engines, one after the other.
 //!
 //! So losses count against the request as well, identified by its content and not by its attempt,
-//! and instances gossip what they see. A request that gets a whole answer is cleared. See
-//! docs/design/retries.md.
+//! and instances gossip the evidence that they observe. A request that gets a complete answer is
+//! cleared. See docs/design/retries.md.
 
 use std::collections::HashMap;
 
@@ -15,14 +15,14 @@
 
 use crate::{RequestKey, UpstreamKey};
 
-/// Upstreams that must end under a request before it counts as poison. After one, others may still
-/// run it, since upstreams also end for reasons of their own. A third is not risked: an
-/// engine that ends takes its running answers along (9 to 37 in an observed case), while few
-/// requests meet two upstreams that end for their own reasons.
+/// Upstreams that must end under a request before it counts as poison. After one end, other
+/// upstreams may still run it, since upstreams also end for reasons of their own. A third is not
+/// risked: an engine that ends takes its running answers along (9 to 37 in an observed case), while
+/// few requests meet two upstreams that end for their own reasons.
 const ENDED_THRESHOLD: usize = 2;
 
-/// How long a request is remembered after it last came, in ms: far longer than callers wait before
-/// they try again, and short enough to find out that the upstreams have been fixed.
+/// How long a request is remembered after it last arrived, in ms: far longer than callers wait
+/// before they retry, and short enough to find out that the upstreams have been fixed.
 pub const RETENTION_MS: u64 = 3_600_000;
 
 /// Most requests, and most ended upstreams, that are tracked: the losses of hundreds of engines
@@ -70,11 +70,10 @@
 #[derive(Debug, Default)]
 struct Suspect {
     lost: Vec<UpstreamKey>,
-    /// Losses from before the request was answered. They do not count again when gossip repeats
-    /// them.
+    /// Losses from before the request was answered. They are not counted when gossip repeats them.
     cleared: Vec<UpstreamKey>,
-    /// Whether a peer or the store says that it is poison.
-    is_marked: bool,
+    /// Whether a peer or the store has reported it as poison.
+    is_known_poison: bool,
     store_record: StoreRecord,
     is_reported: bool,
     at_ms: u64,
@@ -88,7 +87,7 @@
     fn is_poison(&self, now_ms: u64, ended: &HashMap<UpstreamKey, u64>) -> bool {
         let ended = |key: &&UpstreamKey| ended.contains_key(key);
         let is_suspected =
-            self.is_marked || self.lost.iter().filter(ended).count() >= ENDED_THRESHOLD;
+            self.is_known_poison || self.lost.iter().filter(ended).count() >= ENDED_THRESHOLD;
         is_suspected && !self.is_old(now_ms)
     }
 }
@@ -101,7 +100,7 @@
 }
 
 impl PoisonTracker {
-    /// Takes in evidence that was seen here. Returns whether it is new.
+    /// Processes evidence that this instance observed. Returns whether it is new.
     pub fn observe(&mut self, now_ms: u64, evidence: FailureEvidence) -> bool {
         let is_new = self.receive(now_ms, evidence);
         if let FailureEvidence::Lost { request, .. } = evidence
@@ -113,16 +112,18 @@
         is_new
     }
 
-    /// Takes in evidence from this instance or a peer. Returns whether it is new.
+    /// Processes evidence from this instance or a peer. Returns whether it is new.
     pub fn receive(&mut self, now_ms: u64, evidence: FailureEvidence) -> bool {
         match evidence {
-            FailureEvidence::Lost { request, upstream } => self.lost(now_ms, request, upstream),
-            FailureEvidence::Ended(upstream) => self.ended(now_ms, upstream),
-            FailureEvidence::Answered(request) => self.answered(request),
+            FailureEvidence::Lost { request, upstream } => {
+                self.record_loss(now_ms, request, upstream)
+            }
+            FailureEvidence::Ended(upstream) => self.record_end(now_ms, upstream),
+            FailureEvidence::Answered(request) => self.record_answer(request),
         }
     }
 
-    fn lost(&mut self, now_ms: u64, request: RequestKey, upstream: UpstreamKey) -> bool {
+    fn record_loss(&mut self, now_ms: u64, request: RequestKey, upstream: UpstreamKey) -> bool {
         let suspect = self.requests.entry(request).or_default();
         if suspect.is_old(now_ms) {
             *suspect = Suspect::default();
@@ -137,7 +138,7 @@
         true
     }
 
-    fn ended(&mut self, now_ms: u64, upstream: UpstreamKey) -> bool {
+    fn record_end(&mut self, now_ms: u64, upstream: UpstreamKey) -> bool {
         if self.ended.len() >= MAX_TRACKED {
             self.ended.retain(|_, at_ms| now_ms < *at_ms + RETENTION_MS);
             let oldest = self.ended.iter().min_by_key(|(_, at_ms)| **at_ms);
@@ -153,34 +154,34 @@
     pub fn upstream_unlisted(&mut self, now_ms: u64, upstream: UpstreamKey) {
         let is_lost = |suspect: &Suspect| suspect.lost.contains(&upstream);
         if self.requests.values().any(is_lost) {
-            self.ended(now_ms, upstream);
+            self.record_end(now_ms, upstream);
         }
     }
 
-    fn answered(&mut self, request: RequestKey) -> bool {
+    fn record_answer(&mut self, request: RequestKey) -> bool {
         let Some(suspect) = self.requests.get_mut(&request) else {
             return false;
         };
-        let was_suspected = suspect.is_marked || !suspect.lost.is_empty();
-        suspect.is_marked = false;
+        let was_suspected = suspect.is_known_poison || !suspect.lost.is_empty();
+        suspect.is_known_poison = false;
         let lost = std::mem::take(&mut suspect.lost);
         suspect.cleared.extend(lost);
         was_suspected
     }
 
-    /// Records that a peer, or the store, says that a request is poison.
+    /// Records that a peer or the store has reported a request as poison.
     pub fn mark_poison(&mut self, now_ms: u64, request: RequestKey) {
         let suspect = self.requests.entry(request).or_default();
-        // An answer to it is known here, which may not have reached the peer yet.
-        if !suspect.cleared.is_empty() || (suspect.is_marked && !suspect.is_old(now_ms)) {
+        // The request was answered; the peer may not have received that evidence yet.
+        if !suspect.cleared.is_empty() || (suspect.is_known_poison && !suspect.is_old(now_ms)) {
             return;
         }
-        suspect.is_marked = true;
+        suspect.is_known_poison = true;
         suspect.at_ms = now_ms;
         self.evict(now_ms);
     }
 
-    /// Whether no upstream may get a request any more.
+    /// Whether a request must not be sent to any upstream.
     pub fn is_poison(&self, now_ms: u64, request: RequestKey) -> bool {
         let suspect = self.requests.get(&request);
         suspect.is_some_and(|suspect| suspect.is_poison(now_ms, &self.ended))
@@ -208,14 +209,14 @@
         self.requests.contains_key(&request)
     }
 
-    /// Records that a request came and was refused, so that it is remembered for longer.
+    /// Records that a request arrived and was refused, so that it is remembered for longer.
     pub fn record_refusal(&mut self, now_ms: u64, request: RequestKey) {
         if let Some(suspect) = self.requests.get_mut(&request) {
             suspect.at_ms = now_ms;
         }
     }
 
-    /// The poison requests that came last.
+    /// The poison requests that arrived last.
     ///
     /// Instances gossip them all the time, so that a peer that was frozen, cut off or just started
     /// knows them from the first datagram and need not lose upstreams of its own.
@@ -243,7 +244,7 @@
         found
     }
 
-    /// Poison requests that were found out here and are not in the store yet.
+    /// Poison requests that were detected here and are not in the store yet.
     pub fn unsaved(&self, now_ms: u64) -> Vec<RequestKey> {
         let is_unsaved = |suspect: &Suspect| suspect.store_record == StoreRecord::Unsaved;
         self.requests
@@ -269,7 +270,7 @@
         }
     }
 
-    /// If too many requests are tracked, drops old ones and then the one that came longest ago,
+    /// If too many requests are tracked, drops old ones and then the one that arrived longest ago,
     /// poison requests last.
     fn evict(&mut self, now_ms: u64) {
         if self.requests.len() <= MAX_TRACKED {
--- a/crates/view/src/polling.rs
+++ b/crates/view/src/polling.rs
@@ -1,21 +1,22 @@
 //! How often the store's logs are polled, by which instances, and how long a read waits there.
 //!
 //! Every call has a price, and all instances share one rate limit. So a few instances read for the
-//! fleet and gossip what a log says ([`crate::log_follower`]). A log that rarely changes is read by
-//! long polls, one that is written to all the time at intervals.
+//! fleet and gossip the result ([`crate::log_follower`]). A log that rarely changes is read by long
+//! polls; a log that is written to constantly is read at intervals.
 //!
-//! A long poll that was sent before an outage of the store would only be given up seconds after the
-//! store's return, while a new version may be published on that return. That limits how long a read
-//! may wait.
+//! A long poll that was sent before an outage of the store is given up only seconds after the store
+//! returns, and a new version may be published as soon as it does. This limits how long a read may
+//! wait.
 
 /// Long-poll wait for the configuration, as a share of the time in which a new version must be in
 /// force. Changes arrive at once, and peers learn in time that there was none.
 const CONFIG_LONG_POLL_SHARE: f64 = 0.3;
 
-/// Age of the known configuration at which another reader, a hub, and any other instance read it
-/// themselves, as shares of the time in which a version must be in force. The first reader always
-/// reads. Its long poll, the gossip through the hubs and one check interval fit into the first
-/// share; after the last one there is time for a call that is given up and for a second call.
+/// Ages of the known configuration at which the other readers, the hubs and the remaining instances
+/// read it themselves, in this order, as shares of the time in which a version must be in force.
+/// The first reader always reads. Its long poll, the gossip through the hubs and one check interval
+/// fit into the first share; after the last one there is time for a call that is given up and for a
+/// second call.
 const CONFIG_AGE_SHARES: [f64; 3] = [0.42, 0.5, 0.7];
 
 /// Pause after a failed call, in ms; short compared with the bounds that hold once the store is
