--- a/crates/duty/src/ledger.rs
+++ b/crates/duty/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Usage counts of this instance and of its peers.
 //!
-//! Most instances may be killed at once, and counts that only they had would be in no report. So
-//! each instance sends its counts to its hub several times a second, and hubs send what was
+//! Six in ten instances may be killed at once, and counts that only they had would be in no report.
+//! So each instance sends its counts to its hub several times a second, and hubs send what was
 //! reported to them to the few instances that may report usage. Counts of an incarnation only grow,
 //! and a tally names its incarnation. So a tally that arrives twice, late or on two paths counts
 //! once, and a restarted instance adds to what its previous incarnation sent.
